--- a/src/intake/sidecars.cpp
+++ b/src/thrift/thrift_server.cpp
@@ -1,14 +1,14 @@
-#include "intake/sidecars.h"
+#include "thrift/thrift_server.h"
 
 #include <charconv>
 #include <cmath>
 
-namespace cottonwing::intake {
+namespace cottonwing::thrift {
 
 namespace {
 
 using namespace std::chrono_literals;
-using report::Count;
+using telemetry::Count;
 
 constexpr std::size_t kMostOpen = 32;  // commands on one connection
 constexpr std::size_t kLongestBody = 2048, kLongestKey = 64;
@@ -16,11 +16,12 @@
 constexpr int kMessagesATurn = 64;  // of one connection; the rest waits for its next turn
 constexpr int kMostStrikes = 8;     // messages of one connection that are refused before it is closed
 // A connection that has yet to send one whole message, and one that has begun a message, get this long.
-constexpr Nanos kFirstWord = 1500ms, kWholeMessage = 1500ms;
-constexpr Nanos kWrites = 2s;   // output that nobody takes ends its connection
-constexpr Nanos kDrained = 1s;  // after goaway, before an idle connection is closed
-constexpr Nanos kTend = 100ms;
-constexpr Nanos kAhead = 1s;  // a command may be born so far ahead of our clock, or be due so far behind it
+constexpr Duration kFirstWord = 1500ms, kWholeMessage = 1500ms;
+constexpr Duration kWrites = 2s;   // output that nobody takes ends its connection
+constexpr Duration kDrained = 1s;  // after goaway, before an idle connection is closed
+constexpr Duration kTend = 100ms;
+constexpr Duration kAhead =
+    1s;  // a command may be born so far ahead of our clock, or be due so far behind it
 constexpr std::size_t kUnidentified =
     4;  // of the places, one in so many is for those that never said anything whole
 
@@ -44,9 +45,9 @@
 }
 
 // What a command lacks, or nothing when it is whole.
-std::string readCommand(const Message& message, const launch::Names& names,
-                        const std::vector<ProfileTerms>& profiles, bool patienceTold,
-                        backend::Arrival& arrival) {
+std::string readCommand(const Message& message, const config::NameTables& names,
+                        const std::vector<RequestClass>& profiles, bool patienceTold,
+                        request::IncomingRequest& arrival) {
     if (!message.fields || !message.body) return "fields and body are needed";
     if (message.body->size() > kLongestBody) return "the body is longer than 2048 bytes";
     const Fields& fields = *message.fields;
@@ -54,18 +55,18 @@
         const auto found = fields.find(key);
         return found == fields.end() ? std::string_view() : std::string_view(found->second);
     };
-    Command& command = arrival.command;
-    const auto profile = names.profiles.find(given("route"));
-    if (profile == names.profiles.end()) return "route: not a profile";
-    command.profile = profile->second;
-    const ProfileTerms& terms = profiles[static_cast<std::size_t>(profile->second)];
-    const Nanos hardStop = terms.hardStop;
+    Request& command = arrival.request;
+    const auto profile = names.requestClasses.find(given("route"));
+    if (profile == names.requestClasses.end()) return "route: not a profile";
+    command.requestClass = profile->second;
+    const RequestClass& terms = profiles[static_cast<std::size_t>(profile->second)];
+    const Duration hardStop = terms.timeout;
     if (!given("customer").empty()) {
-        const auto customer = names.customers.find(given("customer"));
-        if (customer == names.customers.end()) return "customer: not a customer";
-        command.customer = customer->second;
+        const auto customer = names.tenants.find(given("customer"));
+        if (customer == names.tenants.end()) return "customer: not a customer";
+        command.tenant = customer->second;
     }
-    const auto id = backend::readId(given("trace"));
+    const auto id = request::parseRequestId(given("trace"));
     if (!id) return "trace: 16 hex digits were expected";
     const auto born = number<std::int64_t>(fields, "born"),
                patience = number<std::int64_t>(fields, "patience");
@@ -76,8 +77,8 @@
     if ((patienceTold || fields.contains("patience")) &&
         (!patience || *patience < 0 || 1ms * *patience > hardStop))
         return "patience: milliseconds were expected";
-    const Nanos now = net::unixNow(), bornAt = 1ms * *born,
-                due = bornAt + (patience ? 1ms * *patience : hardStop);
+    const Duration now = net::unixNow(), bornAt = 1ms * *born,
+                   due = bornAt + (patience ? 1ms * *patience : hardStop);
     if (bornAt > now + kAhead || due < now - kAhead) return "born: a time near the present was expected";
     const auto size = number<double>(fields, "size");
     if (!size || *size <= 0 || *size >= 2000) return "size: kilobytes were expected";
@@ -85,7 +86,8 @@
         const auto weight = number<double>(fields, "weight");
         if (!weight || *weight < 0) return "weight: milliseconds were expected";
         // Rough, and no bound is set for it: more than fits before the hard stop is as much as that.
-        command.work = Nanos(static_cast<std::int64_t>(std::min(*weight * 1e6, 1.0 * hardStop.count())));
+        command.expectedWork =
+            Duration(static_cast<std::int64_t>(std::min(*weight * 1e6, 1.0 * hardStop.count())));
     }
     if (!given("order").empty()) {
         const auto order = number<double>(fields, "order");
@@ -96,52 +98,54 @@
         if (const auto client = number<std::int64_t>(fields, "client"); !client || *client < 0)
             return "client: a number of 0 or more was expected";
     if (fields.contains("redo") && given("redo") != "1") return "redo: 1 was expected";
-    if (terms.repeat == Repeat::Keyed) {
+    if (terms.idempotency == Idempotency::WithKey) {
         const std::string_view key = given("nonce");
         if (key.empty() || key.size() > kLongestKey) return "nonce: an idempotency key was expected";
         // One customer's key is not another's, and a key belongs to one profile.
-        arrival.key = std::to_string(command.profile) + "/" + std::to_string(command.customer) + "/";
-        arrival.key.append(key);
+        arrival.idempotencyKey =
+            std::to_string(command.requestClass) + "/" + std::to_string(command.tenant) + "/";
+        arrival.idempotencyKey.append(key);
     }
     command.id = *id;
-    command.due = due;
-    command.waited = std::max(0ns, now - bornAt);
-    command.heldKb = *size;
-    command.again = given("redo") == "1";
-    arrival.name = given("trace");
+    command.deadline = due;
+    command.queuedBeforeRead = std::max(0ns, now - bornAt);
+    command.memoryKb = *size;
+    command.isRetry = given("redo") == "1";
+    arrival.externalId = given("trace");
     arrival.body = *message.body;
     return {};
 }
 
 }  // namespace
 
-struct Sidecars::Line : private net::Owner {
-    Line(Sidecars& theSidecars, uv_stream_t* listener)
+struct ThriftServer::Line : private net::Owner {
+    Line(ThriftServer& theSidecars, uv_stream_t* listener)
         : sidecars(theSidecars),
           connection(theSidecars.loop_, listener, *this, {kInput, kOutput, theSidecars.total_}) {}
     void arrived(net::Connection&) override { sidecars.read(*this); }
     void ended(net::Connection&, net::ConnectionEnd end) override { sidecars.end(*this, end); }
 
-    Sidecars& sidecars;
+    ThriftServer& sidecars;
     net::Connection connection;
-    std::map<std::int32_t, CommandId> open;  // by sequence number
-    Nanos since{0}, used{0};                 // accepted; last traffic
-    Nanos begun{0};                          // when the message began that is not whole yet; 0: none is
-    Nanos stuck{0};                          // when the output was last seen to be taken; 0: there is none
+    std::map<std::int32_t, RequestId> open;  // by sequence number
+    Duration since{0}, used{0};              // accepted; last traffic
+    Duration begun{0};                       // when the message began that is not whole yet; 0: none is
+    Duration stuck{0};                       // when the output was last seen to be taken; 0: there is none
     std::size_t unread = 0;                  // output at that time
-    Nanos drainedAt{0};                      // when goaway was sent; 0: it was not
+    Duration drainedAt{0};                   // when goaway was sent; 0: it was not
     int strikes = 0;
     std::optional<net::ConnectionEnd> barred;  // why nothing more is read: it ends when all is answered
     bool known = false;                        // one whole message has come
     Lines::iterator place;
 };
 
-Sidecars::Sidecars(net::Loop& loop, const net::Address& at, const launch::Shares& shares, launch::Names names,
-                   const std::vector<ProfileTerms>& profiles, bool patienceTold, backend::Backend& backend,
-                   report::Log& log, report::Counters& counters)
+ThriftServer::ThriftServer(net::Loop& loop, const net::Address& at, const config::ResourceLimits& shares,
+                           config::NameTables names, const std::vector<RequestClass>& profiles,
+                           bool patienceTold, request::RequestManager& backend, telemetry::Log& log,
+                           telemetry::Counters& counters)
     : loop_(loop),
-      most_(shares.sidecars),
-      total_(std::make_shared<net::Total>(net::Total{shares.sidecarBytes})),
+      most_(shares.thriftConnections),
+      total_(std::make_shared<net::Total>(net::Total{shares.thriftBytes})),
       names_(std::move(names)),
       profiles_(profiles),
       patienceTold_(patienceTold),
@@ -154,22 +158,22 @@
     tend_.start(kTend);
 }
 
-Sidecars::~Sidecars() = default;
+ThriftServer::~ThriftServer() = default;
 
-void Sidecars::accept(uv_stream_t* listener) {
+void ThriftServer::accept(uv_stream_t* listener) {
     unidentified_.push_back(std::make_shared<Line>(*this, listener));
     Line& line = *unidentified_.back();
     line.place = std::prev(unidentified_.end());
     line.since = line.used = net::unixNow();
-    counters_.add(Count::SidecarsOpened);
+    counters_.add(Count::ConnectionsOpened);
 }
 
 // Who may hold a place: one that never said anything whole may not for long, and not many of them may; one
 // with nothing open gives way to whoever comes, the longest unused first. Commands in hand keep theirs.
-bool Sidecars::makeRoom() {
+bool ThriftServer::makeRoom() {
     const bool full = connections() >= most_;
     if (!full && unidentified_.size() * kUnidentified < most_) return true;
-    const Nanos now = net::unixNow();
+    const Duration now = net::unixNow();
     // Those that came this moment may be about to speak, or their words are in that no turn has read.
     for (const auto& line : unidentified_) {
         if (now - line->since < kTend) break;
@@ -191,22 +195,22 @@
     return false;
 }
 
-void Sidecars::evict(Line& line) {
-    counters_.add(Count::SidecarsEvicted);
+void ThriftServer::evict(Line& line) {
+    counters_.add(Count::ConnectionsEvicted);
     end(line, net::ConnectionEnd::Unused);
 }
 
 // Nothing is open on it, and nothing has arrived that was not read yet.
-bool Sidecars::atRest(const Line& line) const {
+bool ThriftServer::atRest(const Line& line) const {
     return line.open.empty() && line.connection.input().empty() && !line.connection.hasUnread();
 }
 
-void Sidecars::touch(Line& line) {
+void ThriftServer::touch(Line& line) {
     line.used = net::unixNow();
     if (line.known) lines_.splice(lines_.end(), lines_, line.place);
 }
 
-void Sidecars::read(Line& line) {
+void ThriftServer::read(Line& line) {
     if (line.barred) return;
     net::Ring& input = line.connection.input();
     for (int messages = 0;; ++messages) {
@@ -232,7 +236,7 @@
         }
         if (message) touch(line);
         if (!message || !take(line, *message)) {
-            counters_.add(Count::BadFrames);
+            counters_.add(Count::MalformedFrames);
             log_.warn("sidecar",
                       state == FrameState::TooLong ? "a frame is too long" : "a frame is malformed");
             return end(line, state == FrameState::TooLong ? net::ConnectionEnd::TooLong
@@ -244,7 +248,7 @@
 }
 
 // False when the connection can't go on.
-bool Sidecars::take(Line& line, const Message& message) {
+bool ThriftServer::take(Line& line, const Message& message) {
     switch (message.method) {
         case Method::Serve:
             if (message.oneway || line.open.contains(message.sequence) || line.open.size() >= kMostOpen)
@@ -252,23 +256,23 @@
             takeCommand(line, message);
             return true;
         case Method::Forget: {
-            counters_.add(Count::Forgotten);
+            counters_.add(Count::CancelMessages);
             const auto open = line.open.find(message.forgotten.value_or(0));
             if (open == line.open.end()) return true;  // answered already
-            const CommandId id = open->second;
+            const RequestId id = open->second;
             line.open.erase(open);
             inFlight_.erase(id);
-            backend_.callerLeft(id);
+            backend_.clientCancelled(id);
             return true;
         }
         case Method::IsWell:
             counters_.add(Count::HealthChecks);
             if (message.oneway || !message.thorough) {
-                if (!message.oneway) tellHealth(line, message.sequence, backend_.well());
+                if (!message.oneway) tellHealth(line, message.sequence, backend_.healthy());
                 return true;
             }
             // The connection may end before the work does.
-            backend_.checkWork(
+            backend_.checkWorkGetsDone(
                 [this, asked = std::weak_ptr(*line.place), sequence = message.sequence](bool good) {
                     if (const auto still = asked.lock()) tellHealth(*still, sequence, good);
                 });
@@ -280,57 +284,57 @@
     return false;
 }
 
-void Sidecars::takeCommand(Line& line, const Message& message) {
-    backend::Arrival arrival;
+void ThriftServer::takeCommand(Line& line, const Message& message) {
+    request::IncomingRequest arrival;
     std::string why = readCommand(message, names_, profiles_, patienceTold_, arrival);
-    if (why.empty() && backend_.has(arrival.command.id)) why = "trace: in hand already";
+    if (why.empty() && backend_.contains(arrival.request.id)) why = "trace: in hand already";
     if (!why.empty()) return refuse(line, message, Refusal::Internal, why);
-    line.open.emplace(message.sequence, arrival.command.id);
-    inFlight_[arrival.command.id] = {&line, message.sequence};
-    backend_.take(std::move(arrival));
+    line.open.emplace(message.sequence, arrival.request.id);
+    inFlight_[arrival.request.id] = {&line, message.sequence};
+    backend_.accept(std::move(arrival));
 }
 
-void Sidecars::refuse(Line& line, const Message& message, Refusal kind, const std::string& why) {
-    counters_.add(Count::CommandsRefused);
+void ThriftServer::refuse(Line& line, const Message& message, Refusal kind, const std::string& why) {
+    counters_.add(Count::MalformedRequests);
     log_.warn("sidecar", message.name.substr(0, 40) + " refused: " + why);
     write(line, writeRefusal(message.name, message.sequence, kind, why));
     ++line.strikes;
 }
 
-void Sidecars::tellHealth(Line& line, std::int32_t sequence, bool good) {
+void ThriftServer::tellHealth(Line& line, std::int32_t sequence, bool good) {
     write(line, writeAnswer("isWell", sequence, {}, advice(), good));
 }
 
-Fields Sidecars::advice() const {
+Fields ThriftServer::advice() const {
     Fields fields;
-    if (const auto value = backend_.freeValue()) fields.emplace("advice", text(*value));
+    if (const auto value = backend_.advertisedLoadShare()) fields.emplace("advice", text(*value));
     return fields;
 }
 
-void Sidecars::handled(CommandId id, std::string_view result) {
+void ThriftServer::completed(RequestId id, std::string_view result) {
     // What is worth handling makes good for what could not be read, on a connection that lives for long.
     if (const auto place = inFlight_.find(id); place != inFlight_.end()) place->second.line->strikes = 0;
     answer(id, [&](std::int32_t sequence) { return writeAnswer("serve", sequence, result, advice(), true); });
 }
 
-void Sidecars::bounced(CommandId id, Nanos comeBack, bool nowhereElse) {
+void ThriftServer::rejected(RequestId id, const Pushback& pushback) {
     Fields fields = advice();
-    if (comeBack >= 1ms) fields.emplace("pause", std::to_string(comeBack / 1ms));
-    if (nowhereElse) fields.emplace("terminal", "1");
+    if (pushback.retryAfter >= 1ms) fields.emplace("pause", std::to_string(pushback.retryAfter / 1ms));
+    if (!pushback.retryElsewhere) fields.emplace("terminal", "1");
     answer(id, [&](std::int32_t sequence) { return writeBusy(sequence, fields); });
 }
 
-void Sidecars::scrapped(CommandId id) {
+void ThriftServer::failed(RequestId id) {
     answer(id, [&](std::int32_t sequence) { return writeFailed(sequence, advice()); });
 }
 
-void Sidecars::unknown(CommandId id) {
+void ThriftServer::unknownToExecutor(RequestId id) {
     if (const auto place = inFlight_.find(id); place != inFlight_.end()) ++place->second.line->strikes;
-    scrapped(id);
+    failed(id);
 }
 
 // The one place where a command's place is freed by an answer.
-void Sidecars::answer(CommandId id, const std::function<std::string(std::int32_t)>& frame) {
+void ThriftServer::answer(RequestId id, const std::function<std::string(std::int32_t)>& frame) {
     const auto place = inFlight_.find(id);
     if (place == inFlight_.end()) return;
     const auto [line, sequence] = place->second;
@@ -339,7 +343,7 @@
     write(*line, frame(sequence));
 }
 
-void Sidecars::write(Line& line, const std::string& frame) {
+void ThriftServer::write(Line& line, const std::string& frame) {
     touch(line);
     line.connection.send(frame);
     if (line.stuck == 0ns) {
@@ -348,7 +352,7 @@
     }
 }
 
-void Sidecars::end(Line& line, net::ConnectionEnd end) {
+void ThriftServer::end(Line& line, net::ConnectionEnd end) {
     counters_.addEnd(end);
     log_.debug("sidecar", std::string("connection ended: ") + net::nameOf(end));
     line.connection.writeLast();
@@ -356,7 +360,7 @@
     if (listener_) listener_->resume();
 }
 
-void Sidecars::finish(Line& line, net::ConnectionEnd end) {
+void ThriftServer::finish(Line& line, net::ConnectionEnd end) {
     counters_.addEnd(end);
     log_.debug("sidecar", std::string("connection ends in order: ") + net::nameOf(end));
     ++*ending_;
@@ -371,26 +375,26 @@
 
 // One that is not to be read from any more, for what it sent or failed to send. What it has open is answered
 // first: the commands of an honest sidecar are not lost for a message that we can't bear with.
-void Sidecars::bar(Line& line, net::ConnectionEnd end) {
+void ThriftServer::bar(Line& line, net::ConnectionEnd end) {
     line.barred = end;
     line.begun = 0ns;
     line.connection.stopReading();
 }
 
 // The connection is out of every table, and those who waited on it have left.
-void Sidecars::forgetAll(Line& line) {
+void ThriftServer::forgetAll(Line& line) {
     const auto open = std::move(line.open);
     for (const auto& [sequence, id] : open) {
         inFlight_.erase(id);
-        backend_.callerLeft(id);
+        backend_.clientCancelled(id);
     }
     (line.known ? lines_ : unidentified_).erase(line.place);
 }
 
 // Looks at all connections, whose number is bounded, ten times a second: one without words, one that is too
 // slow with a message or at taking its answers, and one that was told to drain and stays, goes.
-void Sidecars::tend() {
-    const Nanos now = net::unixNow();
+void ThriftServer::tend() {
+    const Duration now = net::unixNow();
     tend_.start(kTend);
     while (!unidentified_.empty() && now - unidentified_.front()->since >= kFirstWord)
         finish(*unidentified_.front(), net::ConnectionEnd::TimedOut);
@@ -418,23 +422,23 @@
 }
 
 // Drained rather than closed: a command that crosses is still served.
-void Sidecars::drain(Line& line) {
+void ThriftServer::drain(Line& line) {
     if (line.drainedAt > 0ns) return;
     line.drainedAt = net::unixNow();
     line.connection.send(writeGoaway());
 }
 
 // What lies at the listener was accepted by the system, and is ours to answer: it is taken in first.
-void Sidecars::drain() {
+void ThriftServer::drain() {
     loop_.afterPoll([this, here = std::weak_ptr<std::size_t>(ending_)] {
         if (!here.expired()) closeDoor();
     });
 }
 
-void Sidecars::closeDoor() {
+void ThriftServer::closeDoor() {
     listener_.reset();
     for (const Lines* list : {&lines_, &unidentified_})
         for (const auto& line : *list) drain(*line);
 }
 
-}  // namespace cottonwing::intake
+}  // namespace cottonwing::thrift
--- a/src/intake/sidecars.h
+++ b/src/thrift/thrift_server.h
@@ -8,31 +8,31 @@
 #include <string>
 #include <unordered_map>
 
-#include "backend/backend.h"
-#include "intake/thrift.h"
-#include "launch/start.h"
+#include "config/process_config.h"
 #include "net/connection.h"
+#include "request/request_manager.h"
+#include "thrift/codec.h"
 
-namespace cottonwing::intake {
+namespace cottonwing::thrift {
 
-class Sidecars : public backend::Door {
+class ThriftServer : public request::ResponseSink {
 public:
-    Sidecars(net::Loop& loop, const net::Address& at, const launch::Shares& shares, launch::Names names,
-             const std::vector<ProfileTerms>& profiles, bool patienceTold, backend::Backend& backend,
-             report::Log& log, report::Counters& counters);
-    ~Sidecars() override;
+    ThriftServer(net::Loop& loop, const net::Address& at, const config::ResourceLimits& shares,
+                 config::NameTables names, const std::vector<RequestClass>& profiles, bool patienceTold,
+                 request::RequestManager& backend, telemetry::Log& log, telemetry::Counters& counters);
+    ~ThriftServer() override;
 
-    void handled(CommandId id, std::string_view result) override;
-    void bounced(CommandId id, Nanos comeBack, bool nowhereElse) override;
-    void scrapped(CommandId id) override;
-    void unknown(CommandId id) override;
-    void closeIdle(Nanos unusedFor) override { idle_ = unusedFor; }
+    void completed(RequestId id, std::string_view result) override;
+    void rejected(RequestId id, const Pushback& pushback) override;
+    void failed(RequestId id) override;
+    void unknownToExecutor(RequestId id) override;
+    void closeIdleConnections(Duration unusedFor) override { idle_ = unusedFor; }
 
     // No new connections and no new commands on those there are.
     void drain();
     // Those that are ending hold their descriptors still.
     std::size_t connections() const { return lines_.size() + unidentified_.size() + *ending_; }
-    bool listens() const { return listener_ != nullptr; }
+    bool isListening() const { return listener_ != nullptr; }
     int port() const { return listener_->port(); }
 
 private:
@@ -48,7 +48,7 @@
     bool take(Line& line, const Message& message);
     void takeCommand(Line& line, const Message& message);
     void refuse(Line& line, const Message& message, Refusal kind, const std::string& why);
-    void answer(CommandId id, const std::function<std::string(std::int32_t)>& frame);
+    void answer(RequestId id, const std::function<std::string(std::int32_t)>& frame);
     void write(Line& line, const std::string& frame);
     void touch(Line& line);
     void end(Line& line, net::ConnectionEnd end);
@@ -69,21 +69,21 @@
     net::Loop& loop_;
     const std::size_t most_;
     const std::shared_ptr<net::Total> total_;
-    const launch::Names names_;
-    const std::vector<ProfileTerms> profiles_;
+    const config::NameTables names_;
+    const std::vector<RequestClass> profiles_;
     const bool patienceTold_;  // each command has to say how long its caller waits
-    backend::Backend& backend_;
-    report::Log& log_;
-    report::Counters& counters_;
+    request::RequestManager& backend_;
+    telemetry::Log& log_;
+    telemetry::Counters& counters_;
     Lines lines_;         // the longest without traffic in front; emptied by the ends of connections
     Lines unidentified_;  // those that have yet to say something whole, the oldest in front; emptied by that
                           // or by time
     std::shared_ptr<std::size_t> ending_ = std::make_shared<std::size_t>(0);  // emptied as they are closed
-    std::unordered_map<CommandId, InFlight> inFlight_;  // open commands; emptied by answers, forget and ends
-    Nanos idle_{0};  // connections without traffic for this long are drained; 0: none
+    std::unordered_map<RequestId, InFlight> inFlight_;  // open commands; emptied by answers, forget and ends
+    Duration idle_{0};  // connections without traffic for this long are drained; 0: none
     net::Timer tend_;
     std::string scratch_;
     std::unique_ptr<net::Listener> listener_;
 };
 
-}  // namespace cottonwing::intake
+}  // namespace cottonwing::thrift
--- a/src/upstreams/scgi/groups.cpp
+++ b/src/upstreams/scgi/groups.cpp
@@ -10,11 +10,11 @@
 
 namespace {
 
-constexpr Nanos kTick = 20ms;      // due times are looked at at least this often
-constexpr Nanos kUseful = 5ms;     // less time than this is not worth an attempt
-constexpr Nanos kAnswerBy = 20ms;  // given up this long before nobody waits any more
+constexpr Duration kTick = 20ms;      // due times are looked at at least this often
+constexpr Duration kUseful = 5ms;     // less time than this is not worth an attempt
+constexpr Duration kAnswerBy = 20ms;  // given up this long before nobody waits any more
 
-Nanos now() { return net::unixNow(); }
+Duration now() { return net::unixNow(); }
 
 // What only says that this server can't do it now; another may.
 bool failedStatus(int status) { return status == 502 || status == 503 || status == 504; }
@@ -22,7 +22,7 @@
 }  // namespace
 
 struct ScgiGroups::Line : net::Owner {
-    Line(ScgiGroups& all, std::size_t theGroup, std::size_t theServer, CommandId theJob)
+    Line(ScgiGroups& all, std::size_t theGroup, std::size_t theServer, RequestId theJob)
         : owner(all), group(theGroup), server(theServer), job(theJob), reader(all.bounds_.reply) {}
     void arrived(net::Connection& from) override {
         while (connection && !from.input().empty()) {
@@ -36,17 +36,17 @@
     void ended(net::Connection&, net::ConnectionEnd end) override { owner.lineEnded(*this, end); }
     ScgiGroups& owner;
     const std::size_t group, server;
-    const CommandId job;  // 0: a check
+    const RequestId job;  // 0: a check
     std::unique_ptr<net::Connection> connection;
     scgi::ReplyReader reader;
-    Nanos begun{0};
+    Duration begun{0};
     std::list<std::unique_ptr<Line>>::iterator place;
 };
 
 ScgiGroups::ScgiGroups(net::Loop& loop, const std::vector<GroupTerms>& groups,
-                       std::vector<std::size_t> groupOf, std::vector<ProfileTerms> profiles,
+                       std::vector<std::size_t> groupOf, std::vector<RequestClass> profiles,
                        std::vector<std::string> profileNames, const GroupBounds& bounds, std::uint64_t seed,
-                       backend::Backend& backend, report::Log& log)
+                       request::RequestManager& backend, telemetry::Log& log)
     : loop_(loop),
       groupOf_(std::move(groupOf)),
       profiles_(std::move(profiles)),
@@ -136,37 +136,37 @@
 
 std::size_t ScgiGroups::out(std::size_t group) const { return groups_[group]->members.out(); }
 
-void ScgiGroups::agenda(CommandId id, Job& job, Nanos at) {
+void ScgiGroups::agenda(RequestId id, Job& job, Duration at) {
     agenda_.erase({job.at, id});
     job.at = at;
     agenda_.emplace(at, id);
     timer_.start(std::clamp(agenda_.begin()->first - now(), 0ns, kTick));
 }
 
-void ScgiGroups::start(const backend::Run& run) {
-    const auto id = backend::readId(run.name);
+void ScgiGroups::start(const request::RunSpec& run) {
+    const auto id = request::parseRequestId(run.externalId);
     if (!id || jobs_.contains(*id)) return;
     Job& job = jobs_[*id];
-    job.name = run.name;
-    job.profile = run.profile;
-    job.group = groupOf_[static_cast<std::size_t>(run.profile)];
-    job.form = run.form;
-    job.due = run.due - kAnswerBy;
+    job.name = run.externalId;
+    job.profile = run.requestClass;
+    job.group = groupOf_[static_cast<std::size_t>(run.requestClass)];
+    job.format = run.format;
+    job.due = run.deadline - kAnswerBy;
     job.since = now();
-    job.subject = run.subject;
-    job.request =
-        run.form == backend::Form::Scgi
-            ? std::string(run.body)
-            : scgi::writeRequest({{"REQUEST_METHOD", "POST"},
-                                  {"REQUEST_URI", "/" + profileNames_[static_cast<std::size_t>(run.profile)]},
-                                  {"HTTP_X_TRACE", run.name},
-                                  {"HTTP_X_DUE_MS", std::to_string(run.due / 1ms)}},
-                                 run.body);
+    job.subject = run.routingKey;
+    job.request = run.format == request::PayloadFormat::Scgi
+                      ? std::string(run.body)
+                      : scgi::writeRequest(
+                            {{"REQUEST_METHOD", "POST"},
+                             {"REQUEST_URI", "/" + profileNames_[static_cast<std::size_t>(run.requestClass)]},
+                             {"HTTP_X_TRACE", run.externalId},
+                             {"HTTP_X_DUE_MS", std::to_string(run.deadline / 1ms)}},
+                            run.body);
     ++counts_.first;
     begin(*id, now());
 }
 
-void ScgiGroups::begin(CommandId id, Nanos at) {
+void ScgiGroups::begin(RequestId id, Duration at) {
     Job& job = jobs_.at(id);
     Group& group = *groups_[job.group];
     if (at + kUseful >= job.due) return finish(id, Outcome::TimedOut, {});
@@ -200,12 +200,12 @@
     // With attempts left and what may be repeated an attempt gets half of what is
     // left, so that another can follow.
     const bool more = job.attempts < group.terms.attempts.most &&
-                      profiles_[static_cast<std::size_t>(job.profile)].repeat == Repeat::Repeatable;
-    const Nanos until = more ? at + (job.due - at) / 2 : job.due;
+                      profiles_[static_cast<std::size_t>(job.profile)].idempotency == Idempotency::Idempotent;
+    const Duration until = more ? at + (job.due - at) / 2 : job.due;
     agenda(id, job, std::min(until, at + group.terms.connectsWithin));
 }
 
-void ScgiGroups::release(Line& line, std::optional<Nanos> took, Nanos at) {
+void ScgiGroups::release(Line& line, std::optional<Duration> took, Duration at) {
     Group& group = *groups_[line.group];
     Server& server = group.servers[line.server];
     if (line.job == 0) {
@@ -227,7 +227,7 @@
     timer_.start(0ns);
 }
 
-void ScgiGroups::tellStates(Group& group, std::size_t at, State before, Nanos when) {
+void ScgiGroups::tellStates(Group& group, std::size_t at, State before, Duration when) {
     const State after = group.members.state(at, when);
     const bool was = before == State::In, is = after == State::In;
     if (was == is || group.servers[at].gone) return;
@@ -241,7 +241,7 @@
 }
 
 void ScgiGroups::replied(Line& line) {
-    const Nanos at = now();
+    const Duration at = now();
     Group& group = *groups_[line.group];
     const std::size_t server = line.server;
     const auto state = line.reader.state();
@@ -252,7 +252,7 @@
         if (!group.servers[server].leaving) group.members.checked(server, good, at, chance_);
         return tellStates(group, server, before, at);
     }
-    const CommandId id = line.job;
+    const RequestId id = line.job;
     if (state == scgi::ReplyReader::State::Bad) {
         ++counts_.badReplies;
         release(line, std::nullopt, at);
@@ -265,7 +265,7 @@
     Job& job = jobs_.at(id);
     const scgi::Reply reply = line.reader.reply();
     const std::string whole = line.reader.bytes();
-    const Nanos took = at - line.begun;
+    const Duration took = at - line.begun;
     const bool failed = failedStatus(reply.status);
     release(line, failed ? std::nullopt : std::optional(took), at);
     if (reply.status >= 500)
@@ -276,16 +276,17 @@
     if (failed) {
         ++counts_.saidFailed;
         group.servers[server].limit.failed(at);
-        job.said = job.form == backend::Form::Scgi ? whole : reply.body;
+        job.said = job.format == request::PayloadFormat::Scgi ? whole : reply.body;
         return attemptFailed(id, Began::Unknown, at, "the server said that it can't");
     }
     group.budget.good();
-    const bool good = job.form == backend::Form::Scgi || reply.status < 400;
-    finish(id, good ? Outcome::Ok : Outcome::Error, job.form == backend::Form::Scgi ? whole : reply.body);
+    const bool good = job.format == request::PayloadFormat::Scgi || reply.status < 400;
+    finish(id, good ? Outcome::Ok : Outcome::Error,
+           job.format == request::PayloadFormat::Scgi ? whole : reply.body);
 }
 
 void ScgiGroups::lineEnded(Line& line, net::ConnectionEnd end) {
-    const Nanos at = now();
+    const Duration at = now();
     Group& group = *groups_[line.group];
     const std::size_t server = line.server;
     if (end == net::ConnectionEnd::PeerClosed && line.reader.end() == scgi::ReplyReader::State::Whole)
@@ -294,7 +295,7 @@
         end == net::ConnectionEnd::ConnectRefused || end == net::ConnectionEnd::ConnectTimedOut;
     (refused ? counts_.refused : counts_.broken) += 1;
     const State before = group.members.state(server, at);
-    const CommandId id = line.job;
+    const RequestId id = line.job;
     release(line, std::nullopt, at);
     if (id == 0) {
         if (!group.servers[server].leaving) group.members.checked(server, false, at, chance_);
@@ -307,12 +308,12 @@
                   refused ? "no connection" : "the connection broke");
 }
 
-void ScgiGroups::attemptFailed(CommandId id, Began began, Nanos at, const char* why) {
+void ScgiGroups::attemptFailed(RequestId id, Began began, Duration at, const char* why) {
     Job& job = jobs_.at(id);
     Group& group = *groups_[job.group];
     group.budget.failed();
     decide::Tried tried;
-    tried.repeat = profiles_[static_cast<std::size_t>(job.profile)].repeat;
+    tried.idempotency = profiles_[static_cast<std::size_t>(job.profile)].idempotency;
     tried.began = began;
     tried.attempts = job.attempts;
     tried.waited = job.waited;
@@ -327,31 +328,32 @@
     log_.debug("group", job.name + " not tried again (" + decide::nameOf(verdict.why) + "): " + why);
     // What a server said of its failure is said on as it is; a caller of another
     // protocol gets the failure alone.
-    if (!job.said.empty() && job.form == backend::Form::Scgi) return finish(id, Outcome::Ok, job.said);
+    if (!job.said.empty() && job.format == request::PayloadFormat::Scgi)
+        return finish(id, Outcome::Ok, job.said);
     finish(id, Outcome::Error, {});
 }
 
-void ScgiGroups::finish(CommandId id, Outcome outcome, std::string result) {
+void ScgiGroups::finish(RequestId id, Outcome outcome, std::string result) {
     const auto at = jobs_.find(id);
     Job job = std::move(at->second);
     agenda_.erase({job.at, id});
     if (job.waits) std::erase(groups_[job.group]->waiting, id);
     jobs_.erase(at);
-    backend_.runEnded(id, outcome, now() - job.since, result);
+    backend_.runCompleted(id, outcome, now() - job.since, result);
 }
 
-void ScgiGroups::halt(const std::string& name) {
-    const auto id = backend::readId(name);
+void ScgiGroups::cancel(const std::string& name) {
+    const auto id = request::parseRequestId(name);
     if (!id || !jobs_.contains(*id)) return;
     over_.push_back(*id);  // not from within the backend's own turn
     timer_.start(0ns);
 }
 
-void ScgiGroups::sendWaiting(Group& group, Nanos at) {
+void ScgiGroups::sendWaiting(Group& group, Duration at) {
     // Each of those that wait is looked at once; one that still finds nobody is
     // behind the others again.
     for (std::size_t left = group.waiting.size(); left > 0; --left) {
-        const CommandId id = group.waiting.front();
+        const RequestId id = group.waiting.front();
         Job& job = jobs_.at(id);
         group.waiting.pop_front();
         job.waits = false;
@@ -368,8 +370,8 @@
 
 void ScgiGroups::pump() {
     gone_.clear();
-    const Nanos at = now();
-    for (const CommandId id : std::exchange(over_, {})) {
+    const Duration at = now();
+    for (const RequestId id : std::exchange(over_, {})) {
         const auto found = jobs_.find(id);
         if (found == jobs_.end()) continue;
         // The caller has gone: so does its connection, which tells the server.
@@ -377,7 +379,7 @@
         finish(id, Outcome::Cancelled, {});
     }
     while (!agenda_.empty() && agenda_.begin()->first <= at) {
-        const CommandId id = agenda_.begin()->second;
+        const RequestId id = agenda_.begin()->second;
         Job& job = jobs_.at(id);
         if (job.waits) {
             finish(id, Outcome::TimedOut, {});
@@ -386,9 +388,10 @@
         } else {
             Line& line = *job.line;
             Group& group = *groups_[job.group];
-            const bool more = job.attempts < group.terms.attempts.most &&
-                              profiles_[static_cast<std::size_t>(job.profile)].repeat == Repeat::Repeatable;
-            const Nanos until = more ? job.begun + (job.due - job.begun) / 2 : job.due;
+            const bool more =
+                job.attempts < group.terms.attempts.most &&
+                profiles_[static_cast<std::size_t>(job.profile)].idempotency == Idempotency::Idempotent;
+            const Duration until = more ? job.begun + (job.due - job.begun) / 2 : job.due;
             const bool open = line.connection->isOpen();
             if (open && at < until) {
                 agenda(id, job, until);
@@ -410,9 +413,9 @@
     timer_.start(agenda_.empty() ? kTick : std::clamp(agenda_.begin()->first - now(), 0ns, kTick));
 }
 
-void ScgiGroups::check(Nanos at) {
+void ScgiGroups::check(Duration at) {
     if (at < nextCheck_) return;
-    Nanos every = 1s;
+    Duration every = 1s;
     for (std::size_t number = 0; number < groups_.size(); ++number) {
         Group& group = *groups_[number];
         if (group.terms.checksEvery <= 0ns) continue;
@@ -425,7 +428,7 @@
                 continue;
             }
             if (lines_.size() >= bounds_.connections) continue;
-            auto line = std::make_unique<Line>(*this, number, server, CommandId{0});
+            auto line = std::make_unique<Line>(*this, number, server, RequestId{0});
             line->begun = at;
             line->connection = std::make_unique<net::Connection>(loop_, each.terms.at, *line,
                                                                  net::Bounds{65536, 8192, total_});
@@ -441,18 +444,18 @@
     nextCheck_ = at + every;
 }
 
-void ScgiGroups::askGauges() {
+void ScgiGroups::requestGauges() {
     double most = 0;
     for (const auto& group : groups_)
         for (const Server& server : group->servers)
             if (!server.gone) most += server.limit.limit();
     const double flies = static_cast<double>(flying());
-    backend_.gauges({most > 0 ? std::min(1.0, flies / most) : 0, flies + static_cast<double>(waiting()),
-                     std::nullopt, std::nullopt});
+    backend_.updateGauges({most > 0 ? std::min(1.0, flies / most) : 0, flies + static_cast<double>(waiting()),
+                           std::nullopt, std::nullopt});
 }
 
-void ScgiGroups::verify(std::function<void(std::optional<bool>)> told) {
-    const Nanos at = now();
+void ScgiGroups::verifyWork(std::function<void(std::optional<bool>)> told) {
+    const Duration at = now();
     bool any = false;
     for (const auto& group : groups_)
         for (std::size_t server = 0; server < group->servers.size(); ++server)
--- a/src/upstreams/scgi/groups.h
+++ b/src/upstreams/scgi/groups.h
@@ -14,12 +14,12 @@
 #include <unordered_map>
 #include <vector>
 
-#include "backend/backend.h"
 #include "decide/attempts/attempts.h"
 #include "decide/choice/choice.h"
 #include "decide/limit/limit.h"
 #include "decide/members/members.h"
 #include "net/connection.h"
+#include "request/request_manager.h"
 #include "scgi/message.h"
 
 namespace cottonwing::upstreams {
@@ -37,8 +37,8 @@
     decide::Way way = decide::Way::TwoChoices;
     decide::AttemptTerms attempts;
     decide::MemberTerms members;
-    Nanos connectsWithin{std::chrono::milliseconds(500)};
-    Nanos checksEvery{0};  // 0: none
+    Duration connectsWithin{std::chrono::milliseconds(500)};
+    Duration checksEvery{0};  // 0: none
     std::string checkPath = "/";
 };
 
@@ -54,20 +54,22 @@
     std::uint64_t notAgain[6] = {};
 };
 
-class ScgiGroups : public backend::Runs {
+class ScgiGroups : public request::Executor {
 public:
     // groupOf: by profile, the place in groups.
     ScgiGroups(net::Loop& loop, const std::vector<GroupTerms>& groups, std::vector<std::size_t> groupOf,
-               std::vector<ProfileTerms> profiles, std::vector<std::string> profileNames,
-               const GroupBounds& bounds, std::uint64_t seed, backend::Backend& backend, report::Log& log);
+               std::vector<RequestClass> profiles, std::vector<std::string> profileNames,
+               const GroupBounds& bounds, std::uint64_t seed, request::RequestManager& backend,
+               telemetry::Log& log);
     ~ScgiGroups() override;
 
-    void start(const backend::Run& run) override;
-    void halt(const std::string& name) override;
-    void supply(const std::string&, std::string_view) override {}  // these servers make no calls through us
-    void leaveOut(const std::string&) override {}
-    void askGauges() override;
-    void verify(std::function<void(std::optional<bool>)> told) override;
+    void start(const request::RunSpec& run) override;
+    void cancel(const std::string& name) override;
+    void supplyReply(const std::string&, std::string_view) override {
+    }  // these servers make no calls through us
+    void skipDependencyCall(const std::string&) override {}
+    void requestGauges() override;
+    void verifyWork(std::function<void(std::optional<bool>)> told) override;
 
     // The same groups with other servers: added ones start slowly, removed ones
     // keep what they have in flight. Returns how many were added and removed.
@@ -93,54 +95,54 @@
         decide::Choice choice;
         decide::Budget budget;
         std::vector<Server> servers;    // by the members' places
-        std::deque<CommandId> waiting;  // for a server that may be used; emptied by
+        std::deque<RequestId> waiting;  // for a server that may be used; emptied by
                                         // that, by time and halts
     };
     struct Job {
         std::string name, request;
         std::size_t group = 0;
         int profile = 0;
-        backend::Form form = backend::Form::Plain;
-        Nanos due{0}, since{0}, begun{0}, waited{0}, at{0};  // at: its entry in the agenda
-        std::optional<std::size_t> server;                   // of the last attempt
+        request::PayloadFormat format = request::PayloadFormat::Plain;
+        Duration due{0}, since{0}, begun{0}, waited{0}, at{0};  // at: its entry in the agenda
+        std::optional<std::size_t> server;                      // of the last attempt
         std::uint64_t subject = 0;
         int attempts = 0;
         Line* line = nullptr;
         bool waits = false;
         std::string said;  // the last reply that a server gave, where it told of a failure
     };
-    void agenda(CommandId id, Job& job, Nanos at);
+    void agenda(RequestId id, Job& job, Duration at);
     void pump();
-    void begin(CommandId id, Nanos now);
-    void attemptFailed(CommandId id, decide::Began began, Nanos now, const char* why);
+    void begin(RequestId id, Duration now);
+    void attemptFailed(RequestId id, decide::Began began, Duration now, const char* why);
     // The result by value: it may be the job's own, which ends here.
-    void finish(CommandId id, Outcome outcome, std::string result);
+    void finish(RequestId id, Outcome outcome, std::string result);
     void replied(Line& line);
     void lineEnded(Line& line, net::ConnectionEnd end);
-    void release(Line& line, std::optional<Nanos> took, Nanos now);
-    void sendWaiting(Group& group, Nanos now);
-    void check(Nanos now);
+    void release(Line& line, std::optional<Duration> took, Duration now);
+    void sendWaiting(Group& group, Duration now);
+    void check(Duration now);
     void addServer(Group& group, const ServerTerms& terms);
-    void tellStates(Group& group, std::size_t at, decide::Members::State before, Nanos now);
+    void tellStates(Group& group, std::size_t at, decide::Members::State before, Duration now);
 
     net::Loop& loop_;
     const std::vector<std::size_t> groupOf_;
-    const std::vector<ProfileTerms> profiles_;
+    const std::vector<RequestClass> profiles_;
     const std::vector<std::string> profileNames_;
     const GroupBounds bounds_;
     const std::shared_ptr<net::Total> total_;
     std::mt19937 chance_;
-    backend::Backend& backend_;
-    report::Log& log_;
+    request::RequestManager& backend_;
+    telemetry::Log& log_;
     std::vector<std::unique_ptr<Group>> groups_;
-    std::unordered_map<CommandId, Job> jobs_;  // emptied by the ends of runs
-    std::set<std::pair<Nanos, CommandId>>
+    std::unordered_map<RequestId, Job> jobs_;  // emptied by the ends of runs
+    std::set<std::pair<Duration, RequestId>>
         agenda_;                               // an entry a job: its next attempt, or when it is given up
-    std::vector<CommandId> over_;              // halted: their ends are said in the next turn
+    std::vector<RequestId> over_;              // halted: their ends are said in the next turn
     std::list<std::unique_ptr<Line>> lines_;   // connections; emptied by their ends
     std::vector<std::unique_ptr<Line>> gone_;  // emptied by the next turn
     std::size_t checks_ = 0;
-    Nanos nextCheck_{0};
+    Duration nextCheck_{0};
     GroupCounts counts_;
     net::Timer timer_;
 };
--- a/src/runs/notices.cpp
+++ b/src/worker_pool/protocol.cpp
@@ -1,11 +1,11 @@
-#include "runs/notices.h"
+#include "worker_pool/protocol.h"
 
 #include <array>
 #include <cmath>
 #include <map>
 #include <nlohmann/json.hpp>
 
-namespace cottonwing::runs {
+namespace cottonwing::worker_pool {
 
 namespace {
 
@@ -40,7 +40,7 @@
         notice.number = found->get<std::uint64_t>();
     if (const auto found = all.find("took"); found != all.end() && found->is_number()) {
         const double millis = found->get<double>();
-        if (millis >= 0 && millis < 1e12) notice.took = Nanos(static_cast<std::int64_t>(millis * 1e6));
+        if (millis >= 0 && millis < 1e12) notice.took = Duration(static_cast<std::int64_t>(millis * 1e6));
     }
     if (const auto data = decode64(textOf(all, "data")))
         notice.data = *data;
@@ -103,4 +103,4 @@
 std::string pollLine(std::string_view tag) { return line({{"type", "poll"}, {"ref", tag}}); }
 std::string verifyLine(std::string_view tag) { return line({{"type", "verify"}, {"ref", tag}}); }
 
-}  // namespace cottonwing::runs
+}  // namespace cottonwing::worker_pool
--- a/src/runs/notices.h
+++ b/src/worker_pool/protocol.h
@@ -7,9 +7,9 @@
 #include <string_view>
 #include <vector>
 
-#include "logic.h"
+#include "overload/types.h"
 
-namespace cottonwing::runs {
+namespace cottonwing::worker_pool {
 
 enum class NoticeKind { Bound, Finished, Blocked, Polled, Verified, Unknown, Chatter };
 
@@ -17,7 +17,7 @@
     NoticeKind kind = NoticeKind::Chatter;
     std::uint64_t number = 0;  // 0 where the kind has none
     std::string job, state, data, tag;
-    Nanos took{0};
+    Duration took{0};
     std::vector<double> gauges;
 };
 
@@ -35,4 +35,4 @@
 std::string pollLine(std::string_view tag);
 std::string verifyLine(std::string_view tag);
 
-}  // namespace cottonwing::runs
+}  // namespace cottonwing::worker_pool
--- a/src/runs/pool_link.h
+++ b/src/worker_pool/worker_pool_client.h
@@ -9,25 +9,25 @@
 #include <unordered_map>
 #include <vector>
 
-#include "backend/backend.h"
-#include "launch/start.h"
+#include "config/process_config.h"
 #include "net/connection.h"
-#include "runs/notices.h"
+#include "request/request_manager.h"
+#include "worker_pool/protocol.h"
 
-namespace cottonwing::runs {
+namespace cottonwing::worker_pool {
 
-class PoolLink : public backend::Runs, private net::Owner {
+class WorkerPoolClient : public request::Executor, private net::Owner {
 public:
-    PoolLink(net::Loop& loop, net::Address at, const launch::Shares& shares,
-             std::vector<std::string> profiles, std::vector<std::string> gauges, std::uint64_t seed,
-             backend::Backend& backend, report::Log& log, report::Counters& counters);
+    WorkerPoolClient(net::Loop& loop, net::Address at, const config::ResourceLimits& shares,
+                     std::vector<std::string> profiles, std::vector<std::string> gauges, std::uint64_t seed,
+                     request::RequestManager& backend, telemetry::Log& log, telemetry::Counters& counters);
 
-    void start(const backend::Run& run) override;
-    void halt(const std::string& name) override;
-    void supply(const std::string& name, std::string_view reply) override;
-    void leaveOut(const std::string& name) override;
-    void askGauges() override;
-    void verify(std::function<void(std::optional<bool>)> told) override;
+    void start(const request::RunSpec& run) override;
+    void cancel(const std::string& name) override;
+    void supplyReply(const std::string& name, std::string_view reply) override;
+    void skipDependencyCall(const std::string& name) override;
+    void requestGauges() override;
+    void verifyWork(std::function<void(std::optional<bool>)> told) override;
     // The link is opened there at once; runs go on, and what was missed is said again.
     void moveTo(net::Address at);
 
@@ -47,18 +47,18 @@
     const std::size_t bytes_;  // both rings
     const std::vector<std::string> profiles_, gauges_;
     std::mt19937 chance_;
-    backend::Backend& backend_;
-    report::Log& log_;
-    report::Counters& counters_;
+    request::RequestManager& backend_;
+    telemetry::Log& log_;
+    telemetry::Counters& counters_;
     net::Timer again_, patience_;
     std::unique_ptr<net::Connection> connection_;
     std::vector<std::function<void(std::optional<bool>)>> checks_;  // emptied by word or by patience
     std::uint64_t verified_ = 0;                                    // checks asked of the pool
     std::uint64_t last_ = 0;                                        // number of the last notice read
     std::size_t searched_ = 0;
-    Nanos unheard_{0};  // when a poll went out that nothing has followed; 0: none has
-    Nanos lostAt_{0};   // when the link was lost that is not caught up with; 0: none was
+    Duration unheard_{0};  // when a poll went out that nothing has followed; 0: none has
+    Duration lostAt_{0};   // when the link was lost that is not caught up with; 0: none was
     bool bound_ = false, everBound_ = false, away_ = false;
 };
 
-}  // namespace cottonwing::runs
+}  // namespace cottonwing::worker_pool
--- a/tests/cases_test.cpp
+++ b/tests/cases_test.cpp
@@ -5,22 +5,22 @@
 namespace {
 
 // Brings one command to its first call and returns the machine's count of calls.
-void toCall(Machine& m, CommandId id, int profile = 0) {
-    Round round;
-    round.read = {m.command(id, profile)};
+void toCall(Machine& m, RequestId id, int profile = 0) {
+    EventBatch round;
+    round.arrivals = {m.command(id, profile)};
     m.step(round);
     round = {};
-    round.parked = {id};
+    round.waitingForDependency = {id};
     m.step(round);
 }
-void back(Machine& m, CommandId id, Outcome outcome, Nanos passed = 20ms, Nanos took = 50ms) {
-    Round round;
-    round.callsBack = {{id, outcome, took}};
+void back(Machine& m, RequestId id, Outcome outcome, Duration passed = 20ms, Duration took = 50ms) {
+    EventBatch round;
+    round.dependencyResults = {{id, outcome, took}};
     m.step(round, passed);
 }
-void end(Machine& m, CommandId id, Outcome outcome = Outcome::Ok) {
-    Round round;
-    round.runsEnded = {{id, outcome, 100ms}};
+void end(Machine& m, RequestId id, Outcome outcome = Outcome::Ok) {
+    EventBatch round;
+    round.runResults = {{id, outcome, 100ms}};
     m.step(round);
 }
 
@@ -28,7 +28,7 @@
     Machine m(plainTerms());
     toCall(m, 1);
     for (int i = 0; i < 3; ++i) {
-        back(m, 1, Outcome::Full);
+        back(m, 1, Outcome::ResourceExhausted);
         for (int n = 0; n < 40; ++n) m.step();
     }
     EXPECT_EQ(m.calls, 3);
@@ -49,7 +49,7 @@
     back(m, 1, Outcome::Unreachable);
     for (int n = 0; n < 40; ++n) m.step();
     EXPECT_EQ(m.calls, 2);
-    back(m, 1, Outcome::Broken);
+    back(m, 1, Outcome::ConnectionLost);
     EXPECT_EQ(m.calls, 2);
     EXPECT_EQ(m.leftOut, 1);
 }
@@ -58,19 +58,19 @@
     Machine m(plainTerms());
     toCall(m, 1);
     EXPECT_EQ(m.patience, 1s);
-    Round round;
-    round.read = {m.command(2, 0, 1040ms)};
+    EventBatch round;
+    round.arrivals = {m.command(2, 0, 1040ms)};
     m.step(round);
     round = {};
-    round.parked = {2};
+    round.waitingForDependency = {2};
     m.step(round);
-    EXPECT_NEAR(m.patience.count(), Nanos(500ms).count(), Nanos(40ms).count());
+    EXPECT_NEAR(m.patience.count(), Duration(500ms).count(), Duration(40ms).count());
 }
 
 // A shared database that gets slow must not keep commands for the time that a tier's long calls need.
 TEST(Calls, AttemptTimeoutFollowsWhatGoodCallsTake) {
     Machine m(plainTerms());
-    for (CommandId id = 1; id <= 20; ++id) {
+    for (RequestId id = 1; id <= 20; ++id) {
         toCall(m, id);
         back(m, id, Outcome::Ok);
         end(m, id);
@@ -83,7 +83,7 @@
     Machine m(plainTerms());
     int calls = 0;
     // single failures with good ones between: 0.4 tokens a good one never win back what a failure takes
-    for (CommandId id = 1; id <= 40; ++id) {
+    for (RequestId id = 1; id <= 40; ++id) {
         toCall(m, id);
         if (id % 3 != 0) {
             back(m, id, Outcome::Ok);
@@ -91,7 +91,7 @@
             continue;
         }
         const int before = m.calls;
-        back(m, id, Outcome::Full);
+        back(m, id, Outcome::ResourceExhausted);
         for (int n = 0; n < 10; ++n) m.step();
         calls = m.calls - before;
         if (calls > 0) back(m, id, Outcome::Ok);
@@ -102,7 +102,7 @@
 
 TEST(Calls, FiveFailuresInARowOpenTheBreakerAndThreeGoodProbesCloseIt) {
     Machine m(plainTerms());
-    for (CommandId id = 1; id <= 5; ++id) {
+    for (RequestId id = 1; id <= 5; ++id) {
         EXPECT_FALSE(m.logged("breaker open"));
         toCall(m, id);
         back(m, id, Outcome::Error);
@@ -110,14 +110,14 @@
     }
     EXPECT_TRUE(m.logged("breaker open: 5 failures in a row"));
     const int calls = m.calls, bounces = m.bounces;
-    Round round;
-    round.read = {m.command(9)};
+    EventBatch round;
+    round.arrivals = {m.command(9)};
     m.step(round);  // would meet the open breaker: bounced before it costs work, with a time to come back
     EXPECT_EQ(m.calls, calls);
     EXPECT_EQ(m.bounces, bounces + 1);
-    EXPECT_GT(m.comeBack, 500ms);
+    EXPECT_GT(m.retryAfter, 500ms);
     for (int n = 0; n < 120; ++n) m.step();
-    for (CommandId id = 11; id <= 13; ++id) {
+    for (RequestId id = 11; id <= 13; ++id) {
         EXPECT_FALSE(m.logged("breaker closed"));
         toCall(m, id);
         EXPECT_EQ(m.calls, calls + static_cast<int>(id) - 10);
@@ -130,13 +130,13 @@
 // What our own limits kept back, and runs that were never started or are unknown below, are no failures.
 TEST(Calls, OwnLimitsSayNothingOfTheDependencyNorUnknownRunsOfTheMachine) {
     Machine m(plainTerms());
-    for (CommandId id = 1; id <= 30; ++id) {
+    for (RequestId id = 1; id <= 30; ++id) {
         toCall(m, id);
-        back(m, id, Outcome::NoRoom);
+        back(m, id, Outcome::LocalLimit);
         for (int n = 0; n < 10; ++n) m.step();
         EXPECT_EQ(m.work.at(id).at, Machine::At::Below) << "it never left, so it may try again";
         back(m, id, Outcome::Ok);
-        end(m, id, Outcome::Moot);
+        end(m, id, Outcome::Superseded);
     }
     EXPECT_FALSE(m.logged("breaker open"));
 }
@@ -144,10 +144,10 @@
 // A call whose reply can't be read has run: the dependency works, and nothing lingers in its hands.
 TEST(Calls, ASpoiltReplyIsRepeatedAndOpensNoBreaker) {
     Machine m(plainTerms());
-    for (CommandId id = 1; id <= 30; ++id) {
+    for (RequestId id = 1; id <= 30; ++id) {
         toCall(m, id);
         if (id % 2 == 0) {
-            back(m, id, Outcome::Spoilt);
+            back(m, id, Outcome::MalformedResponse);
             for (int n = 0; n < 10; ++n) m.step();
         }
         if (m.work.at(id).at == Machine::At::Below) back(m, id, Outcome::Ok);
@@ -156,29 +156,29 @@
     EXPECT_GT(m.calls, 33);
     EXPECT_FALSE(m.logged("breaker open"));
     toCall(m, 99, 2);
-    back(m, 99, Outcome::Spoilt);  // it may have had its effect
+    back(m, 99, Outcome::MalformedResponse);  // it may have had its effect
     EXPECT_EQ(m.leftOut, 1);
 }
 
 // A call that hangs now and then took a quarter of a promised time and stood for a crowd below.
 TEST(Calls, OneThatHangsAmongQuickOnesIsGivenUpSoonAndIsNoCrowd) {
-    StartTerms terms = plainTerms();
-    terms.below = Below::Shared;
-    terms.callShare = 10;
+    ControllerConfig terms = plainTerms();
+    terms.dependency = DependencyKind::Shared;
+    terms.dependencyQuota = 10;
     Machine m(terms);
-    for (CommandId id = 1; id <= 200; ++id) {
+    for (RequestId id = 1; id <= 200; ++id) {
         const bool hangs = id % 20 == 0;
         toCall(m, id);
         back(m, id, hangs ? Outcome::TimedOut : Outcome::Ok, 20ms, hangs ? 1s : 10ms);
         end(m, id, hangs ? Outcome::Cancelled : Outcome::Ok);
     }
     EXPECT_EQ(m.patience, 100ms);  // a twentieth of the promised time at least
-    Round round;                   // as many as our share bears go out at once
-    for (CommandId id = 300; id < 310; ++id) round.read.push_back(m.command(id));
+    EventBatch round;              // as many as our share bears go out at once
+    for (RequestId id = 300; id < 310; ++id) round.arrivals.push_back(m.command(id));
     for (m.step(round); m.on(Machine::At::Cores) > 0;) {
-        Round calls;
+        EventBatch calls;
         for (const auto& [id, w] : m.work)
-            if (w.at == Machine::At::Cores) calls.parked.push_back(id);
+            if (w.at == Machine::At::Cores) calls.waitingForDependency.push_back(id);
         m.step(calls);
     }
     EXPECT_GE(m.out, 7) << "nothing is crowded";
@@ -186,28 +186,30 @@
 
 // With a line at the calls, what makes none has the cores; the others can still be bounced, or start later.
 TEST(Hold, WhatWouldOnlyWaitForItsCallIsNotStarted) {
-    StartTerms terms = plainTerms();
-    terms.below = Below::Shared;
-    terms.callShare = 4;
+    ControllerConfig terms = plainTerms();
+    terms.dependency = DependencyKind::Shared;
+    terms.dependencyQuota = 4;
     terms.cores = 30;
-    terms.profiles[0].promised = 12s;
-    terms.profiles[0].hardStop = 100s;
-    terms.profiles[1] = terms.profiles[0];
-    terms.profiles[1].calls = false;
+    terms.requestClasses[0].latencyObjective = 12s;
+    terms.requestClasses[0].timeout = 100s;
+    terms.requestClasses[1] = terms.requestClasses[0];
+    terms.requestClasses[1].callsDependency = false;
     Machine m(terms);
-    for (CommandId id = 1; id <= 5; ++id) {
+    for (RequestId id = 1; id <= 5; ++id) {
         toCall(m, id);
         back(m, id, Outcome::Ok, 20ms, 1s);
         end(m, id);
     }
-    Round round;
-    for (CommandId id = 10; id < 34; ++id) round.read.push_back(m.command(id, 0, 90s));
+    EventBatch round;
+    for (RequestId id = 10; id < 34; ++id) round.arrivals.push_back(m.command(id, 0, 90s));
     m.step(round);
     round = {};
-    for (CommandId id = 10; id < 34; ++id) round.parked.push_back(id);  // some are called, the others wait
+    for (RequestId id = 10; id < 34; ++id)
+        round.waitingForDependency.push_back(id);  // some are called, the others wait
     m.step(round);
     round = {};
-    for (int profile = 0; profile < 2; ++profile) round.read.push_back(m.command(50 + profile, profile, 90s));
+    for (int profile = 0; profile < 2; ++profile)
+        round.arrivals.push_back(m.command(50 + profile, profile, 90s));
     m.step(round);
     EXPECT_EQ(m.work.at(50).at, Machine::At::Hold);
     EXPECT_EQ(m.work.at(51).at, Machine::At::Cores);
@@ -215,7 +217,7 @@
 
 TEST(Calls, HalfOfTheLastTwentyOpenTheBreaker) {
     Machine m(plainTerms());
-    for (CommandId id = 1; id <= 20; ++id) {
+    for (RequestId id = 1; id <= 20; ++id) {
         EXPECT_FALSE(m.logged("breaker open"));
         toCall(m, id);
         back(m, id, id % 2 == 0 ? Outcome::Error : Outcome::Ok);
@@ -226,7 +228,7 @@
 
 TEST(Calls, TimeOutsOfAStalledProcessAreNotTheDependencysFailure) {
     Machine m(plainTerms());
-    for (CommandId id = 1; id <= 8; ++id) {
+    for (RequestId id = 1; id <= 8; ++id) {
         toCall(m, id);
         back(m, id, Outcome::TimedOut, 400ms);
         end(m, id, Outcome::Cancelled);
@@ -238,23 +240,23 @@
 // Where our share is less than one call, each long call must be followed by a pause: once all backends were
 // out for nearly their whole share at a time, lingering calls not counted, and the dependency fell.
 TEST(Calls, HangingCallsKeepToAShareOfLessThanOne) {
-    StartTerms terms = plainTerms();
-    terms.below = Below::Shared;
-    terms.callShare = 0.25;
-    std::vector<Nanos> called[2];
+    ControllerConfig terms = plainTerms();
+    terms.dependency = DependencyKind::Shared;
+    terms.dependencyQuota = 0.25;
+    std::vector<Duration> called[2];
     for (int seed = 0; seed < 2; ++seed) {
         terms.seed = static_cast<std::uint64_t>(seed);
         Machine m(terms);  // the model of the rules sums up what is in hand
-        for (CommandId id = 1; id <= 4000; ++id) {
-            Round round;
-            if (id % 10 == 0) round.read = {m.command(id)};
+        for (RequestId id = 1; id <= 4000; ++id) {
+            EventBatch round;
+            if (id % 10 == 0) round.arrivals = {m.command(id)};
             for (const auto& [other, w] : m.work)
                 if (w.at == Machine::At::Cores)
-                    round.parked.push_back(other);
+                    round.waitingForDependency.push_back(other);
                 else if (w.at != Machine::At::Hold && w.answered)
-                    round.runsEnded.push_back({other, Outcome::Cancelled, 1s});
+                    round.runResults.push_back({other, Outcome::Cancelled, 1s});
                 else if (w.at == Machine::At::Below && m.now >= w.callEnds)
-                    round.callsBack.push_back({other, Outcome::TimedOut, 1s});
+                    round.dependencyResults.push_back({other, Outcome::TimedOut, 1s});
             const int before = m.calls;
             m.step(round);
             if (m.calls > before) called[seed].push_back(m.now);
@@ -266,11 +268,11 @@
 
 // One long call out once stood for all of them for seconds, and the hold gave up what it had room for.
 TEST(Calls, OneLongCallIsNoSlowDependency) {
-    StartTerms terms = plainTerms();
-    terms.below = Below::Shared;
-    terms.callShare = 0.4;
+    ControllerConfig terms = plainTerms();
+    terms.dependency = DependencyKind::Shared;
+    terms.dependencyQuota = 0.4;
     Machine m(terms);
-    CommandId id = 1;
+    RequestId id = 1;
     for (int n = 0; n < 20; ++n) m.step();
     for (; id <= 30; ++id) {
         toCall(m, id);
@@ -283,17 +285,17 @@
     for (int n = 0; n < 15; ++n) m.step();
     back(m, id, Outcome::Ok);
     end(m, id);
-    Round round;
-    for (CommandId other = 100; other < 104; ++other) round.read.push_back(m.command(other));
+    EventBatch round;
+    for (RequestId other = 100; other < 104; ++other) round.arrivals.push_back(m.command(other));
     m.step(round);
     EXPECT_EQ(m.bounces, 0);
 }
 
 // An abandoned call that nobody struck out, as no command waited at a call, was paid for without end.
 TEST(Calls, AnAbandonedCallIsPaidForOnce) {
-    StartTerms terms = plainTerms();
-    terms.below = Below::Shared;
-    terms.callShare = 0.4;
+    ControllerConfig terms = plainTerms();
+    terms.dependency = DependencyKind::Shared;
+    terms.dependencyQuota = 0.4;
     Machine m(terms);
     for (int n = 0; n < 20; ++n) m.step();
     toCall(m, 1, 2);
@@ -308,22 +310,22 @@
 // A node that failed its runs in a millisecond looked quick to callers, and drew more of them.
 TEST(Runs, FailuresInARowBounceCommandsUntilProbesAreGood) {
     Machine m(plainTerms());
-    const auto run = [&](CommandId id, Outcome outcome) {
-        Round round;
-        round.read = {m.command(id)};
+    const auto run = [&](RequestId id, Outcome outcome) {
+        EventBatch round;
+        round.arrivals = {m.command(id)};
         m.step(round);
         if (m.work.count(id) != 0U) end(m, id, outcome);
     };
-    for (CommandId id = 1; id <= 5; ++id) run(id, Outcome::Error);
+    for (RequestId id = 1; id <= 5; ++id) run(id, Outcome::Error);
     EXPECT_TRUE(m.logged("run breaker open: 5 failures in a row"));
     EXPECT_FALSE(m.good);
     run(6, Outcome::Ok);
     EXPECT_EQ(m.bounces, 1);
-    EXPECT_GT(m.comeBack, 500ms);
+    EXPECT_GT(m.retryAfter, 500ms);
     for (int n = 0; n < 320; ++n) m.step();
     EXPECT_TRUE(m.good);
-    Round round;
-    round.read = {m.command(11), m.command(12)};
+    EventBatch round;
+    round.arrivals = {m.command(11), m.command(12)};
     m.step(round);  // one at a time
     EXPECT_EQ(m.bounces, 2);
     end(m, 11);
@@ -335,11 +337,11 @@
 // Tables full of connections that nobody used again kept callers out and took core time; under pressure of
 // the cores they are the cheapest bounce.
 TEST(Connections, AreClosedEarlyWhereCallersComeBackSeldomAndKeptUnderPressure) {
-    StartTerms terms = plainTerms();
+    ControllerConfig terms = plainTerms();
     Machine few(terms);
-    terms.senders = 1000;
+    terms.clientCount = 1000;
     Machine many(terms);
-    for (CommandId id = 1; id <= 40; ++id)
+    for (RequestId id = 1; id <= 40; ++id)
         for (Machine* m : {&few, &many}) {
             toCall(*m, id);
             back(*m, id, Outcome::Ok);
@@ -348,9 +350,9 @@
         }
     EXPECT_LT(few.idle, 0s);  // never told
     EXPECT_EQ(many.idle, 1s);
-    for (CommandId id = 1000; id < 2000; id += 5) {
-        Round round;
-        for (CommandId n = 0; n < 5; ++n) round.read.push_back(many.command(id + n));
+    for (RequestId id = 1000; id < 2000; id += 5) {
+        EventBatch round;
+        for (RequestId n = 0; n < 5; ++n) round.arrivals.push_back(many.command(id + n));
         many.step(round);
     }
     EXPECT_GT(many.idle, 2s);
@@ -359,14 +361,14 @@
 // A storm of repeats feeds on first tries that are bounced: they all come again.
 TEST(Hold, FurtherTriesGiveWayToFirstOnes) {
     Machine m(plainTerms());
-    Round round;
-    for (CommandId id = 1; id <= 60; ++id) {
-        round.read.push_back(m.command(id));
-        round.read.back().again = id % 2 == 0;
+    EventBatch round;
+    for (RequestId id = 1; id <= 60; ++id) {
+        round.arrivals.push_back(m.command(id));
+        round.arrivals.back().isRetry = id % 2 == 0;
     }
     m.step(round);
     int first = 0, further = 0;
-    for (const auto& [id, w] : m.work) ++(w.command.again ? further : first);
+    for (const auto& [id, w] : m.work) ++(w.command.isRetry ? further : first);
     EXPECT_GT(first, 2 * further);
 }
 
@@ -374,8 +376,8 @@
 TEST(Hold, ABurstOnTheCoresDoesNotHoldRunsBack) {
     Machine m(plainTerms());
     for (int n = 0; n < 100; ++n) {
-        Round round;
-        round.read = {m.command(static_cast<CommandId>(n + 1))};
+        EventBatch round;
+        round.arrivals = {m.command(static_cast<RequestId>(n + 1))};
         m.asking = n % 5 == 0 ? 12.0 : 1.0;
         m.step(round);
     }
@@ -384,9 +386,9 @@
 
 TEST(Hold, StartsByDueTime) {
     Machine m(plainTerms());
-    Round round;
-    for (CommandId id = 1; id <= 8; ++id)
-        round.read.push_back(m.command(id, 0, 5s - 100ms * static_cast<int>(id)));
+    EventBatch round;
+    for (RequestId id = 1; id <= 8; ++id)
+        round.arrivals.push_back(m.command(id, 0, 5s - 100ms * static_cast<int>(id)));
     m.step(round);
     EXPECT_TRUE(m.work.at(8).ran && m.work.at(7).ran);
     EXPECT_FALSE(m.work.at(1).ran);
@@ -394,21 +396,21 @@
 
 TEST(Hold, GivesUpWhatEarnsLeastAtOnceWhenNotAllCanBeInTime) {
     Machine m(plainTerms());
-    Round round;
-    for (CommandId id = 1; id <= 60; ++id) round.read.push_back(m.command(id, id % 2 == 0 ? 1 : 0));
+    EventBatch round;
+    for (RequestId id = 1; id <= 60; ++id) round.arrivals.push_back(m.command(id, id % 2 == 0 ? 1 : 0));
     m.step(round);
     EXPECT_GT(m.bounces, 5);
     int cheap = 0, dear = 0;
-    for (const auto& [id, w] : m.work) ++(w.command.profile == 1 ? dear : cheap);
+    for (const auto& [id, w] : m.work) ++(w.command.requestClass == 1 ? dear : cheap);
     EXPECT_GT(dear, 2 * cheap);
 }
 
 // A mean of told work that grew from nothing took a fresh node's first command for twenty times the usual.
 TEST(Hold, TheFirstHintStandsForTheMean) {
     Machine m(plainTerms());
-    Round round;
-    round.read = {m.command(1)};
-    round.read[0].work = 300ms;
+    EventBatch round;
+    round.arrivals = {m.command(1)};
+    round.arrivals[0].expectedWork = 300ms;
     m.step(round);
     EXPECT_EQ(m.starts, 1);
 }
@@ -416,9 +418,9 @@
 // Calls with little time of their own once made an idle backend call itself full.
 TEST(Hold, WhatCameWithLittleTimeIsNoOverload) {
     Machine m(plainTerms());
-    for (CommandId id = 1; id <= 100; ++id) {
-        Round round;
-        round.read = {m.command(id, 0, 100ms), m.command(1000 + id, 0, 100ms)};
+    for (RequestId id = 1; id <= 100; ++id) {
+        EventBatch round;
+        round.arrivals = {m.command(id, 0, 100ms), m.command(1000 + id, 0, 100ms)};
         m.step(round);
     }
     EXPECT_GT(m.bounces, 50);
@@ -428,38 +430,38 @@
 // Only callers that stay away end a jam of commands that are read too late.
 TEST(Hold, AnUnreadJamAsksCallersToComeBackLater) {
     Machine m(plainTerms());
-    for (CommandId id = 1; id <= 30; ++id) {
-        Round round;
-        round.read = {m.command(id)};
-        round.read[0].waited = 1950ms;
+    for (RequestId id = 1; id <= 30; ++id) {
+        EventBatch round;
+        round.arrivals = {m.command(id)};
+        round.arrivals[0].queuedBeforeRead = 1950ms;
         m.step(round);
     }
     EXPECT_GT(m.bounces, 10);
-    EXPECT_GT(m.comeBack, 400ms);
+    EXPECT_GT(m.retryAfter, 400ms);
 }
 
 // The fifth failed run in a row gives up all that is held; a caller that left in that very round was bounced
 // with the others, though nobody was there to be answered.
 TEST(Runs, ABreakerThatOpensAnswersNobodyWhoHasLeft) {
-    StartTerms terms = plainTerms();
+    ControllerConfig terms = plainTerms();
     terms.cores = 1;
-    terms.profiles[0].calls = false;
+    terms.requestClasses[0].callsDependency = false;
     Machine m(terms);
-    CommandId next = 1;
-    Round round;
-    for (int n = 0; n < 12; ++n) round.read.push_back(m.command(next++));
+    RequestId next = 1;
+    EventBatch round;
+    for (int n = 0; n < 12; ++n) round.arrivals.push_back(m.command(next++));
     m.step(round);
     const auto firstAt = [&](Machine::At place) {
         for (const auto& [id, w] : m.work)
             if (w.at == place && !w.answered) return id;
-        return CommandId{0};
+        return RequestId{0};
     };
     for (int failed = 0; failed < 5; ++failed) {
         for (int n = 0; n < 200 && firstAt(Machine::At::Cores) == 0; ++n) m.step();
         round = {};
-        round.runsEnded = {{firstAt(Machine::At::Cores), Outcome::Error, 5ms}};
-        if (failed == 4) round.callersLeft = {firstAt(Machine::At::Hold)};
-        ASSERT_NE(round.runsEnded[0].id, 0U);
+        round.runResults = {{firstAt(Machine::At::Cores), Outcome::Error, 5ms}};
+        if (failed == 4) round.clientCancellations = {firstAt(Machine::At::Hold)};
+        ASSERT_NE(round.runResults[0].id, 0U);
         m.step(round, 1ms);
     }
     EXPECT_TRUE(m.logged("run breaker open"));
@@ -469,15 +471,15 @@
 
 // A cold machine of one core bears a crowd of 1.6 at first: two runs were let on it, as 1 is below 1.28.
 TEST(Runs, AColdMachineOfOneCoreIsNotCrowdedByRounding) {
-    StartTerms terms = plainTerms();
+    ControllerConfig terms = plainTerms();
     terms.cores = 1;
-    terms.cold = true;
+    terms.startsCold = true;
     Machine m(terms);
     m.asking = 0.2;  // the gauge says that the core has room
-    CommandId next = 1;
+    RequestId next = 1;
     for (int n = 0; n < 150; ++n) {
-        Round round;
-        if (n < 20) round.read = {m.command(next++)};
+        EventBatch round;
+        if (n < 20) round.arrivals = {m.command(next++)};
         m.step(round);
         // The ceiling passes two runs once the machine is at half of its speed.
         if (m.now - m.born < 3s) {
@@ -491,19 +493,19 @@
 // them does not end them by itself, 26 of them filled a backend's places, and it handled a fifth of its load
 // for good.
 TEST(Calls, ARunThatIsGivenUpAtItsCallIsStopped) {
-    StartTerms terms = plainTerms();
-    terms.halting = Halting::Pause;
+    ControllerConfig terms = plainTerms();
+    terms.runCancellation = RunCancellation::Suspend;
     Machine m(terms);
-    Round round;
-    round.read = {m.command(1)};
+    EventBatch round;
+    round.arrivals = {m.command(1)};
     m.step(round);
     round = {};
-    round.parked = {1};
+    round.waitingForDependency = {1};
     m.step(round);
     m.step();
     ASSERT_EQ(m.on(Machine::At::Below), 1);
     round = {};
-    round.callersLeft = {1};
+    round.clientCancellations = {1};
     m.step(round);
     EXPECT_EQ(m.halts, 1);
 }
@@ -512,13 +514,13 @@
     Machine m(plainTerms());
     m.step();
     EXPECT_TRUE(m.good);
-    Round round;
-    round.stopAt = m.now + 5s;
+    EventBatch round;
+    round.shutdownAt = m.now + 5s;
     m.step(round);
     EXPECT_FALSE(m.good);
     for (int n = 0; n < 60; ++n) m.step();
     round = {};
-    round.read = {m.command(1)};
+    round.arrivals = {m.command(1)};
     m.step(round);
     EXPECT_EQ(m.bounces, 1);
 }
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -1,23 +1,24 @@
 // The decoders: pure, so each is fed whole, cut at every byte, wrongly and at random.
+#include "thrift/codec.h"
+
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
 #include "helpers.h"
-#include "intake/thrift.h"
 #include "net/http_reply.h"
-#include "runs/notices.h"
+#include "worker_pool/protocol.h"
 
 namespace cottonwing {
 namespace {
 
-using intake::FrameState;
-using intake::Message;
-using intake::Method;
 using testing::frames::TBinaryProtocol;
+using thrift::FrameState;
+using thrift::Message;
+using thrift::Method;
 namespace frames = testing::frames;
 namespace protocol = frames::protocol;
 
-std::optional<Message> decode(const std::string& frame) { return intake::readMessage(frame.substr(4)); }
+std::optional<Message> decode(const std::string& frame) { return thrift::readMessage(frame.substr(4)); }
 
 const testing::Reply kFields = {{"route", "read"}, {"trace", "9b1f03aa5c7e2d41"}};
 
@@ -39,19 +40,19 @@
 
 TEST(Thrift, ThePublishedLibraryReadsWhatIsWritten) {
     const auto read = [](const std::string& frame) { return frames::read(frame.substr(4)); };
-    const auto answer = read(intake::writeAnswer("serve", 5, "result", {{"advice", "0.5"}}, true));
+    const auto answer = read(thrift::writeAnswer("serve", 5, "result", {{"advice", "0.5"}}, true));
     EXPECT_EQ(answer.kind + answer.method + answer.body, "answerserveresult");
     EXPECT_TRUE(answer.good);
     EXPECT_EQ(answer.sequence, 5);
     EXPECT_EQ(answer.fields.at("advice"), "0.5");
-    EXPECT_FALSE(read(intake::writeAnswer("isWell", 5, "", {}, false)).good);
-    const auto busy = read(intake::writeBusy(6, {{"pause", "250"}, {"terminal", "1"}}));
+    EXPECT_FALSE(read(thrift::writeAnswer("isWell", 5, "", {}, false)).good);
+    const auto busy = read(thrift::writeBusy(6, {{"pause", "250"}, {"terminal", "1"}}));
     EXPECT_EQ(busy.kind, "busy");
     EXPECT_EQ(busy.fields.at("pause"), "250");
-    EXPECT_EQ(read(intake::writeFailed(6, {})).kind, "failed");
-    const auto refusal = read(intake::writeRefusal("nope", 6, intake::Refusal::UnknownMethod, "why"));
+    EXPECT_EQ(read(thrift::writeFailed(6, {})).kind, "failed");
+    const auto refusal = read(thrift::writeRefusal("nope", 6, thrift::Refusal::UnknownMethod, "why"));
     EXPECT_EQ(refusal.kind + refusal.body, "refusalwhy");
-    EXPECT_EQ(read(intake::writeGoaway()).method, "goaway");
+    EXPECT_EQ(read(thrift::writeGoaway()).method, "goaway");
 }
 
 TEST(Thrift, SkipsFieldsItDoesNotKnow) {
@@ -80,11 +81,11 @@
         net::Ring ring(32768);
         ASSERT_TRUE(ring.write(std::string_view(two).substr(0, cut)));
         std::size_t length = 0;
-        EXPECT_EQ(intake::lookForFrame(ring, length),
+        EXPECT_EQ(thrift::lookForFrame(ring, length),
                   cut < frame.size() ? FrameState::Partial : FrameState::Whole);
         // The content cut short is malformed wherever it is cut.
         if (cut < 4 || cut >= frame.size()) continue;
-        EXPECT_FALSE(intake::readMessage(std::string_view(frame).substr(4, cut - 4))) << cut;
+        EXPECT_FALSE(thrift::readMessage(std::string_view(frame).substr(4, cut - 4))) << cut;
     }
     EXPECT_FALSE(decode(frame + "x"));  // bytes behind the end
 }
@@ -93,62 +94,62 @@
     net::Ring ring(32768);
     ASSERT_TRUE(ring.write(std::string("\0\0\x40\x01", 4)));
     std::size_t length = 0;
-    EXPECT_EQ(intake::lookForFrame(ring, length), FrameState::TooLong);
+    EXPECT_EQ(thrift::lookForFrame(ring, length), FrameState::TooLong);
 }
 
 TEST(Thrift, RefusesWhatIsMalformed) {
     const std::string good = frames::serve(1, kFields, "body").substr(4);
     std::string old = good;
     old[0] = 0;  // no version: the older, unchecked form
-    EXPECT_FALSE(intake::readMessage(old));
+    EXPECT_FALSE(thrift::readMessage(old));
     std::string reply = good;
     reply[3] = 2;
-    EXPECT_FALSE(intake::readMessage(reply));
+    EXPECT_FALSE(thrift::readMessage(reply));
     std::string longer = good;
     longer[4] = 0x7f;  // the name's length
-    EXPECT_FALSE(intake::readMessage(longer));
+    EXPECT_FALSE(thrift::readMessage(longer));
     std::string deep = good.substr(0, good.find("serve") + 5 + 4);
     for (int i = 0; i < 2000; ++i) deep += std::string("\x0c\0\x09", 3);
-    EXPECT_FALSE(intake::readMessage(deep));
+    EXPECT_FALSE(thrift::readMessage(deep));
     // A list said to be four thousand million long, of structs that each are one byte.
     std::string huge =
         good.substr(0, good.find("serve") + 5 + 4) + std::string("\x0f\0\x09\x0c\xff\xff\xff\xff", 8);
-    EXPECT_FALSE(intake::readMessage(huge));
+    EXPECT_FALSE(thrift::readMessage(huge));
 }
 
 RC_GTEST_PROP(Thrift, AnyBytesAreReadOrRefused, (const std::string& bytes, std::uint8_t at, char other)) {
-    intake::readMessage(bytes);
+    thrift::readMessage(bytes);
     std::string frame = frames::serve(1, kFields, bytes).substr(4);
-    RC_ASSERT(intake::readMessage(frame)->body == bytes);
+    RC_ASSERT(thrift::readMessage(frame)->body == bytes);
     frame[at % frame.size()] = other;
-    if (const auto message = intake::readMessage(frame))
+    if (const auto message = thrift::readMessage(frame))
         RC_ASSERT(!message->body || message->body->size() <= frame.size());
 }
 
 TEST(Notices, AreReadByKind) {
-    const auto ended = runs::readNotice(
+    const auto ended = worker_pool::readNotice(
         R"({"type":"finished","n":12,"job":"9b1f03aa5c7e2d41","state":"ok","took":12.5,"data":"AGI=","new":[1]})");
     ASSERT_TRUE(ended);
-    EXPECT_EQ(ended->kind, runs::NoticeKind::Finished);
+    EXPECT_EQ(ended->kind, worker_pool::NoticeKind::Finished);
     EXPECT_EQ(ended->number, 12U);
-    EXPECT_EQ(ended->took, Nanos(12500000));
+    EXPECT_EQ(ended->took, Duration(12500000));
     EXPECT_EQ(ended->data, std::string("\0b", 2));
-    EXPECT_EQ(backend::readId(ended->job), 0x9b1f03aa5c7e2d41U);
-    EXPECT_EQ(runs::readNotice(R"({"type":"polled","ref":"a","gauges":[1,2.5]})")->gauges.size(), 2U);
+    EXPECT_EQ(request::parseRequestId(ended->job), 0x9b1f03aa5c7e2d41U);
+    EXPECT_EQ(worker_pool::readNotice(R"({"type":"polled","ref":"a","gauges":[1,2.5]})")->gauges.size(), 2U);
     for (const char* bad : {"", "[]", "{", R"({"type":"news"})", R"({"type":"blocked","data":"AG="})",
                             R"({"type":"blocked","data":"A-=="})"})
-        EXPECT_FALSE(runs::readNotice(bad)) << bad;
-    EXPECT_FALSE(backend::readId("9b1f03aa5c7e2d4"));
-    EXPECT_FALSE(backend::readId("9b1f03aa5c7e2d4x"));
+        EXPECT_FALSE(worker_pool::readNotice(bad)) << bad;
+    EXPECT_FALSE(request::parseRequestId("9b1f03aa5c7e2d4"));
+    EXPECT_FALSE(request::parseRequestId("9b1f03aa5c7e2d4x"));
 }
 
 RC_GTEST_PROP(Notices, AnyBytesAreReadOrRefused, (const std::string& bytes)) {
-    runs::readNotice(bytes);
-    RC_ASSERT(runs::decode64(runs::encode64(bytes)) == bytes);
-    const auto notice =
-        runs::readNotice("{\"type\":\"blocked\",\"job\":\"x\",\"data\":\"" + runs::encode64(bytes) + "\"}");
+    worker_pool::readNotice(bytes);
+    RC_ASSERT(worker_pool::decode64(worker_pool::encode64(bytes)) == bytes);
+    const auto notice = worker_pool::readNotice("{\"type\":\"blocked\",\"job\":\"x\",\"data\":\"" +
+                                                worker_pool::encode64(bytes) + "\"}");
     RC_ASSERT(notice && notice->data == bytes);
-    if (const auto decoded = runs::decode64(bytes)) RC_ASSERT(decoded->size() <= bytes.size());
+    if (const auto decoded = worker_pool::decode64(bytes)) RC_ASSERT(decoded->size() <= bytes.size());
 }
 
 TEST(HttpReplies, AreWholeHoweverTheyAreCut) {
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -10,7 +10,7 @@
 
 using namespace std::chrono_literals;
 using net::ConnectionEnd;
-using report::Count;
+using telemetry::Count;
 using testing::Json;
 using testing::RawClient;
 using testing::Sidecar;
@@ -102,7 +102,7 @@
         on.wait([&] { return sidecar.answers.contains(2 * i); });
         EXPECT_EQ(sidecar.answers[2 * i].body, "done");
     }
-    EXPECT_EQ(on.count(Count::CommandsRefused), 12U);
+    EXPECT_EQ(on.count(Count::MalformedRequests), 12U);
     EXPECT_FALSE(sidecar.gone);
 }
 
@@ -115,11 +115,11 @@
     testing::Reply bad = Sidecar::fields(999);
     bad["size"] = "0";
     for (int i = 0; i < 20; ++i) sidecar.say(frames::serve(++sidecar.sequence, bad, "body"));
-    on.wait([&] { return on.count(Count::CommandsRefused) == 8; });
+    on.wait([&] { return on.count(Count::MalformedRequests) == 8; });
     on.pool.finish(Sidecar::trace(1), "ok", "done");
     on.wait([&] { return sidecar.gone; });
     EXPECT_EQ(sidecar.answers[open].body, "done");
-    EXPECT_EQ(on.count(Count::CommandsRefused), 8U);  // the rest was not read any more
+    EXPECT_EQ(on.count(Count::MalformedRequests), 8U);  // the rest was not read any more
     EXPECT_EQ(on.count(ConnectionEnd::Malformed), 1U);
     on.expectBooksClosed();
 }
@@ -131,7 +131,7 @@
     const std::int32_t open = sidecar.ask(1);
     on.wait([&] { return on.pool.running.contains(Sidecar::trace(1)); });
     sidecar.say(command(2, 2).substr(0, 20));
-    const Nanos from = net::unixNow();
+    const Duration from = net::unixNow();
     on.wait([&] { return net::unixNow() - from > 1800ms; });
     EXPECT_FALSE(sidecar.gone);
     on.pool.finish(Sidecar::trace(1), "ok", "done");
@@ -168,8 +168,8 @@
     fields["trace"] = Sidecar::trace(2);
     fields["weight"] = "1e300";
     sidecar.say(frames::serve(2, fields, "body"));
-    on.wait([&] { return on.count(Count::CommandsRead) == 2; });
-    EXPECT_EQ(on.count(Count::CommandsRefused), 0U);
+    on.wait([&] { return on.count(Count::RequestsRead) == 2; });
+    EXPECT_EQ(on.count(Count::MalformedRequests), 0U);
 }
 
 // A client comes while all places are taken, and the one that is unused for longest has just written.
@@ -185,7 +185,7 @@
         clients.back()->send(frames::isWell(1, false));
         on.wait([&] { return clients.back()->receive() > 0; });
     }
-    const Nanos from = net::unixNow();
+    const Duration from = net::unixNow();
     on.wait([&] { return net::unixNow() - from > 150ms; });
     RawClient late(on.port());             // found first
     clients.front()->send(command(2, 7));  // already there when a place is looked for
@@ -193,7 +193,7 @@
     on.wait([&] {
         return on.pool.running.contains(Sidecar::trace(7)) && on.pool.running.contains(Sidecar::trace(8));
     });
-    EXPECT_EQ(on.count(Count::SidecarsEvicted), 1U);
+    EXPECT_EQ(on.count(Count::ConnectionsEvicted), 1U);
     EXPECT_FALSE(clients.front()->over());
 }
 
@@ -201,18 +201,18 @@
 TEST(Crossings, ALinkThatMovesEndsTheOldOneInOrder) {
     net::Loop loop;
     std::ostringstream lines;
-    report::Log log(lines, report::Level::Debug);
-    report::Counters counters;
-    const launch::Start start = testing::startOf(testing::plainStart());
-    backend::Backend backend(loop, start.terms, 1 << 20, 1 << 20, log, counters);
+    telemetry::Log log(lines, telemetry::Level::Debug);
+    telemetry::Counters counters;
+    const config::ProcessConfig start = testing::startOf(testing::plainStart());
+    request::RequestManager backend(loop, start.controller, 1 << 20, 1 << 20, log, counters);
     testing::RawServer before, after;
-    runs::PoolLink link(loop, {"127.0.0.1", before.port}, start.shares, {"read", "look"}, start.gauges, 7,
-                        backend, log, counters);
+    worker_pool::WorkerPoolClient link(loop, {"127.0.0.1", before.port}, start.limits, {"read", "look"},
+                                       start.gaugeNames, 7, backend, log, counters);
     RawClient old(RawClient::Accepted{before.accept()});
     until(loop, [&] { return old.receive() > 0; });  // bind
     old.send("{\"type\":\"bound\",\"state\":\"warm\",\"took\":1}\n");
-    until(loop, [&] { return counters.of(Count::PoolLinks) == 1; });
-    link.askGauges();
+    until(loop, [&] { return counters.of(Count::WorkerPoolConnections) == 1; });
+    link.requestGauges();
     old.send("{\"type\":\"chatter\",\"n\":1,\"state\":\"unread\"}\n");
     link.moveTo({"127.0.0.1", after.port});
     until(loop, [&] { return old.over(); });
@@ -225,17 +225,17 @@
 TEST(Crossings, ALinkMovesWhileThereIsNone) {
     net::Loop loop;
     std::ostringstream lines;
-    report::Log log(lines, report::Level::Debug);
-    report::Counters counters;
-    const launch::Start start = testing::startOf(testing::plainStart());
-    backend::Backend backend(loop, start.terms, 1 << 20, 1 << 20, log, counters);
+    telemetry::Log log(lines, telemetry::Level::Debug);
+    telemetry::Counters counters;
+    const config::ProcessConfig start = testing::startOf(testing::plainStart());
+    request::RequestManager backend(loop, start.controller, 1 << 20, 1 << 20, log, counters);
     testing::Pool pool(loop);
-    runs::PoolLink link(loop, {"127.0.0.1", 1}, start.shares, {"read", "look"}, start.gauges, 7, backend, log,
-                        counters);
+    worker_pool::WorkerPoolClient link(loop, {"127.0.0.1", 1}, start.limits, {"read", "look"},
+                                       start.gaugeNames, 7, backend, log, counters);
     link.moveTo({"127.0.0.1", 1});  // while it is being opened
     until(loop, [&] { return counters.of(ConnectionEnd::ConnectRefused) > 0; });
     link.moveTo(pool.server.address());  // while it waits to be opened again
-    until(loop, [&] { return counters.of(Count::PoolLinks) == 1; });
+    until(loop, [&] { return counters.of(Count::WorkerPoolConnections) == 1; });
     EXPECT_EQ(pool.binds.size(), 1U);
 }
 
@@ -250,7 +250,7 @@
     on.wait([&] { return sidecar.answers.contains(early); });
     EXPECT_EQ(sidecar.answers[early].kind, "busy");
     on.pool.send({{"type", "bound"}, {"state", "cold"}, {"took", 0}});
-    on.wait([&] { return on.count(Count::PoolLinks) == 1; });
+    on.wait([&] { return on.count(Count::WorkerPoolConnections) == 1; });
     sidecar.say(frames::isWell(++sidecar.sequence, false));
     on.wait([&] { return sidecar.answers.contains(sidecar.sequence); });
     EXPECT_FALSE(sidecar.answers[sidecar.sequence].good);
@@ -296,8 +296,8 @@
     on.program->leave();
     RawClient early(on.port());
     early.send(command(1, 1));  // the loop has not turned since
-    on.wait([&] { return on.count(Count::CommandsRead) == 1; });
-    if (on.count(Count::Bounced) == 0) {  // it came in the very millisecond of the notice
+    on.wait([&] { return on.count(Count::RequestsRead) == 1; });
+    if (on.count(Count::Rejected) == 0) {  // it came in the very millisecond of the notice
         on.wait([&] { return on.pool.running.contains(Sidecar::trace(1)); });
         on.pool.finish(Sidecar::trace(1));
     }
@@ -319,7 +319,7 @@
     client.send(command(2, 1));
     on.wait([&] { return client.over(); });
     EXPECT_TRUE(client.ended);
-    EXPECT_EQ(on.count(Count::Bounced), 1U);
+    EXPECT_EQ(on.count(Count::Rejected), 1U);
     EXPECT_NE(client.text.find("serve"), std::string::npos);
 }
 
--- a/tests/customers_test.cpp
+++ b/tests/customers_test.cpp
@@ -23,27 +23,27 @@
 
 // The last tier is told of no records service; asking for its address refused the start on every day.
 TEST(Customers, ABackendWithNothingBelowNeedsNoRecordsService) {
-    EXPECT_FALSE(testing::startOf(lastTier()).records.has_value());
+    EXPECT_FALSE(testing::startOf(lastTier()).dependency.has_value());
     Json all = testing::plainStart();
     all.erase("records");
-    EXPECT_THROW(testing::startOf(all), launch::BadKey);  // where something is below, it does
+    EXPECT_THROW(testing::startOf(all), config::ConfigError);  // where something is below, it does
     all = lastTier();
     all["records"] = "nowhere";
-    EXPECT_THROW(testing::startOf(all), launch::BadKey);
+    EXPECT_THROW(testing::startOf(all), config::ConfigError);
 }
 
 TEST(Customers, ACallWithNothingBelowIsUnreachable) {
     net::Loop loop;
     std::ostringstream lines;
-    report::Log log(lines, report::Level::Debug);
-    report::Counters counters;
-    const launch::Start start = testing::startOf(lastTier());
-    backend::Backend backend(loop, start.terms, 1 << 20, 1 << 20, log, counters);
-    calls::Records records(loop, start.records, start.shares, backend, counters);
-    records.begin(1, Sidecar::trace(1), 1s, "call");
+    telemetry::Log log(lines, telemetry::Level::Debug);
+    telemetry::Counters counters;
+    const config::ProcessConfig start = testing::startOf(lastTier());
+    request::RequestManager backend(loop, start.controller, 1 << 20, 1 << 20, log, counters);
+    dependency::HttpDependencyClient records(loop, start.dependency, start.limits, backend, counters);
+    records.startCall(1, Sidecar::trace(1), 1s, "call");
     records.moveTo(std::nullopt);
-    EXPECT_EQ(counters.of(report::Count::CallsUnreachable), 1U);
-    EXPECT_EQ(records.out(), 0U);
+    EXPECT_EQ(counters.of(telemetry::Count::CallsUnreachable), 1U);
+    EXPECT_EQ(records.callsInFlight(), 0U);
 }
 
 TEST(Customers, CallsToATierAreServedAsThoseToASharedService) {
@@ -89,7 +89,7 @@
     }
     Json all = testing::plainStart();
     all["settings"]["family_info"]["passes_deadline"] = "yes";
-    EXPECT_THROW(testing::startOf(all), launch::BadKey);
+    EXPECT_THROW(testing::startOf(all), config::ConfigError);
 }
 
 }  // namespace
--- a/tests/decide_test.cpp
+++ b/tests/decide_test.cpp
@@ -24,15 +24,15 @@
     Budget budget(terms);
     Tried tried;
     tried.stopsAt = 10s;
-    for (const Repeat repeat : {Repeat::OnceOnly, Repeat::Keyed, Repeat::Repeatable}) {
-        tried.repeat = repeat;
+    for (const Idempotency repeat : {Idempotency::None, Idempotency::WithKey, Idempotency::Idempotent}) {
+        tried.idempotency = repeat;
         tried.began = Began::Never;
         EXPECT_EQ(again(terms, budget, tried, 0s, chance).why, Why::Again);
         tried.began = Began::Ran;
         EXPECT_EQ(again(terms, budget, tried, 0s, chance).why, Why::Unrepeatable);
         tried.began = Began::Unknown;
         EXPECT_EQ(again(terms, budget, tried, 0s, chance).why,
-                  repeat == Repeat::Repeatable ? Why::Again : Why::Unrepeatable);
+                  repeat == Idempotency::Idempotent ? Why::Again : Why::Unrepeatable);
     }
 }
 
@@ -48,9 +48,9 @@
     tried.nowhereElse = true;
     EXPECT_EQ(again(terms, budget, tried, 0s, chance).why, Why::AskedNotTo);
     tried.nowhereElse = false;
-    tried.comeBack = 11s;
+    tried.retryAfter = 11s;
     EXPECT_EQ(again(terms, budget, tried, 0s, chance).why, Why::NoTime);
-    tried.comeBack = 2s;
+    tried.retryAfter = 2s;
     const Verdict verdict = again(terms, budget, tried, 0s, chance);
     EXPECT_EQ(verdict.why, Why::Again);
     EXPECT_GE(verdict.at, 2s);
@@ -67,7 +67,7 @@
     terms.jitter = static_cast<Jitter>(upTo(3));
     terms.least = 1ms * (1 + upTo(100));
     terms.longest = terms.least + 1ms * upTo(5000);
-    Nanos before{0};
+    Duration before{0};
     for (int attempts = 1; attempts < 100; ++attempts) {
         before = wait(terms, attempts, before, chance);
         RC_ASSERT(before >= 0ns);
@@ -156,7 +156,7 @@
     const int count = 1 + upTo(8);
     for (int n = 0; n < count; ++n) members.add();
     const int bad = 1 + upTo(98);
-    Nanos now{0};
+    Duration now{0};
     for (int n = 0; n < 3000; ++n) {
         now += 20ms;
         const auto at = static_cast<Members::Index>(upTo(count - 1));
@@ -265,7 +265,7 @@
         } else if (what == 2 && there.contains(at)) {
             choice.setWeight(at, 0.25 * (1 + upTo(8)));
         } else if (what < 5 && there.contains(at) && there[at] > 0) {
-            choice.ended(at, upTo(1) ? std::optional<Nanos>(1ms * upTo(500)) : std::nullopt, n * 10ms);
+            choice.ended(at, upTo(1) ? std::optional<Duration>(1ms * upTo(500)) : std::nullopt, n * 10ms);
             --there[at];
         } else {
             const unsigned mask = static_cast<unsigned>(upTo(4095));
--- a/tests/helpers.h
+++ b/tests/helpers.h
@@ -21,51 +21,52 @@
 #include <string>
 #include <vector>
 
-#include "logic.h"
+#include "overload/overload_controller.h"
 #include "server.h"
 
 namespace cottonwing::testing {
 
 using namespace std::chrono_literals;
 
-inline StartTerms plainTerms() {
-    StartTerms terms;
+inline ControllerConfig plainTerms() {
+    ControllerConfig terms;
     terms.seed = 7;
-    terms.profiles = {{Repeat::Repeatable, 2s, 0, 5s, 5s, 1, 0, 0, true},
-                      {Repeat::Keyed, 2s, 0, 5s, 3s, 4, 0.2, 0, true},
-                      {Repeat::OnceOnly, 2s, 0, 5s, 5s, 2, 0, 0.5, true}};
-    terms.goalWorstProfile = 0.2;
-    terms.peers = 4;
+    terms.requestClasses = {{Idempotency::Idempotent, 2s, 0, 5s, 5s, 1, 0, 0, true},
+                            {Idempotency::WithKey, 2s, 0, 5s, 3s, 4, 0.2, 0, true},
+                            {Idempotency::None, 2s, 0, 5s, 5s, 2, 0, 0.5, true}};
+    terms.goalWorstClass = 0.2;
+    terms.peerCount = 4;
     terms.cores = 2;
-    terms.startCapacity = 0.2;
-    terms.rampTime = 18s;
-    terms.memoryKb = 4000;
-    terms.entryKb = 20;
-    terms.runFactor = 4;
-    terms.below = Below::Tier;
+    terms.coldCapacityFraction = 0.2;
+    terms.warmUpTime = 18s;
+    terms.memoryLimitKb = 4000;
+    terms.idempotencyKeyKb = 20;
+    terms.runMemoryFactor = 4;
+    terms.dependency = DependencyKind::Tier;
     terms.drainGrace = 1s;
-    terms.fallMultiple = 4;
-    terms.fallOver = 1500ms;
-    terms.callsOver = 5s;
-    terms.linger = 200ms;
-    terms.comeBackAllowed = true;
-    terms.longestComeBack = 1s;
-    terms.longestIdle = 30s;
+    terms.overloadFactor = 4;
+    terms.overloadWindow = 1500ms;
+    terms.dependencyQuotaWindow = 5s;
+    terms.abandonedCallTime = 200ms;
+    terms.retryAfterAllowed = true;
+    terms.maxRetryAfter = 1s;
+    terms.maxConnectionIdle = 30s;
     return terms;
 }
 
 // One backend's machine as the module sees it; every decision is checked as it is written.
-class Machine : public DecisionWriter {
+class Machine : public DecisionSink {
 public:
     enum class At { Hold, Cores, Call, Below, Joined };
     struct Work {
-        Command command;
-        Nanos reached{0}, due{0}, callEnds{0};
+        Request command;
+        Duration reached{0}, due{0}, callEnds{0};
         At at = At::Hold;
         bool answered = false, left = false, ran = false, calledBefore = false, lastCallNeverRan = true;
     };
 
-    explicit Machine(const StartTerms& terms) : terms(terms), decider(makeDecider(terms)) {}
+    explicit Machine(const ControllerConfig& terms)
+        : terms(terms), controller(makeOverloadController(terms)) {}
     ~Machine() override {
         for (const std::string& what : broken) ADD_FAILURE() << what;
     }
@@ -73,175 +74,189 @@
         if (!kept) broken.push_back(what);
     }
 
-    StartTerms terms;
-    std::unique_ptr<Decider> decider;
-    Nanos now = 1000s, noticeAt{-1}, stopAt{-1}, born = now;
-    Nanos patience{0}, wake{-1}, comeBack{0};
-    std::map<CommandId, Work> work;
-    std::map<CommandId, std::pair<Nanos, CommandId>> ranTags;  // tag (first try) -> arrival of the run
-    std::map<CommandId, Nanos> kept;
+    ControllerConfig terms;
+    std::unique_ptr<OverloadController> controller;
+    Duration now = 1000s, noticeAt{-1}, stopAt{-1}, born = now;
+    Duration patience{0}, wake{-1}, retryAfter{0};
+    std::map<RequestId, Work> work;
+    std::map<RequestId, std::pair<Duration, RequestId>> ranTags;  // tag (first try) -> arrival of the run
+    std::map<RequestId, Duration> kept;
     std::vector<std::string> logs, broken;
     std::vector<double> crowd, below;
-    std::vector<Nanos> lingering;
-    Nanos idle{-1};
+    std::vector<Duration> lingering;
+    Duration idle{-1};
     std::optional<double> asking;  // what the gauge says, where it is not what runs
     int starts = 0, halts = 0, bounces = 0, scraps = 0, calls = 0, out = 0, leftOut = 0;
     bool good = false;
 
-    Command command(CommandId id, int profile = 0, Nanos left = 5s) {
-        Command c;
+    Request command(RequestId id, int profile = 0, Duration left = 5s) {
+        Request c;
         c.id = id;
-        c.profile = profile;
-        c.due = now + left;
-        c.heldKb = 20;
+        c.requestClass = profile;
+        c.deadline = now + left;
+        c.memoryKb = 20;
         return c;
     }
 
-    void step(Round round, Nanos passed = 20ms) {
+    void step(EventBatch round, Duration passed = 20ms) {
         now += passed;
         round.now = now;
         if (wake >= 0ns && now >= wake && !round.gauges) {
             round.gauges = Gauges{0.5, asking.value_or(on(At::Cores)), 0.1, 3.0};
             wake = -1ns;
         }
-        if (round.stopAt && noticeAt < 0ns) noticeAt = now, stopAt = *round.stopAt;
-        for (const Command& c : round.read) {
+        if (round.shutdownAt && noticeAt < 0ns) noticeAt = now, stopAt = *round.shutdownAt;
+        for (const Request& c : round.arrivals) {
             Work& w = work[c.id];
             w.command = c;
-            w.reached = now - c.waited;
-            w.due = std::max(c.due.value_or(w.reached + terms.profiles[c.profile].hardStop), now);
+            w.reached = now - c.queuedBeforeRead;
+            w.due =
+                std::max(c.deadline.value_or(w.reached + terms.requestClasses[c.requestClass].timeout), now);
         }
-        for (const Result& r : round.callsBack) {
+        for (const Completion& r : round.dependencyResults) {
             Work& w = work.at(r.id);
-            if (r.outcome == Outcome::TimedOut) lingering.push_back(now + terms.linger);
+            if (r.outcome == Outcome::TimedOut) lingering.push_back(now + terms.abandonedCallTime);
             w.at = r.outcome == Outcome::Ok ? At::Cores : At::Call;
-            w.lastCallNeverRan = r.outcome == Outcome::Full || r.outcome == Outcome::Unreachable ||
-                                 r.outcome == Outcome::NoRoom;
+            w.lastCallNeverRan = r.outcome == Outcome::ResourceExhausted ||
+                                 r.outcome == Outcome::Unreachable || r.outcome == Outcome::LocalLimit;
             if (r.outcome == Outcome::Ok) w.calledBefore = false;
             --out;
         }
-        for (const CommandId id : round.parked) work.at(id).at = At::Call, work.at(id).calledBefore = false;
-        for (const Result& r : round.runsEnded) {
+        for (const RequestId id : round.waitingForDependency)
+            work.at(id).at = At::Call, work.at(id).calledBefore = false;
+        for (const Completion& r : round.runResults) {
             if (work.at(r.id).at == At::Below) --out;
             work.erase(r.id);
         }
-        for (const CommandId id : round.callersLeft) {
+        for (const RequestId id : round.clientCancellations) {
             Work& w = work.at(id);
             w.left = true;
             if (w.at == At::Hold || w.at == At::Joined) work.erase(id);
         }
-        decider->decide(round, *this);
+        controller->decide(round, *this);
         judge(round);
     }
-    void step(Nanos passed = 20ms) { step(Round{}, passed); }
+    void step(Duration passed = 20ms) { step(EventBatch{}, passed); }
 
     int on(At place) const {
         return static_cast<int>(std::count_if(work.begin(), work.end(),
                                               [&](const auto& entry) { return entry.second.at == place; }));
     }
-    Repeat repeat(const Work& w) const { return terms.profiles[w.command.profile].repeat; }
-    CommandId tag(const Work& w) const { return w.command.repeats != 0 ? w.command.repeats : w.command.id; }
+    Idempotency repeat(const Work& w) const {
+        return terms.requestClasses[w.command.requestClass].idempotency;
+    }
+    RequestId tag(const Work& w) const {
+        return w.command.duplicateOf != 0 ? w.command.duplicateOf : w.command.id;
+    }
     double memoryKb() const {
         double sum = 0;
         for (const auto& [id, w] : work)
-            sum += w.command.heldKb * (w.at == At::Hold || w.at == At::Joined ? 1 : terms.runFactor);
-        for (const auto& [id, until] : kept) sum += until > now ? terms.entryKb : 0;
+            sum += w.command.memoryKb * (w.at == At::Hold || w.at == At::Joined ? 1 : terms.runMemoryFactor);
+        for (const auto& [id, until] : kept) sum += until > now ? terms.idempotencyKeyKb : 0;
         return sum;
     }
 
     // Rules 1 and 4, after every round.
-    void judge(const Round&) {
+    void judge(const EventBatch&) {
         for (const auto& [id, w] : work)
             if (!w.answered && !w.left) {
                 rule(now <= w.due + 80ms, "lost");
                 if (stopAt >= 0ns) rule(now < stopAt, "unanswered at the stop");
             }
-        rule(memoryKb() <= terms.memoryKb, "fell over: memory");
+        rule(memoryKb() <= terms.memoryLimitKb, "fell over: memory");
         crowd.push_back(on(At::Cores));
-        const std::size_t over = static_cast<std::size_t>(terms.fallOver / 20ms);
+        const std::size_t over = static_cast<std::size_t>(terms.overloadWindow / 20ms);
         if (crowd.size() >= over) {
             double mean = 0;
             for (std::size_t i = crowd.size() - over; i < crowd.size(); ++i) mean += crowd[i] / over;
-            const double warm = std::min(1.0, terms.startCapacity + (now - born) / (1.0 * terms.rampTime));
-            rule(mean <= terms.cores * (1 + (terms.fallMultiple - 1) * (terms.cold ? warm : 1)), "crowd");
+            const double warm =
+                std::min(1.0, terms.coldCapacityFraction + (now - born) / (1.0 * terms.warmUpTime));
+            rule(mean <= terms.cores * (1 + (terms.overloadFactor - 1) * (terms.startsCold ? warm : 1)),
+                 "crowd");
         }
-        std::erase_if(lingering, [&](Nanos until) { return until <= now; });
+        std::erase_if(lingering, [&](Duration until) { return until <= now; });
         below.push_back(out + static_cast<double>(lingering.size()));
-        const auto window = static_cast<std::size_t>(terms.callsOver / 20ms);
-        if (terms.below == Below::Shared && below.size() >= window)
+        const auto window = static_cast<std::size_t>(terms.dependencyQuotaWindow / 20ms);
+        if (terms.dependency == DependencyKind::Shared && below.size() >= window)
             rule(std::accumulate(below.end() - static_cast<long>(window), below.end(), 0.0) <=
-                     terms.callShare * static_cast<double>(window),
+                     terms.dependencyQuota * static_cast<double>(window),
                  "load below");
     }
 
-    void start(CommandId id) override {
+    void startRun(RequestId id) override {
         ++starts;
         Work& w = work.at(id);
         rule(w.at == At::Hold && !w.answered && !w.ran, "started twice");
         if (noticeAt >= 0ns) rule(w.reached <= noticeAt + terms.drainGrace, "started after the grace");
-        if (repeat(w) == Repeat::Keyed) {
+        if (repeat(w) == Idempotency::WithKey) {
             const auto ran = ranTags.find(tag(w));
             if (ran != ranTags.end())
-                rule(w.reached > ran->second.first + terms.profiles[w.command.profile].window, "twice");
+                rule(w.reached >
+                         ran->second.first + terms.requestClasses[w.command.requestClass].idempotencyWindow,
+                     "twice");
             const auto entry = kept.find(tag(w));
-            rule(entry != kept.end() && entry->second >= w.reached + terms.profiles[w.command.profile].window,
+            rule(entry != kept.end() &&
+                     entry->second >=
+                         w.reached + terms.requestClasses[w.command.requestClass].idempotencyWindow,
                  "no entry for the window");
             ranTags[tag(w)] = {w.reached, id};
         }
         w.ran = true;
         w.at = At::Cores;
     }
-    void answer(CommandId id) {
+    void answer(RequestId id) {
         Work& w = work.at(id);
         rule(!(w.answered), "answered twice");
         w.answered = true;
     }
-    void bounce(CommandId id, Nanos wait, bool) override {
+    void reject(RequestId id, const Pushback& pushback) override {
         ++bounces;
-        comeBack = wait;
-        rule(wait <= terms.longestComeBack, "come back too late");
+        retryAfter = pushback.retryAfter;
+        rule(pushback.retryAfter <= terms.maxRetryAfter, "come back too late");
         rule(!(work.at(id).ran), "bounced after it ran");
         answer(id);
         work.erase(id);
     }
-    void scrap(CommandId id) override {
+    void fail(RequestId id) override {
         ++scraps;
         answer(id);
         if (work.at(id).at == At::Hold || work.at(id).at == At::Joined) work.erase(id);
     }
-    void halt(CommandId id) override {
+    void cancelRun(RequestId id) override {
         ++halts;
         rule(work.at(id).answered || work.at(id).left, "halted");
     }
-    void call(CommandId id, Nanos p) override {
+    void callDependency(RequestId id, Duration p) override {
         ++calls, ++out;
         patience = p;
         Work& w = work.at(id);
         rule(w.at == At::Call && !w.answered, "not at a call");
-        if (repeat(w) != Repeat::Repeatable) rule(!w.calledBefore || w.lastCallNeverRan, "call repeated");
+        if (repeat(w) != Idempotency::Idempotent)
+            rule(!w.calledBefore || w.lastCallNeverRan, "call repeated");
         w.at = At::Below;
         w.callEnds = now + p;
         w.calledBefore = true;
     }
-    void leaveOut(CommandId id) override {
+    void skipDependencyCall(RequestId id) override {
         ++leftOut;
         Work& w = work.at(id);
         rule(w.at == At::Call, "left out when at no call");
-        rule(terms.profiles[w.command.profile].poorerShare > 0, "left out against the terms");
+        rule(terms.requestClasses[w.command.requestClass].degradedValueFraction > 0,
+             "left out against the terms");
         w.at = At::Cores;
     }
-    void keep(CommandId id, Nanos lifetime) override { kept[id] = now + lifetime; }
-    void forget(CommandId id) override { kept.erase(id); }
-    void join(CommandId id) override {
-        rule(work.at(id).command.repeats != 0U, "joined to nothing");
+    void retainKey(RequestId id, Duration lifetime) override { kept[id] = now + lifetime; }
+    void releaseKey(RequestId id) override { kept.erase(id); }
+    void joinDuplicate(RequestId id) override {
+        rule(work.at(id).command.duplicateOf != 0U, "joined to nothing");
         work.at(id).at = At::Joined;
     }
-    void health(bool value) override { good = value; }
-    void freeValue(double) override {
-        rule(terms.freeValue != FreeValue::None, "free value against the terms");
+    void setHealth(bool value) override { good = value; }
+    void advertiseLoadShare(double) override {
+        rule(terms.loadSignal != LoadSignal::None, "free value against the terms");
     }
-    void closeIdle(Nanos unusedFor) override { idle = unusedFor; }
-    void wakeAfter(Nanos wait) override { wake = now + wait; }
+    void closeIdleConnections(Duration unusedFor) override { idle = unusedFor; }
+    void scheduleTick(Duration wait) override { wake = now + wait; }
     void log(std::string_view line) override { logs.emplace_back(line); }
     bool logged(std::string_view word) const {
         return std::any_of(logs.begin(), logs.end(),
@@ -256,7 +271,7 @@
 
 // Turns the loop until it is so; a limit that only a defect reaches.
 template <typename Condition>
-void until(net::Loop& loop, Condition&& condition, Nanos limit = 20s) {
+void until(net::Loop& loop, Condition&& condition, Duration limit = 20s) {
     bool late = false;
     net::Timer watch(loop, [&] { late = true; });
     watch.start(limit);
@@ -334,10 +349,10 @@
              {"job", job},
              {"state", state},
              {"took", 5},
-             {"data", runs::encode64(result)}});
+             {"data", worker_pool::encode64(result)}});
     }
     void block(const std::string& job, const std::string& body) {
-        say({{"type", "blocked"}, {"job", job}, {"data", runs::encode64(body)}});
+        say({{"type", "blocked"}, {"job", job}, {"data", worker_pool::encode64(body)}});
     }
     void send(const Json& line) { server.lines.back().connection->send(line.dump() + "\n"); }
 
@@ -355,7 +370,7 @@
         for (std::size_t end; (end = text.find('\n')) != text.npos; text.erase(0, end + 1)) {
             const Json all = Json::parse(text.substr(0, end));
             const std::string type = all["type"], job = all.value("job", "");
-            const std::string data = runs::decode64(all.value("data", "")).value();
+            const std::string data = worker_pool::decode64(all.value("data", "")).value();
             if (type == "bind") {
                 binds.push_back(all);
                 boundOn = server.accepted;
@@ -566,7 +581,7 @@
     void arrived(net::Connection& from) override {
         std::size_t length = 0;
         std::string scratch;
-        while (intake::lookForFrame(from.input(), length) == intake::FrameState::Whole) {
+        while (thrift::lookForFrame(from.input(), length) == thrift::FrameState::Whole) {
             heard.push_back(frames::read(std::string(from.input().peek(4 + length, scratch).substr(4))));
             from.input().drop(4 + length);
             if (heard.back().method == "goaway")
@@ -618,9 +633,9 @@
         return found == variables.end() ? nullptr : found->second.c_str();
     });
 }
-inline launch::Start startOf(const Json& all,
-                             Reply variables = {{"GW_NAME", "n3"}, {"GW_LISTEN", "127.0.0.1:0"}}) {
-    return withFile(all, launch::readStart, std::move(variables));
+inline config::ProcessConfig startOf(const Json& all,
+                                     Reply variables = {{"GW_NAME", "n3"}, {"GW_LISTEN", "127.0.0.1:0"}}) {
+    return withFile(all, config::readProcessConfig, std::move(variables));
 }
 
 // One backend and all that it talks to, on one loop.
@@ -632,11 +647,11 @@
                            const std::string& body) { return HttpStandIn::reply(200, "re:" + body); }),
           registry(loop, [](net::Connection&, const std::string&,
                             const std::string&) { return HttpStandIn::reply(204); }),
-          log(lines, report::Level::Debug),
-          server([&]() -> launch::Start {
-              launch::Start told = startOf(start);
-              told.pool = pool.server.address();
-              told.records = records.server.address();
+          log(lines, telemetry::Level::Debug),
+          server([&]() -> config::ProcessConfig {
+              config::ProcessConfig told = startOf(start);
+              told.workerPool = pool.server.address();
+              told.dependency = records.server.address();
               told.registry = registry.server.address();
               return told;
           }()) {
@@ -644,7 +659,7 @@
         program = std::make_unique<Server>(loop, server, log, counters);
     }
     void bound() {
-        until(loop, [&] { return program->backend().well(); });
+        until(loop, [&] { return program->backend().healthy(); });
     }
     template <typename Condition>
     void wait(Condition&& condition) {
@@ -655,29 +670,30 @@
         withFile(all, [&](const auto& told) { program->readAgain(told); });
     }
     int port() const { return program->sidecars().port(); }
-    std::uint64_t count(report::Count kind) const { return counters.of(kind); }
+    std::uint64_t count(telemetry::Count kind) const { return counters.of(kind); }
     std::uint64_t count(net::ConnectionEnd end) const { return counters.of(end); }
     // Each command read has one kind of answer, or its caller left.
     void expectBooksClosed() const {
-        using report::Count;
-        EXPECT_EQ(count(Count::CommandsRead), count(Count::Handled) + count(Count::Bounced) +
-                                                  count(Count::Scrapped) + count(Count::CallersLeft));
-        EXPECT_EQ(count(Count::CallsBegun), count(Count::CallsOk) + count(Count::CallsError) +
-                                                count(Count::CallsFull) + count(Count::CallsTimedOut) +
-                                                count(Count::CallsUnreachable) + count(Count::CallsBroken) +
-                                                count(Count::CallsMoot) + count(Count::CallsGivenUp) +
-                                                count(Count::CallsNoRoom) + count(Count::CallsSpoilt));
-        EXPECT_EQ(program->backend().inHand(), 0U);
-        EXPECT_EQ(program->records().out(), 0U);
+        using telemetry::Count;
+        EXPECT_EQ(count(Count::RequestsRead), count(Count::Completed) + count(Count::Rejected) +
+                                                  count(Count::Failed) + count(Count::ClientCancellations));
+        EXPECT_EQ(count(Count::CallsStarted),
+                  count(Count::CallsOk) + count(Count::CallsError) + count(Count::CallsResourceExhausted) +
+                      count(Count::CallsTimedOut) + count(Count::CallsUnreachable) +
+                      count(Count::CallsConnectionLost) + count(Count::CallsSuperseded) +
+                      count(Count::CallsAbandoned) + count(Count::CallsLocalLimit) +
+                      count(Count::CallsMalformedResponse));
+        EXPECT_EQ(program->backend().trackedCount(), 0U);
+        EXPECT_EQ(program->records().callsInFlight(), 0U);
     }
 
     net::Loop loop;
     Pool pool;
     HttpStandIn records, registry;
     std::ostringstream lines;
-    report::Log log;
-    report::Counters counters;
-    launch::Start server;
+    telemetry::Log log;
+    telemetry::Counters counters;
+    config::ProcessConfig server;
     std::unique_ptr<Server> program;
 };
 
--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -225,7 +225,7 @@
     Latencies one, other;
     for (int n = 1 + upTo(300); n > 0; --n) {
         times.push_back(1000 + static_cast<std::int64_t>(std::pow(10, upTo(800) / 100.0)) * (1 + upTo(99)));
-        (upTo(1) ? one : other).add(Nanos(times.back()));
+        (upTo(1) ? one : other).add(Duration(times.back()));
     }
     one.add(other);
     std::sort(times.begin(), times.end());
@@ -322,12 +322,12 @@
 // Counts for itself when each command was due, by the id of its first try.
 class Schedule : public Watcher {
 public:
-    void planned(const Planned& planned, Nanos scheduled) override {
+    void planned(const Planned& planned, Duration scheduled) override {
         const std::lock_guard hold(guard);
         due[planned.number] = scheduled;
     }
     std::mutex guard;
-    std::map<std::uint64_t, Nanos> due;
+    std::map<std::uint64_t, Duration> due;
 };
 
 double exactQuantile(std::vector<double> values, double part) {
@@ -474,7 +474,7 @@
         true);
     terms->sendWithin = 1s;
     Clocks clocks;
-    const Nanos begun = steadyNow();
+    const Duration begun = steadyNow();
     clocks.unix = [begun] { return net::unixNow() - (steadyNow() - begun > 300ms ? 3600s : 0s); };
     const LoadResult result = play(*terms, {}, clocks);
     expectAddsUp(result);
@@ -485,7 +485,7 @@
 // The worker itself gets no time for a while, as on a machine with too few cores.
 class Starves : public Watcher {
 public:
-    void planned(const Planned& planned, Nanos) override {
+    void planned(const Planned& planned, Duration) override {
         if (planned.number == 20) std::this_thread::sleep_for(300ms);
     }
 };
--- a/tests/lab_world_test.cpp
+++ b/tests/lab_world_test.cpp
@@ -33,10 +33,10 @@
     Cores cores(terms);
     cores.start(0s);
     std::map<std::uint64_t, double> plain;
-    std::vector<std::pair<std::uint64_t, Nanos>> ends, plainEnds;
+    std::vector<std::pair<std::uint64_t, Duration>> ends, plainEnds;
     std::uint64_t next = 1;
-    constexpr Nanos kStep = 100us;
-    for (Nanos now = 0s; now < 400ms; now += kStep) {
+    constexpr Duration kStep = 100us;
+    for (Duration now = 0s; now < 400ms; now += kStep) {
         if (now % 5ms == 0ns) {
             if (next <= 30 && upTo(2) == 0) {
                 const double work = 0.001 * (1 + upTo(40));
@@ -66,7 +66,7 @@
         // Both may see the same end in neighbouring steps: what one has ended the other ends soon.
         RC_ASSERT(cores.running() <= plain.size() + 2 && plain.size() <= cores.running() + 2);
     }
-    std::map<std::uint64_t, Nanos> byId(plainEnds.begin(), plainEnds.end());
+    std::map<std::uint64_t, Duration> byId(plainEnds.begin(), plainEnds.end());
     for (const auto& [id, at] : ends) {
         const auto found = byId.find(id);
         if (found == byId.end()) {
@@ -103,7 +103,7 @@
     Profile read, write;
     read.name = "read";
     write.name = "write";
-    write.repeat = Repeat::OnceOnly;
+    write.repeat = Idempotency::None;
     return {read, write};
 }
 Planned planned(int profile, double kb = 20) {
@@ -184,7 +184,7 @@
 
 std::string spawnLine(int job, int micros, int calls) {
     const std::string name = "000000000000000" + std::to_string(job);
-    return runs::startLine(
+    return worker_pool::startLine(
         name, "read",
         "cw1 " + name + " " + std::to_string(micros) + " " + std::to_string(calls) + " 1000 0;");
 }
@@ -208,14 +208,14 @@
     terms.twiceEvery = 2;
     WorkerPool pool(place.loop, 0, place.at, terms, place.books);
     auto link = std::make_unique<Peer>(place.loop, place.at);
-    link->connection->send(runs::bindLine(0) + spawnLine(1, 2000, 1) + spawnLine(2, 1000, 0));
+    link->connection->send(worker_pool::bindLine(0) + spawnLine(1, 2000, 1) + spawnLine(2, 1000, 0));
     until(place.loop, [&] { return link->heard("blocked") && link->heard("finished"); });
     EXPECT_TRUE(link->heard("\"bound\""));
     link.reset();
     link = std::make_unique<Peer>(place.loop, place.at);
-    link->connection->send(runs::bindLine(0));
+    link->connection->send(worker_pool::bindLine(0));
     until(place.loop, [&] { return link->heard("blocked") && link->heard("finished"); });
-    link->connection->send(runs::supplyLine("0000000000000001", "reply"));
+    link->connection->send(worker_pool::supplyLine("0000000000000001", "reply"));
     until(place.loop, [&] { return link->heard("\"n\":3"); });
     EXPECT_EQ(pool.inHand(), 0U);
     link->connection->send("this is no command\n");
@@ -231,7 +231,7 @@
     terms.fallOver = 100ms;
     WorkerPool pool(place.loop, 0, place.at, terms, place.books);
     Peer link(place.loop, place.at);
-    link.connection->send(runs::bindLine(0));
+    link.connection->send(worker_pool::bindLine(0));
     for (int job = 1; job < 8; ++job) link.connection->send(spawnLine(job, 50000000, 0));
     until(place.loop, [&] { return count(place.books, Rule::FallOver) > 0; });
 }
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -58,24 +58,25 @@
     const int sockets = *rc::gen::inRange(64, 4096), megabytes = *rc::gen::inRange(16, 1024);
     Json all = testing::plainStart();
     all["limits"] = {{"cores", 0.5}, {"memory_mb", megabytes}, {"sockets", sockets}};
-    const launch::Shares shares = testing::startOf(all).shares;
-    RC_ASSERT(shares.sidecars * 2 > static_cast<std::size_t>(sockets));  // theirs by right, and some
-    RC_ASSERT(shares.sidecars + shares.calls + 4 <= static_cast<std::size_t>(sockets));
+    const config::ResourceLimits shares = testing::startOf(all).limits;
+    RC_ASSERT(shares.thriftConnections * 2 > static_cast<std::size_t>(sockets));  // theirs by right, and some
+    RC_ASSERT(shares.thriftConnections + shares.dependencyConnections + 4 <=
+              static_cast<std::size_t>(sockets));
     const std::size_t bytes = static_cast<std::size_t>(megabytes) << 20;
-    RC_ASSERT(shares.sidecarBytes + shares.callBytes + shares.commandBytes + shares.poolBytes <=
+    RC_ASSERT(shares.thriftBytes + shares.dependencyBytes + shares.requestBytes + shares.workerPoolBytes <=
               bytes / 8 * 5);
 }
 
 TEST(ConnectionEnd, HasOneOutcomeEach) {
-    const std::map<ConnectionEnd, Outcome> expected = {{ConnectionEnd::PeerClosed, Outcome::Broken},
-                                                       {ConnectionEnd::Reset, Outcome::Broken},
+    const std::map<ConnectionEnd, Outcome> expected = {{ConnectionEnd::PeerClosed, Outcome::ConnectionLost},
+                                                       {ConnectionEnd::Reset, Outcome::ConnectionLost},
                                                        {ConnectionEnd::ConnectRefused, Outcome::Unreachable},
                                                        {ConnectionEnd::ConnectTimedOut, Outcome::Unreachable},
                                                        {ConnectionEnd::TimedOut, Outcome::TimedOut},
                                                        {ConnectionEnd::Abandoned, Outcome::Cancelled},
-                                                       {ConnectionEnd::Malformed, Outcome::Spoilt},
-                                                       {ConnectionEnd::TooLong, Outcome::Spoilt},
-                                                       {ConnectionEnd::Unused, Outcome::Broken}};
+                                                       {ConnectionEnd::Malformed, Outcome::MalformedResponse},
+                                                       {ConnectionEnd::TooLong, Outcome::MalformedResponse},
+                                                       {ConnectionEnd::Unused, Outcome::ConnectionLost}};
     ASSERT_EQ(expected.size(), static_cast<std::size_t>(net::kConnectionEnds));
     std::set<std::string> names;
     for (const auto& [end, outcome] : expected) {
@@ -88,9 +89,9 @@
 TEST(Timer, RingsOnceAndNeverEarly) {
     net::Loop loop;
     int rings = 0;
-    Nanos at{0};
+    Duration at{0};
     net::Timer timer(loop, [&] { ++rings, at = net::unixNow(); });
-    const Nanos from = net::unixNow();
+    const Duration from = net::unixNow();
     timer.start(20ms);
     timer.start(10500us);  // in place of the first
     testing::until(loop, [&] { return rings > 0; });
@@ -114,7 +115,7 @@
 
 TEST(Log, FiltersByLevelAndCutsStorms) {
     std::ostringstream lines;
-    report::Log log(lines, report::Level::Warn);
+    telemetry::Log log(lines, telemetry::Level::Warn);
     log.info("kind", "not taken");
     EXPECT_EQ(lines.str(), "");
     for (int i = 0; i < 100; ++i) log.warn("kind", "storm");
@@ -125,8 +126,8 @@
 }
 
 TEST(Counters, ArePrintedByName) {
-    report::Counters counters;
-    counters.add(report::Count::Handled);
+    telemetry::Counters counters;
+    counters.add(telemetry::Count::Completed);
     counters.addEnd(ConnectionEnd::Reset);
     std::ostringstream line;
     counters.print(line);
@@ -136,15 +137,15 @@
 }
 
 TEST(Start, ReadsWhatItIsTold) {
-    const launch::Start start = testing::startOf(testing::plainStart());
+    const config::ProcessConfig start = testing::startOf(testing::plainStart());
     EXPECT_EQ(start.name, "n3");
-    EXPECT_EQ(start.stopAfter, 1500ms);
-    EXPECT_EQ(start.terms.seed, 0x8c1f30d27a5be964U);
-    EXPECT_EQ(start.terms.profiles.size(), 2U);
-    EXPECT_EQ(start.terms.profiles[1].promised, 2300ms);
-    EXPECT_EQ(start.names.customers.at("acme"), 0);
-    EXPECT_TRUE(start.listFollowsHealth);
-    EXPECT_EQ(start.gauges.size(), 4U);
+    EXPECT_EQ(start.shutdownTimeout, 1500ms);
+    EXPECT_EQ(start.controller.seed, 0x8c1f30d27a5be964U);
+    EXPECT_EQ(start.controller.requestClasses.size(), 2U);
+    EXPECT_EQ(start.controller.requestClasses[1].latencyObjective, 2300ms);
+    EXPECT_EQ(start.nameTables.tenants.at("acme"), 0);
+    EXPECT_TRUE(start.deregisterWhenUnhealthy);
+    EXPECT_EQ(start.gaugeNames.size(), 4U);
 }
 
 TEST(Start, NamesTheKeyItRefuses) {
@@ -179,7 +180,7 @@
         try {
             testing::startOf(all);
             ADD_FAILURE() << "taken in spite of " << key;
-        } catch (const launch::BadKey& error) {
+        } catch (const config::ConfigError& error) {
             EXPECT_NE(std::string(error.what()).find(key + ": "), std::string::npos) << error.what();
         }
     }
@@ -187,7 +188,7 @@
         try {
             testing::startOf(testing::plainStart(), variables);
             ADD_FAILURE() << "taken in spite of " << key;
-        } catch (const launch::BadKey& error) {
+        } catch (const config::ConfigError& error) {
             EXPECT_EQ(std::string(error.what()).substr(0, key.size()), key);
         }
     };
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -15,18 +15,18 @@
 int upTo(int most) { return *rc::gen::resize(1000, rc::gen::inRange(0, most + 1)); }
 bool oneIn(int n) { return upTo(n - 1) == 0; }
 
-StartTerms anyTerms() {
-    StartTerms terms = plainTerms();
+ControllerConfig anyTerms() {
+    ControllerConfig terms = plainTerms();
     terms.seed = static_cast<std::uint64_t>(upTo(1000000));
-    terms.cold = oneIn(2);
+    terms.startsCold = oneIn(2);
     terms.cores = 1 + upTo(5);
-    terms.memoryKb = 400 + 400 * upTo(10);
-    terms.halting = static_cast<Halting>(upTo(2));
-    terms.freeValue = static_cast<FreeValue>(upTo(3));
-    terms.below = static_cast<Below>(1 + upTo(1));
-    terms.callShare = 0.4 + 0.6 * upTo(5);
-    terms.senders = upTo(2) * 500;
-    if (oneIn(3)) terms.customers = {{5}, {10}};
+    terms.memoryLimitKb = 400 + 400 * upTo(10);
+    terms.runCancellation = static_cast<RunCancellation>(upTo(2));
+    terms.loadSignal = static_cast<LoadSignal>(upTo(3));
+    terms.dependency = static_cast<DependencyKind>(1 + upTo(1));
+    terms.dependencyQuota = 0.4 + 0.6 * upTo(5);
+    terms.clientCount = upTo(2) * 500;
+    if (oneIn(3)) terms.tenants = {{5}, {10}};
     return terms;
 }
 
@@ -35,52 +35,52 @@
     const int rounds = 150 + upTo(250), rush = upTo(4), fails = 1 + upTo(9), speed = 1 + upTo(19),
               lag = 1 + upTo(99);
     const int leaveAt = oneIn(2) ? upTo(rounds) : -1;
-    CommandId next = 1;
+    RequestId next = 1;
     for (int i = 0; i < rounds && machine.broken.empty(); ++i) {
-        Round round;
+        EventBatch round;
         const bool stopped = machine.stopAt >= 0ns && machine.now + 700ms > machine.stopAt;
         for (int n = stopped ? 0 : upTo(rush); n > 0; --n) {
-            Command c = machine.command(next++, upTo(2), 10ms * upTo(500));
-            c.heldKb = 1 + upTo(40);
-            c.waited = 1ms * upTo(30);
-            c.again = oneIn(5);
-            if (!machine.terms.customers.empty()) c.customer = upTo(1);
-            if (oneIn(4)) c.due.reset();
-            if (oneIn(3)) c.work = 1ms * (1 + upTo(500));
+            Request c = machine.command(next++, upTo(2), 10ms * upTo(500));
+            c.memoryKb = 1 + upTo(40);
+            c.queuedBeforeRead = 1ms * upTo(30);
+            c.isRetry = oneIn(5);
+            if (!machine.terms.tenants.empty()) c.tenant = upTo(1);
+            if (oneIn(4)) c.deadline.reset();
+            if (oneIn(3)) c.expectedWork = 1ms * (1 + upTo(500));
             // a repeat is known by the entry of the try that was kept
-            if (c.profile == 1 && !machine.kept.empty() && oneIn(2)) {
+            if (c.requestClass == 1 && !machine.kept.empty() && oneIn(2)) {
                 auto of = machine.kept.begin();
                 std::advance(of, upTo(static_cast<int>(machine.kept.size()) - 1));
-                if (of->second > machine.now + 700ms) c.repeats = of->first;
+                if (of->second > machine.now + 700ms) c.duplicateOf = of->first;
             }
-            round.read.push_back(c);
+            round.arrivals.push_back(c);
         }
-        std::vector<CommandId> ids;
+        std::vector<RequestId> ids;
         for (const auto& [id, w] : machine.work) ids.push_back(id);
-        for (const CommandId id : ids) {
+        for (const RequestId id : ids) {
             const Machine::Work& w = machine.work.at(id);
             if (w.at == Machine::At::Below && (machine.now >= w.callEnds || oneIn(lag))) {
                 const auto outcome = machine.now >= w.callEnds ? Outcome::TimedOut
                                      : oneIn(fails)            ? static_cast<Outcome>(1 + upTo(4))
                                                                : Outcome::Ok;
                 if (w.answered || w.left)
-                    round.runsEnded.push_back({id, Outcome::Cancelled, 100ms});
+                    round.runResults.push_back({id, Outcome::Cancelled, 100ms});
                 else
-                    round.callsBack.push_back({id, outcome, 50ms});
+                    round.dependencyResults.push_back({id, outcome, 50ms});
             } else if (w.at == Machine::At::Call && (w.answered || w.left)) {
-                round.runsEnded.push_back({id, Outcome::Cancelled, 100ms});
+                round.runResults.push_back({id, Outcome::Cancelled, 100ms});
             } else if (w.at == Machine::At::Cores && oneIn(speed)) {
                 if (oneIn(2) && !w.answered && !w.left)
-                    round.parked.push_back(id);
+                    round.waitingForDependency.push_back(id);
                 else
-                    round.runsEnded.push_back({id, oneIn(9) ? Outcome::Error : Outcome::Ok, 100ms});
+                    round.runResults.push_back({id, oneIn(9) ? Outcome::Error : Outcome::Ok, 100ms});
             } else if (w.at == Machine::At::Joined && oneIn(20)) {
-                round.runsEnded.push_back({id, Outcome::Ok, 100ms});
+                round.runResults.push_back({id, Outcome::Ok, 100ms});
             } else if (!w.left && !w.answered && oneIn(60)) {
-                round.callersLeft.push_back(id);
+                round.clientCancellations.push_back(id);
             }
         }
-        if (i == leaveAt) round.stopAt = machine.now + 2s + 10ms * upTo(300);
+        if (i == leaveAt) round.shutdownAt = machine.now + 2s + 10ms * upTo(300);
         if (machine.stopAt >= 0ns && machine.now + 60ms > machine.stopAt) break;
         machine.step(round, oneIn(40) && machine.stopAt < 0ns ? 60ms : 20ms);
     }
--- a/tests/scgi_test.cpp
+++ b/tests/scgi_test.cpp
@@ -162,13 +162,13 @@
     std::mt19937 chance(3);
     std::exponential_distribution<double> work(1 / 0.01);
     decide::Limit limit(decide::LimitTerms{});
-    Nanos now{0};
+    Duration now{0};
     double least = 1e9, most = 0;
     for (int n = 0; n < 30000; ++n) {
         const int flying = static_cast<int>(limit.limit());
         const double crowd = std::max(1.0, flying / 8.0);
-        now += Nanos(static_cast<std::int64_t>(1e9 * 0.01 * crowd / flying));
-        limit.good(Nanos(static_cast<std::int64_t>(work(chance) * crowd * 1e9)), flying, now);
+        now += Duration(static_cast<std::int64_t>(1e9 * 0.01 * crowd / flying));
+        limit.good(Duration(static_cast<std::int64_t>(work(chance) * crowd * 1e9)), flying, now);
         ASSERT_GE(limit.limit(), 1);
         ASSERT_LE(limit.limit(), 100);
         if (n > 10000) least = std::min(least, limit.settled()), most = std::max(most, limit.settled());
@@ -222,7 +222,7 @@
 public:
     explicit Hall(const std::vector<lab::ScgiServerTerms>& each, const std::string& front = "",
                   const std::string& group = "")
-        : log(lines, report::Level::Debug) {
+        : log(lines, telemetry::Level::Debug) {
         loop.onTrouble([](const std::string& what) { ADD_FAILURE() << what; });
         for (const auto& terms : each)
             servers.push_back(std::make_unique<ScgiServer>(loop, net::Address{"127.0.0.1", 0}, terms));
@@ -252,16 +252,16 @@
         return one->text;
     }
     void expectBooksClosed() const {
-        using report::Count;
-        EXPECT_EQ(counters.of(Count::CommandsRead),
-                  counters.of(Count::Handled) + counters.of(Count::Bounced) + counters.of(Count::Scrapped) +
-                      counters.of(Count::CallersLeft));
+        using telemetry::Count;
+        EXPECT_EQ(counters.of(Count::RequestsRead),
+                  counters.of(Count::Completed) + counters.of(Count::Rejected) + counters.of(Count::Failed) +
+                      counters.of(Count::ClientCancellations));
     }
 
     net::Loop loop;
     std::ostringstream lines;
-    report::Log log;
-    report::Counters counters;
+    telemetry::Log log;
+    telemetry::Counters counters;
     std::vector<std::unique_ptr<ScgiServer>> servers;
     std::string path;
     std::unique_ptr<serve::Gateway> gateway;
@@ -293,7 +293,7 @@
     EXPECT_EQ(sidecar.answers.at(sequence).body, "ok 0000000000000007");
     EXPECT_EQ(hall.servers[0]->lastBody(), "plain bytes");
     EXPECT_EQ(hall.asked("/board/3").substr(0, 11), "Status: 200");
-    EXPECT_EQ(hall.counters.of(report::Count::Handled), 2U);
+    EXPECT_EQ(hall.counters.of(telemetry::Count::Completed), 2U);
     hall.expectBooksClosed();
 }
 
@@ -424,7 +424,7 @@
     EXPECT_EQ(old->requests(), 1U);
     std::ofstream(hall.path) << "serve \"hall\" { broken";
     hall.gateway->readAgain(hall.path);
-    EXPECT_EQ(hall.counters.of(report::Count::ReloadsRefused), 1U);
+    EXPECT_EQ(hall.counters.of(telemetry::Count::ReloadsRejected), 1U);
     EXPECT_EQ(hall.asked("/board/2").substr(0, 11), "Status: 200");
 }
 
--- a/tests/server_test.cpp
+++ b/tests/server_test.cpp
@@ -12,7 +12,7 @@
 
 using namespace std::chrono_literals;
 using net::ConnectionEnd;
-using report::Count;
+using telemetry::Count;
 using testing::HttpStandIn;
 using testing::Json;
 using testing::Sidecar;
@@ -45,7 +45,7 @@
     }
     // Past the moment in which a kept connection is not used, as something may follow the reply on it.
     void settled() {
-        const Nanos from = net::unixNow();
+        const Duration from = net::unixNow();
         wait([&] { return net::unixNow() > from + 10ms; });
     }
     // Not from under the handler of that very connection.
@@ -128,7 +128,7 @@
         on.wait([&] { return other.gone; });
         EXPECT_TRUE(other.answers.empty());
     }
-    EXPECT_EQ(on.count(Count::BadFrames), bad.size());
+    EXPECT_EQ(on.count(Count::MalformedFrames), bad.size());
     EXPECT_EQ(on.count(ConnectionEnd::TooLong) + on.count(ConnectionEnd::Malformed), bad.size());
     EXPECT_NE(on.lines.str().find("warn sidecar: a frame is malformed"), std::string::npos);
     on.finish(1);
@@ -170,8 +170,8 @@
     on.sidecar->say(frames::serve(++sequence, Sidecar::fields(9), ""));
     on.sidecar->say(frames::serve(++sequence, Sidecar::fields(9), ""));
     EXPECT_EQ(on.answer(sequence).kind, "refusal");  // its trace is in hand already
-    EXPECT_EQ(on.count(Count::CommandsRefused), static_cast<std::uint64_t>(sequence - 1));
-    EXPECT_EQ(on.count(Count::CommandsRead), 1U);
+    EXPECT_EQ(on.count(Count::MalformedRequests), static_cast<std::uint64_t>(sequence - 1));
+    EXPECT_EQ(on.count(Count::RequestsRead), 1U);
     EXPECT_FALSE(on.sidecar->gone);
 }
 
@@ -179,13 +179,13 @@
     Served on;
     // Before: read and forgotten in one turn, it never starts.
     on.sidecar->say(frames::serve(1, Sidecar::fields(1), "") + frames::forget(2, 1));
-    on.wait([&] { return on.count(Count::CallersLeft) == 1; });
+    on.wait([&] { return on.count(Count::ClientCancellations) == 1; });
     // While: it is halted, and its place is free once that is told.
     on.sidecar->sequence = 2;
     const std::int32_t second = on.sidecar->ask(2);
     on.running(2);
     on.sidecar->say(frames::forget(4, second));
-    on.wait([&] { return on.program->backend().inHand() == 0; });
+    on.wait([&] { return on.program->backend().trackedCount() == 0; });
     EXPECT_EQ(on.pool.halted, std::vector<std::string>{Sidecar::trace(2)});
     // After.
     on.sidecar->sequence = 4;
@@ -194,7 +194,7 @@
     on.finish(3);
     on.answer(third);
     on.sidecar->say(frames::forget(6, third));
-    on.wait([&] { return on.count(Count::Forgotten) == 3; });
+    on.wait([&] { return on.count(Count::CancelMessages) == 3; });
     EXPECT_EQ(on.sidecar->answers.size(), 1U);
     EXPECT_EQ(on.pool.starts, 2);
     on.expectBooksClosed();
@@ -206,19 +206,19 @@
     on.sidecar->ask(2);
     on.running(2);
     on.sidecar->hangUp();
-    on.wait([&] { return on.program->backend().inHand() == 0; });
-    EXPECT_EQ(on.count(Count::CallersLeft), 2U);
+    on.wait([&] { return on.program->backend().trackedCount() == 0; });
+    EXPECT_EQ(on.count(Count::ClientCancellations), 2U);
     EXPECT_EQ(on.count(ConnectionEnd::PeerClosed) + on.count(ConnectionEnd::Reset), 1U);
     on.expectBooksClosed();
 }
 
 TEST(Intake, AnswersOneWhoseTimeIsUpBeforeItsDueTime) {
     Served on;
-    const Nanos from = net::unixNow();
+    const Duration from = net::unixNow();
     const std::int32_t sequence = on.sidecar->ask(1, "", "read", 900);
     EXPECT_EQ(on.answer(sequence).kind, "failed");
     EXPECT_LT(net::unixNow() - from, 950ms);
-    on.wait([&] { return on.program->backend().inHand() == 0; });
+    on.wait([&] { return on.program->backend().trackedCount() == 0; });
     EXPECT_EQ(on.pool.halted.size(), 1U);  // the run that nobody waits for any more
     EXPECT_EQ(on.sidecar->twice, 0);
     on.expectBooksClosed();
@@ -267,10 +267,10 @@
     // The first has a command in hand, and keeps its place while as many as there are come and stay.
     const std::int32_t sequence = on.sidecar->ask(1);
     on.running(1);
-    const Nanos from = net::unixNow();
+    const Duration from = net::unixNow();
     open(silent, 100, "");
     open(silent, 100, frames::isWell(1, false).substr(0, 9));
-    open(once, on.server.shares.sidecars + 20, frames::isWell(1, false));
+    open(once, on.server.limits.thriftConnections + 20, frames::isWell(1, false));
     on.wait([&] {
         return std::all_of(once.begin(), once.end(),
                            [](const auto& one) { return one->answers.contains(1); });
@@ -278,8 +278,8 @@
     on.wait(
         [&] { return std::all_of(silent.begin(), silent.end(), [](const auto& one) { return one->gone; }); });
     EXPECT_LT(net::unixNow() - from, 3s);
-    EXPECT_GT(on.count(Count::SidecarsEvicted), 20U);
-    EXPECT_LE(on.program->sidecars().connections(), on.server.shares.sidecars);
+    EXPECT_GT(on.count(Count::ConnectionsEvicted), 20U);
+    EXPECT_LE(on.program->sidecars().connections(), on.server.limits.thriftConnections);
     // Half a message on one that has spoken before: it is closed, whatever else trickles in.
     Sidecar& half = *once.back();
     half.say(std::string("\0\0\1\0", 4));
@@ -317,10 +317,10 @@
     on.sidecar->say(flood);
     std::uint64_t most = 0;
     on.wait([&] {
-        const std::uint64_t before = on.count(Count::Forgotten);
+        const std::uint64_t before = on.count(Count::CancelMessages);
         uv_run(on.loop.raw(), UV_RUN_NOWAIT);
-        most = std::max(most, on.count(Count::Forgotten) - before);
-        return on.count(Count::Forgotten) == 600;
+        most = std::max(most, on.count(Count::CancelMessages) - before);
+        return on.count(Count::CancelMessages) == 600;
     });
     EXPECT_LE(most, 130U);  // two turns, at most, lie between two looks
 }
@@ -340,13 +340,13 @@
             sidecars.back()->say(frames::serve(++sidecars.back()->sequence, fields, body));
         }
     }
-    on.wait([&] { return on.count(Count::CommandsRead) == static_cast<std::uint64_t>(asked); });
-    EXPECT_GT(on.count(Count::NoMemory), 20U);
-    EXPECT_LT(on.program->backend().inHand() * 3 * body.size(), on.server.shares.commandBytes);
+    on.wait([&] { return on.count(Count::RequestsRead) == static_cast<std::uint64_t>(asked); });
+    EXPECT_GT(on.count(Count::RejectedForMemory), 20U);
+    EXPECT_LT(on.program->backend().trackedCount() * 3 * body.size(), on.server.limits.requestBytes);
     on.wait([&] {
         for (const auto& [job, data] : std::map<std::string, std::string>(on.pool.running))
             on.pool.finish(job);
-        return on.program->backend().inHand() == 0;
+        return on.program->backend().trackedCount() == 0;
     });
     on.expectBooksClosed();
     const std::int32_t sequence = on.sidecar->ask(1000, body);  // all that was counted has been given back
@@ -373,7 +373,7 @@
     on.sidecar->ask(9);
     on.running(9);
     on.finish(9);
-    on.wait([&] { return on.count(Count::Handled) == 1; });
+    on.wait([&] { return on.count(Count::Completed) == 1; });
     on.sidecar->say(frames::isWell(5 + 9, true));
     EXPECT_TRUE(on.answer(5 + 9).good);
     EXPECT_EQ(on.pool.checks, 3);  // a run just ended well: nothing to find out
@@ -445,22 +445,22 @@
     on.pool.server.lines.back().connection->send("{not a line}\n");
     on.finish(1);
     on.answer(sequence);
-    EXPECT_EQ(on.count(Count::CallsBegun), 1U);
-    EXPECT_EQ(on.count(Count::PoolUnreadable), 1U);
+    EXPECT_EQ(on.count(Count::CallsStarted), 1U);
+    EXPECT_EQ(on.count(Count::WorkerPoolMalformedMessages), 1U);
 }
 
 TEST(PoolLink, AStartThatIsNotCarriedOutIsScrapped) {
     Served on;
     on.pool.refused.push_back(Sidecar::trace(1));
     EXPECT_EQ(on.answer(on.sidecar->ask(1)).kind, "failed");
-    EXPECT_EQ(on.count(Count::PoolUnknown), 1U);
+    EXPECT_EQ(on.count(Count::WorkerPoolUnknownRequests), 1U);
     // Callers that ask for what the pool does not know do not close the backend for others.
     for (int i = 2; i < 30; ++i) {
         if (i % 6 == 0) on.sidecar = std::make_unique<Sidecar>(on.loop, on.port());
         on.pool.refused.push_back(Sidecar::trace(i));
         EXPECT_EQ(on.answer(on.sidecar->ask(i)).kind, "failed");
     }
-    EXPECT_TRUE(on.program->backend().well());
+    EXPECT_TRUE(on.program->backend().healthy());
     on.expectBooksClosed();
 }
 
@@ -476,7 +476,7 @@
     Served on;
     on.atCall(1);
     on.wait([&] { return on.pool.supplied.contains(Sidecar::trace(1)); });
-    const Nanos from = net::unixNow();
+    const Duration from = net::unixNow();
     on.wait([&] { return net::unixNow() > from + 1100ms; });
     on.atCall(2);
     on.wait([&] { return on.pool.supplied.contains(Sidecar::trace(2)); });
@@ -504,7 +504,7 @@
     start["registry"] = text(registry.server.address());
     start["limits"]["sockets"] = "many";
     on.readAgain(start);
-    EXPECT_EQ(on.count(Count::ReloadsRefused), 1U);
+    EXPECT_EQ(on.count(Count::ReloadsRejected), 1U);
     EXPECT_NE(on.lines.str().find("refused whole: limits.sockets: "), std::string::npos);
     start["limits"]["sockets"] = 300;
     on.readAgain(start);
@@ -559,15 +559,15 @@
 TEST(Records, EachReplyHasItsOutcome) {
     const std::string notBegun = "Op-Not-Begun: 1\r\n";
     const std::vector<std::pair<std::string, Count>> cases = {
-        {HttpStandIn::reply(503, "", notBegun), Count::CallsFull},
+        {HttpStandIn::reply(503, "", notBegun), Count::CallsResourceExhausted},
         {HttpStandIn::reply(503), Count::CallsError},
         {HttpStandIn::reply(500), Count::CallsError},
         {HttpStandIn::reply(504), Count::CallsTimedOut},
-        {HttpStandIn::reply(409, "", notBegun), Count::CallsMoot},
+        {HttpStandIn::reply(409, "", notBegun), Count::CallsSuperseded},
         {HttpStandIn::reply(200, "good") + HttpStandIn::reply(200, "copy"), Count::CallsOk},
-        {"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nand so on", Count::CallsSpoilt},
-        {"no reply\r\n\r\n", Count::CallsSpoilt},
-        {"hang up", Count::CallsBroken}};
+        {"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nand so on", Count::CallsMalformedResponse},
+        {"no reply\r\n\r\n", Count::CallsMalformedResponse},
+        {"hang up", Count::CallsConnectionLost}};
     for (const auto& [reply, kind] : cases) {
         Served on;
         on.records.answer = [&](net::Connection& from, const std::string&, const std::string&) {
@@ -605,9 +605,9 @@
     on.wait([&] { return !on.records.heads.empty(); });
     on.sidecar->say(frames::forget(2, sequence));
     on.wait([&] { return on.records.server.lines.empty(); });  // its connection was closed
-    EXPECT_EQ(on.count(Count::CallsGivenUp), 1U);
+    EXPECT_EQ(on.count(Count::CallsAbandoned), 1U);
     on.finish(1, "halted");
-    on.wait([&] { return on.program->backend().inHand() == 0; });
+    on.wait([&] { return on.program->backend().trackedCount() == 0; });
     on.expectBooksClosed();
 }
 
@@ -615,9 +615,9 @@
     Served on;
     const std::int32_t sequence = on.atCall(1);
     on.wait([&] { return on.pool.supplied.contains(Sidecar::trace(1)); });
-    EXPECT_EQ(on.program->records().kept(), 1U);
+    EXPECT_EQ(on.program->records().idleConnections(), 1U);
     on.records.server.hangUp();
-    on.wait([&] { return on.program->records().kept() == 0; });
+    on.wait([&] { return on.program->records().idleConnections() == 0; });
     on.pool.block(Sidecar::trace(1), "second");
     on.wait([&] { return on.pool.supplied.at(Sidecar::trace(1)) == "re:second"; });
     EXPECT_EQ(on.count(Count::CallsOk), 2U);
@@ -635,14 +635,15 @@
     ASSERT_EQ(listen(listener, 4), 0);
     getsockname(listener, reinterpret_cast<sockaddr*>(&at), &length);
     std::ostringstream lines;
-    report::Log log(lines, report::Level::Debug);
-    report::Counters counters;
+    telemetry::Log log(lines, telemetry::Level::Debug);
+    telemetry::Counters counters;
     net::Loop loop;
-    backend::Backend backend(loop, StartTerms(), 1 << 20, 1 << 20, log, counters);
-    launch::Shares shares;
-    shares.calls = 4;
-    shares.callBytes = 1 << 20;
-    calls::Records records(loop, net::Address{"127.0.0.1", ntohs(at.sin_port)}, shares, backend, counters);
+    request::RequestManager backend(loop, ControllerConfig(), 1 << 20, 1 << 20, log, counters);
+    config::ResourceLimits shares;
+    shares.dependencyConnections = 4;
+    shares.dependencyBytes = 1 << 20;
+    dependency::HttpDependencyClient records(loop, net::Address{"127.0.0.1", ntohs(at.sin_port)}, shares,
+                                             backend, counters);
     const std::string reply = HttpStandIn::reply(200, "good");
     const auto serve = [&] {
         const int peer = accept(listener, nullptr, nullptr);
@@ -653,36 +654,40 @@
         return std::make_pair(peer,
                               std::string(bytes, static_cast<std::size_t>(std::max<ssize_t>(count, 0))));
     };
-    records.begin(1, Sidecar::trace(1), 5s, "first");
+    records.startCall(1, Sidecar::trace(1), 5s, "first");
     const auto [peer, first] = serve();
-    until(loop, [&, from = net::unixNow()] { return records.kept() == 1 && net::unixNow() > from + 10ms; });
+    until(loop, [&, from = net::unixNow()] {
+        return records.idleConnections() == 1 && net::unixNow() > from + 10ms;
+    });
     const linger reset = {1, 0};
     setsockopt(peer, SOL_SOCKET, SO_LINGER, &reset, sizeof reset);
     close(peer);
-    records.begin(2, Sidecar::trace(2), 5s, "second");
-    EXPECT_EQ(records.kept(), 0U);
+    records.startCall(2, Sidecar::trace(2), 5s, "second");
+    EXPECT_EQ(records.idleConnections(), 0U);
     uv_run(loop.raw(), UV_RUN_NOWAIT);
     const auto [again, second] = serve();
     until(loop, [&] { return counters.of(Count::CallsOk) == 2; });
     EXPECT_NE(second.find("\r\n\r\nsecond"), second.npos);
-    EXPECT_EQ(counters.of(Count::CallsBegun), 2U);
-    EXPECT_EQ(counters.of(Count::CallsBroken), 0U);
-    until(loop, [&, from = net::unixNow()] { return records.kept() == 1 && net::unixNow() > from + 10ms; });
+    EXPECT_EQ(counters.of(Count::CallsStarted), 2U);
+    EXPECT_EQ(counters.of(Count::CallsConnectionLost), 0U);
+    until(loop, [&, from = net::unixNow()] {
+        return records.idleConnections() == 1 && net::unixNow() > from + 10ms;
+    });
     // A reply that came in time is read after a stand-still, though the patience is over by then.
-    records.begin(4, Sidecar::trace(4), 100ms, "slow machine");
+    records.startCall(4, Sidecar::trace(4), 100ms, "slow machine");
     uv_run(loop.raw(), UV_RUN_NOWAIT);
     char bytes[4096];
     until(loop, [&, fd = again] { return recv(fd, bytes, sizeof bytes, MSG_DONTWAIT) > 0; });
     EXPECT_EQ(send(again, reply.data(), reply.size(), 0), static_cast<ssize_t>(reply.size()));
     std::this_thread::sleep_for(200ms);
-    until(loop, [&] { return records.out() == 0; });
+    until(loop, [&] { return records.callsInFlight() == 0; });
     EXPECT_EQ(counters.of(Count::CallsOk), 3U);
     // A second call for a command gives up the first.
-    records.begin(3, Sidecar::trace(3), 5s, "third");
-    records.begin(3, Sidecar::trace(3), 5s, "fourth");
-    EXPECT_EQ(records.out(), 1U);
-    EXPECT_EQ(counters.of(Count::CallsGivenUp), 1U);
-    records.giveUp(3);
+    records.startCall(3, Sidecar::trace(3), 5s, "third");
+    records.startCall(3, Sidecar::trace(3), 5s, "fourth");
+    EXPECT_EQ(records.callsInFlight(), 1U);
+    EXPECT_EQ(counters.of(Count::CallsAbandoned), 1U);
+    records.abandonCall(3);
     close(again);
     close(listener);
 }
@@ -698,8 +703,8 @@
     on.registry.answer = [](net::Connection&, const std::string&, const std::string&) {
         return std::string();
     };
-    const Nanos from = net::unixNow();
-    on.wait([&] { return on.count(Count::ReportsFailed) > 0; });
+    const Duration from = net::unixNow();
+    on.wait([&] { return on.count(Count::RegistryReportsFailed) > 0; });
     on.registry.answer = [](net::Connection&, const std::string&, const std::string&) {
         return HttpStandIn::reply(204);
     };
@@ -714,19 +719,19 @@
     HttpStandIn registry(
         loop, [](net::Connection&, const std::string&, const std::string&) { return std::string(); });
     std::ostringstream lines;
-    report::Log log(lines, report::Level::Debug);
-    report::Counters counters;
-    listing::Registry reports(loop, registry.server.address(), "n3", log, counters);
-    const Nanos from = net::unixNow();
+    telemetry::Log log(lines, telemetry::Level::Debug);
+    telemetry::Counters counters;
+    registry::RegistryClient reports(loop, registry.server.address(), "n3", log, counters);
+    const Duration from = net::unixNow();
     for (const bool ready : {false, true}) {
         const std::size_t before = registry.bodies.size();
         until(loop, [&] { return registry.bodies.size() == std::max<std::size_t>(before, 1); });
-        reports.say(ready);
+        reports.reportReady(ready);
         until(loop, [&] { return registry.bodies.size() == std::max<std::size_t>(before, 1) + 1; });
         EXPECT_EQ(registry.bodies.back(), ready ? R"({"state":"ready"})" : R"({"state":"draining"})");
     }
     EXPECT_LT(net::unixNow() - from, 400ms);  // not when the wait for an answer is over
-    EXPECT_EQ(counters.of(Count::ReportsFailed), 2U);
+    EXPECT_EQ(counters.of(Count::RegistryReportsFailed), 2U);
     EXPECT_EQ(lines.str().find("no report"), std::string::npos);  // one without an answer may have counted
 }
 
@@ -736,7 +741,7 @@
     const std::int32_t sequence = on.sidecar->ask(1);
     on.running(1);
     const int port = on.port();
-    const Nanos from = net::unixNow();
+    const Duration from = net::unixNow();
     on.program->leave();
     on.wait([&] { return on.registry.bodies.back() == R"({"state":"draining"})"; });
     on.sidecar->say(frames::isWell(50, false));
@@ -761,7 +766,7 @@
     Served on;
     const std::int32_t sequence = on.sidecar->ask(1, "", "read", 8000);
     on.running(1);
-    const Nanos from = net::unixNow();
+    const Duration from = net::unixNow();
     on.program->leave();
     on.loop.run();  // comes back by itself
     EXPECT_LT(net::unixNow() - from, 1500ms);
@@ -773,10 +778,10 @@
     const int polls = on.pool.polls;
     on.wait([&] { return on.pool.polls > polls; });
     std::this_thread::sleep_for(400ms);  // the machine stands still
-    const std::uint64_t before = on.count(Count::Rounds);
+    const std::uint64_t before = on.count(Count::EventBatches);
     on.loop.turnOnce();
     on.wait([&] { return on.lines.str().find("stall: pulse late") != std::string::npos; });
-    EXPECT_LE(on.count(Count::Rounds) - before, 2U);
+    EXPECT_LE(on.count(Count::EventBatches) - before, 2U);
     EXPECT_LE(on.pool.polls, polls + 2);  // of the twenty alarms that the time would hold
 }
 
@@ -804,7 +809,7 @@
     const std::int32_t sequence = on.atCall(1);
     on.wait([&] { return on.pool.supplied.contains(Sidecar::trace(1)); });
     on.records.server.hangUp();
-    on.wait([&] { return on.program->records().kept() == 0; });
+    on.wait([&] { return on.program->records().idleConnections() == 0; });
     setrlimit(RLIMIT_NOFILE, &tight);
     on.pool.block(Sidecar::trace(1), "no descriptor for this call");
     // The stand-in's closed end gave a descriptor or two back: several calls are tried until one lacks it.
@@ -903,7 +908,7 @@
     ASSERT_EQ(number, 1500);
     on.wait([&] {
         play();
-        return on.program->backend().inHand() == 0;
+        return on.program->backend().trackedCount() == 0;
     });
     int answered = 0;
     for (const auto& [id, command] : asked) {
@@ -918,9 +923,9 @@
     }
     EXPECT_GT(answered, 100);
     for (const auto& sidecar : sidecars) EXPECT_EQ(sidecar->twice, 0);
-    EXPECT_GT(on.count(Count::Handled), 50U);
+    EXPECT_GT(on.count(Count::Completed), 50U);
     EXPECT_GT(on.count(Count::CallsOk), 10U);
-    EXPECT_GT(on.count(Count::PoolLinks), 1U);
+    EXPECT_GT(on.count(Count::WorkerPoolConnections), 1U);
     sidecars.clear();
     on.sidecar->hangUp();
     on.wait([&] { return on.program->sidecars().connections() == 0; });
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,11 +1,11 @@
 // The decoder never guesses: malformed input ends with a message that names line and field.
-#include "wire/wire.h"
-
 #include <gtest/gtest.h>
 
 #include <sstream>
 
-namespace cottonwing::wire {
+#include "simulator/instance_host.h"
+
+namespace cottonwing::simulator {
 namespace {
 
 const char* const kHello =
@@ -14,7 +14,7 @@
     "\"free\"}], \"family_info\": {\"cores\": 2, \"heap_kb\": 9000, \"new_key\": 1}}\n";
 
 std::string serve(const std::string& text) {
-    Host host;
+    InstanceHost host;
     std::istringstream in(text);
     std::string reply;
     while (host.serve(in, reply)) {
@@ -26,7 +26,7 @@
     try {
         serve("CLOCK 10\n" + events + "YOUR_TURN\n");
         FAIL() << "taken: " << events;
-    } catch (const Malformed& error) {
+    } catch (const MalformedBatch& error) {
         EXPECT_NE(std::string(error.what()).find(about), std::string::npos) << error.what();
     }
 }
@@ -51,8 +51,8 @@
     complains(hello + "ENDED 3 55 fine 10\n", "unknown outcome");
     complains(hello + "BELL 3 wake on_cores\n", "health_info");
     complains("HELLO 3 77 {\"classes\": 1\n", "settings");
-    EXPECT_THROW(serve("CLOCK 10\nGONE 3"), Malformed);
-    EXPECT_THROW(serve("YOUR_TURN\n"), Malformed);
+    EXPECT_THROW(serve("CLOCK 10\nGONE 3"), MalformedBatch);
+    EXPECT_THROW(serve("YOUR_TURN\n"), MalformedBatch);
 }
 
 TEST(Wire, ANumberCanBeginAnewInOneBatch) {
@@ -62,4 +62,4 @@
 }
 
 }  // namespace
-}  // namespace cottonwing::wire
+}  // namespace cottonwing::simulator
