--- a/tests/idempotency_test.cpp
+++ b/tests/idempotency_test.cpp
@@ -9,8 +9,8 @@
 namespace {
 
 using namespace std::chrono_literals;
-using report::Count;
 using state::IdempotencyKeys;
+using telemetry::Count;
 using testing::Json;
 using testing::Sidecar;
 using testing::Stage;
@@ -27,7 +27,7 @@
     EXPECT_EQ(keys.claim("k", 3, 8, 11s, 11s, kTimes), Claim::Conflict);
     EXPECT_EQ(keys.holder("k"), 1U);
     EXPECT_EQ(keys.join("k", 2).outcome, Outcome::Pending);
-    EXPECT_EQ(keys.ended("k", 1, true, "result"), std::vector<CommandId>{2});
+    EXPECT_EQ(keys.ended("k", 1, true, "result"), std::vector<RequestId>{2});
     EXPECT_EQ(keys.join("k", 4).outcome, Outcome::Ok);
     EXPECT_EQ(keys.join("k", 4).result, "result");
 }
@@ -51,12 +51,12 @@
     keys.join("k", 2);
     keys.join("k", 3);
     keys.leave("k", 2);
-    EXPECT_EQ(keys.release("k", 9), std::vector<CommandId>());  // not its key
-    EXPECT_EQ(keys.release("k", 1), std::vector<CommandId>{3});
+    EXPECT_EQ(keys.release("k", 9), std::vector<RequestId>());  // not its key
+    EXPECT_EQ(keys.release("k", 1), std::vector<RequestId>{3});
     EXPECT_EQ(keys.join("k", 4).outcome, Outcome::NeverRan);
     EXPECT_EQ(keys.claim("k", 4, 7, 10s, 10s, kTimes), Claim::First);
     keys.ended("k", 4, false, "");
-    EXPECT_EQ(keys.release("k", 4), std::vector<CommandId>());  // it ran: nobody else may
+    EXPECT_EQ(keys.release("k", 4), std::vector<RequestId>());  // it ran: nobody else may
     EXPECT_EQ(keys.claim("k", 5, 7, 11s, 11s, kTimes), Claim::Repeat);
     EXPECT_EQ(keys.join("k", 5).outcome, Outcome::Failed);
 }
@@ -65,7 +65,7 @@
     IdempotencyKeys keys(4000);
     keys.claim("a", 1, 7, 10s, 10s, kTimes);
     keys.ended("a", 1, true, std::string(2000, 'x'));
-    CommandId next = 2;
+    RequestId next = 2;
     while (keys.claim("k" + std::to_string(next), next, 7, 10s, 10s, kTimes) == Claim::First) ++next;
     EXPECT_LE(keys.bytes(), 4000U);
     EXPECT_GT(next, 5U);
@@ -84,15 +84,15 @@
 RC_GTEST_PROP(IdempotencyKeys, NoTwoTriesOfAKeyRun, ()) {
     const std::size_t most = *rc::gen::inRange<std::size_t>(0, 20000);
     IdempotencyKeys keys(most);
-    std::map<std::string, std::pair<Nanos, CommandId>> ran;  // by key: reading of the try that holds it
-    std::map<std::string, CommandId> inHand;
-    std::map<CommandId, std::string> waits;
-    Nanos now = 100s;
-    for (CommandId id = 1; id <= 150; ++id) {
+    std::map<std::string, std::pair<Duration, RequestId>> ran;  // by key: reading of the try that holds it
+    std::map<std::string, RequestId> inHand;
+    std::map<RequestId, std::string> waits;
+    Duration now = 100s;
+    for (RequestId id = 1; id <= 150; ++id) {
         now += 1ms * *rc::gen::inRange(0, 2000);
         const std::string key = std::to_string(*rc::gen::inRange(0, 6));
-        const auto told = [&](const std::vector<CommandId>& ids) {
-            for (const CommandId one : ids) RC_ASSERT(waits.erase(one) == 1U);
+        const auto told = [&](const std::vector<RequestId>& ids) {
+            for (const RequestId one : ids) RC_ASSERT(waits.erase(one) == 1U);
         };
         switch (*rc::gen::inRange(0, 5)) {
             case 0:
@@ -109,7 +109,7 @@
                 }
                 break;
             default: {
-                const Nanos arrived = now - 1ms * *rc::gen::inRange(0, 9000);
+                const Duration arrived = now - 1ms * *rc::gen::inRange(0, 9000);
                 const Claim claim = keys.claim(key, id, 7, arrived, now, kTimes);
                 if (claim == Claim::First) {
                     RC_ASSERT(inHand.count(key) == 0U);
@@ -124,7 +124,7 @@
         RC_ASSERT(keys.bytes() <= most);
     }
     for (const auto& [key, id] : inHand)
-        for (const CommandId one : keys.ended(key, id, true, "")) RC_ASSERT(waits.erase(one) == 1U);
+        for (const RequestId one : keys.ended(key, id, true, "")) RC_ASSERT(waits.erase(one) == 1U);
     RC_ASSERT(waits.empty());
     keys.claim("last", 999, 7, now + 1h, now + 1h, kTimes);
     RC_ASSERT(keys.size() <= 1U);
@@ -172,7 +172,7 @@
     const auto first = on.ask(1, "k1");
     on.running(1);
     const auto second = on.ask(2, "k1");
-    on.wait([&] { return on.count(Count::KeyRepeats) == 1; });
+    on.wait([&] { return on.count(Count::DuplicateRequests) == 1; });
     on.pool.finish(Sidecar::trace(1), "ok", "result");
     EXPECT_EQ(on.answer(first).body, "result");
     EXPECT_EQ(on.answer(second).kind, "answer");
@@ -233,7 +233,7 @@
     Keyed on;
     EXPECT_EQ(on.answer(on.ask(1, "")).kind, "refusal");
     EXPECT_EQ(on.answer(on.ask(2, std::string(65, 'k'))).kind, "refusal");
-    EXPECT_EQ(on.count(Count::CommandsRead), 0U);
+    EXPECT_EQ(on.count(Count::RequestsRead), 0U);
 }
 
 TEST(Keyed, ACallerThatLeavesTakesItsRepeatOutOfTheLine) {
@@ -241,9 +241,9 @@
     const auto first = on.ask(1, "k1");
     on.running(1);
     const auto second = on.ask(2, "k1");
-    on.wait([&] { return on.count(Count::KeyRepeats) == 1; });
+    on.wait([&] { return on.count(Count::DuplicateRequests) == 1; });
     on.sidecar->say(frames::forget(99, second));
-    on.wait([&] { return on.count(Count::CallersLeft) == 1; });
+    on.wait([&] { return on.count(Count::ClientCancellations) == 1; });
     on.pool.finish(Sidecar::trace(1), "ok", "result");
     EXPECT_EQ(on.answer(first).body, "result");
     EXPECT_FALSE(on.sidecar->answers.contains(second));
@@ -263,6 +263,9 @@
     on.pool.finish(Sidecar::trace(1), "ok", "result");
     on.program->leave();
     on.wait([&] { return on.sidecar->goaways > 0; });
+    // Requests tell their arrival in whole milliseconds: one of this millisecond may predate the notice.
+    const auto noticedIn = net::unixNow() / 1ms;
+    on.wait([&] { return net::unixNow() / 1ms > noticedIn; });
     const auto repeat = on.ask(2, "k1"), fresh = on.ask(3, "k2");
     EXPECT_EQ(on.answer(repeat).body, "result");
     EXPECT_EQ(on.answer(fresh).kind, "busy");
@@ -293,13 +296,13 @@
     on.running(1);
     on.pool.running.clear();  // lost
     on.pool.server.hangUp();
-    on.wait([&] { return on.count(Count::PoolLinks) == 2; });
+    on.wait([&] { return on.count(Count::WorkerPoolConnections) == 2; });
     EXPECT_EQ(on.answer(1).kind, "failed");
     EXPECT_EQ(on.pool.starts, 1);
-    EXPECT_EQ(on.program->backend().inHand(), 1U);
+    EXPECT_EQ(on.program->backend().trackedCount(), 1U);
     on.wait([&] { return on.pool.starts == 2; });
     on.pool.finish(Sidecar::trace(1), "void");
-    on.wait([&] { return on.program->backend().inHand() == 0; });
+    on.wait([&] { return on.program->backend().trackedCount() == 0; });
     on.expectBooksClosed();
 }
 
