--- a/src/config/process_config.cpp
+++ b/src/config/process_config.cpp
@@ -17,16 +17,7 @@
 }
 
 net::Address readAddress(const std::string& key, const std::string& text) {
-    const std::size_t colon = text.rfind(':');
-    net::Address address{text.substr(0, colon), 0};
-    sockaddr_in parsed{};
-    if (colon != text.npos) {
-        const char* const last = text.data() + text.size();
-        const auto [end, error] = std::from_chars(text.data() + colon + 1, last, address.port);
-        if (error == std::errc() && end == last && address.port >= 0 && address.port < 65536 &&
-            uv_ip4_addr(address.host.c_str(), address.port, &parsed) == 0)
-            return address;
-    }
+    if (const auto address = net::Address::parse(text)) return *address;
     complain(key, "an address such as 127.0.0.1:8080 was expected, not '" + text + "'");
 }
 
--- a/src/fronts/scgi/front.cpp
+++ b/src/fronts/scgi/front.cpp
@@ -31,10 +31,10 @@
 }  // namespace
 
 struct ScgiFront::Line : net::Owner {
-    Line(ScgiFront& theFront, uv_stream_t* listener)
+    Line(ScgiFront& theFront, net::AcceptedSocket socket)
         : front(theFront),
           reader(theFront.terms_.bounds),
-          connection(std::make_unique<net::Connection>(theFront.loop_, listener, *this,
+          connection(std::make_unique<net::Connection>(theFront.loop_, socket, *this,
                                                        net::Bounds{32768, 2 << 20, theFront.total_})) {}
     void arrived(net::Connection& from) override {
         while (connection && !from.input().empty()) {
@@ -93,7 +93,7 @@
       log_(log),
       tend_(loop, [this] { tend(); }) {
     listener_ = std::make_unique<net::Listener>(
-        loop, terms_.listen, [this](uv_stream_t* listener) { accept(listener); },
+        loop, terms_.listen, [this](net::AcceptedSocket socket) { accept(socket); },
         [this] { return lines_.size() >= terms_.connections; });
     port_ = listener_->port();
     tend_.start(kTend);
@@ -101,9 +101,9 @@
 
 ScgiFront::~ScgiFront() = default;
 
-void ScgiFront::accept(uv_stream_t* listener) {
+void ScgiFront::accept(net::AcceptedSocket socket) {
     ++counts_.opened;
-    lines_.push_back(std::make_unique<Line>(*this, listener));
+    lines_.push_back(std::make_unique<Line>(*this, socket));
     lines_.back()->place = std::prev(lines_.end());
 }
 
--- a/src/fronts/scgi/front.h
+++ b/src/fronts/scgi/front.h
@@ -63,7 +63,7 @@
 
 private:
     struct Line;
-    void accept(uv_stream_t* listener);
+    void accept(net::AcceptedSocket socket);
     void whole(Line& line);
     std::string take(Line& line);
     void refuse(Line& line, int status, const char* letters, const std::string& why);
--- a/src/lab/emulate/answering.cpp
+++ b/src/lab/emulate/answering.cpp
@@ -34,7 +34,7 @@
 Answering::Answering(net::Loop& loop, const net::Address& at, AnsweringTerms terms)
     : loop_(loop), terms_(terms), host_(at.host), start_(steadyNow()), pace_(loop, [this] { pump(); }) {
     listener_ = std::make_unique<net::Listener>(
-        loop, at, [this](uv_stream_t* listener) { accept(listener); }, [] { return false; });
+        loop, at, [this](net::AcceptedSocket socket) { accept(socket); }, [] { return false; });
     if (terms_.stallAt >= 0ns) pace_.ringAt(start_ + terms_.stallAt + terms_.stallFor);
 }
 
@@ -45,10 +45,10 @@
            now < start_ + terms_.stallAt + terms_.stallFor;
 }
 
-void Answering::accept(uv_stream_t* listener) {
+void Answering::accept(net::AcceptedSocket socket) {
     auto line = std::make_shared<Line>(*this);
     line->connection.reset(
-        new net::Connection(loop_, listener, *line, {terms_.deaf ? 4096U : 1U << 20, 1U << 20}));
+        new net::Connection(loop_, socket, *line, {terms_.deaf ? 4096U : 1U << 20, 1U << 20}));
     lines_.push_back(std::move(line));
 }
 
--- a/src/lab/emulate/answering.h
+++ b/src/lab/emulate/answering.h
@@ -52,7 +52,7 @@
         std::int32_t sequence;
         std::string trace;
     };
-    void accept(uv_stream_t* listener);
+    void accept(net::AcceptedSocket socket);
     void hear(Line& line, const thrift::Message& message);
     void answer(Line& line, std::int32_t sequence, const std::string& trace);
     void pump();
--- a/src/lab/emulate/http_door.cpp
+++ b/src/lab/emulate/http_door.cpp
@@ -92,9 +92,9 @@
     : loop_(loop), asked_(std::move(asked)), left_(std::move(left)) {
     listener_ = std::make_unique<net::Listener>(
         loop, at,
-        [this](uv_stream_t* listener) {
+        [this](net::AcceptedSocket socket) {
             auto line = std::make_shared<Line>(*this);
-            line->connection.reset(new net::Connection(loop_, listener, *line, {65536, 1 << 20}));
+            line->connection.reset(new net::Connection(loop_, socket, *line, {65536, 1 << 20}));
             lines_.push_back(std::move(line));
         },
         [] { return false; });
--- a/src/lab/emulate/scgi_server.cpp
+++ b/src/lab/emulate/scgi_server.cpp
@@ -38,9 +38,9 @@
     : loop_(loop), host_(at.host), terms_(terms), pace_(loop, [this] { pump(); }) {
     listener_ = std::make_unique<net::Listener>(
         loop, at,
-        [this](uv_stream_t* listener) {
+        [this](net::AcceptedSocket socket) {
             auto line = std::make_shared<Line>(*this);
-            line->connection.reset(new net::Connection(loop_, listener, *line, {1 << 20, 1 << 20}));
+            line->connection.reset(new net::Connection(loop_, socket, *line, {1 << 20, 1 << 20}));
             lines_.push_back(std::move(line));
         },
         [] { return false; });
--- a/src/lab/emulate/worker_pool.cpp
+++ b/src/lab/emulate/worker_pool.cpp
@@ -59,9 +59,9 @@
 void WorkerPool::listen() {
     listener_ = std::make_unique<net::Listener>(
         loop_, at_,
-        [this](uv_stream_t* listener) {
+        [this](net::AcceptedSocket socket) {
             auto link = std::make_unique<Link>(*this);
-            link->connection.reset(new net::Connection(loop_, listener, *link, {4 << 20, 16 << 20}));
+            link->connection.reset(new net::Connection(loop_, socket, *link, {4 << 20, 16 << 20}));
             older_ = std::move(link_);  // a new link replaces the one before it
             if (older_) older_->connection.reset(), older_->closing = true;
             link_ = std::move(link);
--- a/src/lab/pace.cpp
+++ b/src/lab/pace.cpp
@@ -2,6 +2,7 @@
 
 #include <sys/timerfd.h>
 #include <unistd.h>
+#include <uv.h>
 
 #include <cerrno>
 #include <cstring>
--- a/src/lab/process.cpp
+++ b/src/lab/process.cpp
@@ -2,6 +2,7 @@
 
 #include <fcntl.h>
 #include <unistd.h>
+#include <uv.h>
 
 #include <cerrno>
 #include <csignal>
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -5,6 +5,8 @@
 #include <stdexcept>
 #include <utility>
 
+#include "net/channel.h"
+
 namespace cottonwing::net {
 
 namespace {
@@ -192,6 +194,18 @@
     connection.owner_.ended(connection, end);
 }
 
+struct ListenerHandle {
+    uv_tcp_t tcp;
+    std::function<void(AcceptedSocket)> accepts;
+    std::function<bool()> full;
+    bool waiting = false;
+    void take() {
+        waiting = full();
+        // Not taken, the connection stays in the system's queue, and the loop does not look there again.
+        if (!waiting) accepts(AcceptedSocket(*this));
+    }
+};
+
 Connection::Connection(Loop& loop, const Address& to, Owner& owner, const Bounds& bounds)
     : channel_(new Channel(loop, this, bounds)), owner_(owner) {
     const sockaddr_in address = socketAddress(to);
@@ -213,9 +227,9 @@
     channel_->queue();
 }
 
-Connection::Connection(Loop& loop, uv_stream_t* listener, Owner& owner, const Bounds& bounds)
+Connection::Connection(Loop& loop, AcceptedSocket socket, Owner& owner, const Bounds& bounds)
     : channel_(new Channel(loop, this, bounds)), owner_(owner) {
-    if (const int error = uv_accept(listener, stream(channel_->tcp)); error != 0) {
+    if (const int error = uv_accept(stream(socket.listener_->tcp), stream(channel_->tcp)); error != 0) {
         channel_->close();
         throw std::runtime_error(std::string("accept: ") + uv_strerror(error));
     }
@@ -235,6 +249,25 @@
            recv(descriptor, &byte, 1, MSG_PEEK | MSG_DONTWAIT) > 0;
 }
 
+Ring& Connection::input() { return channel_->in; }
+
+const Ring& Connection::input() const { return channel_->in; }
+
+const Ring& Connection::output() const { return channel_->out; }
+
+bool Connection::halfFull() const { return channel_->halfFull(); }
+
+bool Connection::isOpen() const { return channel_->open; }
+
+void Connection::readOnLater() { channel_->later(); }
+
+void Connection::stopReading() {
+    channel_->deaf = true;
+    channel_->pause();
+}
+
+void Connection::writeLast() { channel_->writeLast(); }
+
 void Connection::finish(std::function<void()> done) {
     std::exchange(channel_, nullptr)->finish(std::move(done));
 }
@@ -245,21 +278,9 @@
     channel_->queue();
 }
 
-struct Listener::Handle {
-    uv_tcp_t tcp;
-    std::function<void(uv_stream_t*)> accepts;
-    std::function<bool()> full;
-    bool waiting = false;
-    void take() {
-        waiting = full();
-        // Not taken, the connection stays in the system's queue, and the loop does not look there again.
-        if (!waiting) accepts(stream(tcp));
-    }
-};
-
-Listener::Listener(Loop& loop, const Address& at, std::function<void(uv_stream_t*)> accepts,
+Listener::Listener(Loop& loop, const Address& at, std::function<void(AcceptedSocket)> accepts,
                    std::function<bool()> full)
-    : handle_(new Handle{{}, std::move(accepts), std::move(full)}) {
+    : handle_(new ListenerHandle{{}, std::move(accepts), std::move(full)}) {
     uv_tcp_init(loop.raw(), &handle_->tcp);
     handle_->tcp.data = handle_;
     const sockaddr_in address = socketAddress(at);
@@ -267,17 +288,19 @@
     if (error == 0)
         error = uv_listen(stream(handle_->tcp), 511, [](uv_stream_t* listener, int status) {
             if (status != 0) return;  // out of descriptors: the library has dropped what waited
-            Loop::of(listener->loop).guarded([listener] { static_cast<Handle*>(listener->data)->take(); });
+            Loop::of(listener->loop).guarded([listener] {
+                static_cast<ListenerHandle*>(listener->data)->take();
+            });
         });
     if (error == 0) return;
     uv_close(reinterpret_cast<uv_handle_t*>(&handle_->tcp),
-             [](uv_handle_t* closed) { delete static_cast<Handle*>(closed->data); });
+             [](uv_handle_t* closed) { delete static_cast<ListenerHandle*>(closed->data); });
     throw std::runtime_error(std::string("can't listen: ") + uv_strerror(error));
 }
 
 Listener::~Listener() {
     uv_close(reinterpret_cast<uv_handle_t*>(&handle_->tcp),
-             [](uv_handle_t* closed) { delete static_cast<Handle*>(closed->data); });
+             [](uv_handle_t* closed) { delete static_cast<ListenerHandle*>(closed->data); });
 }
 
 void Listener::resume() {
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -1,11 +1,13 @@
 #include "net/loop.h"
 
+#include <uv.h>
+
 #include <algorithm>
 #include <csignal>
 #include <stdexcept>
 #include <utility>
 
-#include "net/connection.h"
+#include "net/channel.h"
 
 namespace cottonwing::net {
 
@@ -13,31 +15,51 @@
     return std::chrono::duration_cast<Duration>(std::chrono::system_clock::now().time_since_epoch());
 }
 
-Loop::Loop() {
+struct Loop::Handles {
+    uv_loop_t loop;
+    uv_prepare_t prepare;
+    uv_check_t check;
+    uv_idle_t idle;
+};
+
+Loop::Loop() : handles_(std::make_unique<Handles>()) {
     std::signal(SIGPIPE, SIG_IGN);  // a peer that is gone is told by the write
-    if (const int error = uv_loop_init(&loop_); error != 0)
+    if (const int error = uv_loop_init(&handles_->loop); error != 0)
         throw std::runtime_error(std::string("loop: ") + uv_strerror(error));
-    loop_.data = this;
-    uv_prepare_init(&loop_, &prepare_);
-    prepare_.data = this;
-    uv_prepare_start(&prepare_, [](uv_prepare_t* handle) { static_cast<Loop*>(handle->data)->turn(); });
-    uv_unref(reinterpret_cast<uv_handle_t*>(&prepare_));
-    uv_check_init(&loop_, &check_);
-    check_.data = this;
-    uv_idle_init(&loop_, &idle_);
-    idle_.data = this;
+    handles_->loop.data = this;
+    uv_prepare_init(&handles_->loop, &handles_->prepare);
+    handles_->prepare.data = this;
+    uv_prepare_start(&handles_->prepare,
+                     [](uv_prepare_t* handle) { static_cast<Loop*>(handle->data)->turn(); });
+    uv_unref(reinterpret_cast<uv_handle_t*>(&handles_->prepare));
+    uv_check_init(&handles_->loop, &handles_->check);
+    handles_->check.data = this;
+    uv_idle_init(&handles_->loop, &handles_->idle);
+    handles_->idle.data = this;
 }
 
 Loop::~Loop() {
     turn_ = nullptr;
     while (!finishing_.empty()) finishing_.back()->close();
-    uv_close(reinterpret_cast<uv_handle_t*>(&prepare_), nullptr);
-    uv_close(reinterpret_cast<uv_handle_t*>(&check_), nullptr);
-    uv_close(reinterpret_cast<uv_handle_t*>(&idle_), nullptr);
-    uv_run(&loop_, UV_RUN_DEFAULT);  // the close callbacks of all handles
-    uv_loop_close(&loop_);
+    uv_close(reinterpret_cast<uv_handle_t*>(&handles_->prepare), nullptr);
+    uv_close(reinterpret_cast<uv_handle_t*>(&handles_->check), nullptr);
+    uv_close(reinterpret_cast<uv_handle_t*>(&handles_->idle), nullptr);
+    uv_run(&handles_->loop, UV_RUN_DEFAULT);  // the close callbacks of all handles
+    uv_loop_close(&handles_->loop);
 }
 
+void Loop::run() { uv_run(&handles_->loop, UV_RUN_DEFAULT); }
+
+void Loop::turnOnce() { uv_run(&handles_->loop, UV_RUN_ONCE); }
+
+void Loop::turnWithoutWaiting() { uv_run(&handles_->loop, UV_RUN_NOWAIT); }
+
+void Loop::stop() { uv_stop(&handles_->loop); }
+
+uv_loop_s* Loop::raw() { return &handles_->loop; }
+
+Loop& Loop::of(const uv_loop_s* raw) { return *static_cast<Loop*>(raw->data); }
+
 void Loop::turn() {
     guarded([this] {
         if (turn_) turn_();
@@ -52,7 +74,7 @@
 
 void Loop::afterPoll(std::function<void()> then) {
     afterPoll_.push_back(std::move(then));
-    uv_check_start(&check_, [](uv_check_t* handle) {
+    uv_check_start(&handles_->check, [](uv_check_t* handle) {
         auto* self = static_cast<Loop*>(handle->data);
         uv_check_stop(handle);
         for (const auto& next : std::exchange(self->afterPoll_, {})) self->guarded(next);
@@ -62,7 +84,7 @@
 void Loop::readsLater(Channel* channel) {
     toRead_.push_back(channel);
     if (toRead_.size() > 1) return;
-    uv_idle_start(&idle_, [](uv_idle_t* handle) { static_cast<Loop*>(handle->data)->readOn(); });
+    uv_idle_start(&handles_->idle, [](uv_idle_t* handle) { static_cast<Loop*>(handle->data)->readOn(); });
 }
 
 // Those that wait now, once each; what one of them adds is for the next turn.
@@ -72,7 +94,7 @@
         toRead_.erase(toRead_.begin());
         guarded([channel] { channel->goOn(); });
     }
-    if (toRead_.empty()) uv_idle_stop(&idle_);
+    if (toRead_.empty()) uv_idle_stop(&handles_->idle);
 }
 
 void Loop::forgets(Channel* channel) {
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -2,16 +2,17 @@
 // connection with output is written once.
 #pragma once
 
-#include <uv.h>
-
 #include <chrono>
 #include <exception>
 #include <functional>
+#include <memory>
 #include <string>
 #include <vector>
 
 #include "overload/types.h"
 
+struct uv_loop_s;  // of libuv
+
 namespace cottonwing::net {
 
 struct Channel;
@@ -29,11 +30,16 @@
     void onTurn(std::function<void()> turn) { turn_ = std::move(turn); }
     // Told of what a handler threw: nothing may pass through the C library.
     void onTrouble(std::function<void(const std::string&)> trouble) { trouble_ = std::move(trouble); }
-    void run() { uv_run(&loop_, UV_RUN_DEFAULT); }
-    void turnOnce() { uv_run(&loop_, UV_RUN_ONCE); }
-    void stop() { uv_stop(&loop_); }
-    uv_loop_t* raw() { return &loop_; }
-    static Loop& of(uv_loop_t* raw) { return *static_cast<Loop*>(raw->data); }
+    /// Turns until stop() is called or nothing is left to wait for.
+    void run();
+    /// One turn, which waits for something to happen.
+    void turnOnce();
+    /// One turn that waits for nothing.
+    void turnWithoutWaiting();
+    void stop();
+    /// The handle of libuv, for the few that bring handles of their own to the loop.
+    uv_loop_s* raw();
+    static Loop& of(const uv_loop_s* raw);
 
     // Once, when the sockets have next been looked at: whatever lay there before this call has been handled.
     void afterPoll(std::function<void()> then);
@@ -56,10 +62,8 @@
     void turn();
     void readOn();
 
-    uv_loop_t loop_;
-    uv_prepare_t prepare_;
-    uv_check_t check_;
-    uv_idle_t idle_;
+    struct Handles;  // of libuv
+    std::unique_ptr<Handles> handles_;
     std::function<void()> turn_;
     std::vector<std::function<void()>> afterPoll_;  // emptied by the next poll
     std::function<void(const std::string&)> trouble_;
--- a/src/serve/terms.cpp
+++ b/src/serve/terms.cpp
@@ -1,7 +1,6 @@
 #include "serve/terms.h"
 
 #include <algorithm>
-#include <charconv>
 
 namespace cottonwing::serve {
 
@@ -11,16 +10,7 @@
 
 net::Address addressOf(const kdl::Value& value, int leastPort) {
     const std::string& text = kdl::text(value);
-    const std::size_t colon = text.rfind(':');
-    net::Address address{text.substr(0, colon), 0};
-    sockaddr_in parsed{};
-    const char* const last = text.data() + text.size();
-    if (colon != text.npos) {
-        const auto [end, error] = std::from_chars(text.data() + colon + 1, last, address.port);
-        if (error == std::errc() && end == last && address.port >= leastPort && address.port < 65536 &&
-            uv_ip4_addr(address.host.c_str(), address.port, &parsed) == 0)
-            return address;
-    }
+    if (const auto address = net::Address::parse(text, leastPort)) return *address;
     throw kdl::Problem(value.at, "'" + text + "' was found",
                        "an address such as \"127.0.0.1:9000\" was expected");
 }
--- a/src/thrift/thrift_server.cpp
+++ b/src/thrift/thrift_server.cpp
@@ -119,9 +119,9 @@
 }  // namespace
 
 struct ThriftServer::Line : private net::Owner {
-    Line(ThriftServer& theSidecars, uv_stream_t* listener)
+    Line(ThriftServer& theSidecars, net::AcceptedSocket socket)
         : sidecars(theSidecars),
-          connection(theSidecars.loop_, listener, *this, {kInput, kOutput, theSidecars.total_}) {}
+          connection(theSidecars.loop_, socket, *this, {kInput, kOutput, theSidecars.total_}) {}
     void arrived(net::Connection&) override { sidecars.read(*this); }
     void ended(net::Connection&, net::ConnectionEnd end) override { sidecars.end(*this, end); }
 
@@ -154,14 +154,14 @@
       counters_(counters),
       tend_(loop, [this] { tend(); }),
       listener_(std::make_unique<net::Listener>(
-          loop, at, [this](uv_stream_t* listener) { accept(listener); }, [this] { return !makeRoom(); })) {
+          loop, at, [this](net::AcceptedSocket socket) { accept(socket); }, [this] { return !makeRoom(); })) {
     tend_.start(kTend);
 }
 
 ThriftServer::~ThriftServer() = default;
 
-void ThriftServer::accept(uv_stream_t* listener) {
-    unidentified_.push_back(std::make_shared<Line>(*this, listener));
+void ThriftServer::accept(net::AcceptedSocket socket) {
+    unidentified_.push_back(std::make_shared<Line>(*this, socket));
     Line& line = *unidentified_.back();
     line.place = std::prev(unidentified_.end());
     line.since = line.used = net::unixNow();
--- a/src/thrift/thrift_server.h
+++ b/src/thrift/thrift_server.h
@@ -43,7 +43,7 @@
         std::int32_t sequence;
     };
 
-    void accept(uv_stream_t* listener);
+    void accept(net::AcceptedSocket socket);
     void read(Line& line);
     bool take(Line& line, const Message& message);
     void takeCommand(Line& line, const Message& message);
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -28,7 +28,7 @@
         : loop(theLoop),
           listener(
               loop, {"127.0.0.1", 0},
-              [this](uv_stream_t* waiting) {
+              [this](net::AcceptedSocket waiting) {
                   connection.reset(new net::Connection(loop, waiting, *this, {1 << 20, 1 << 20}));
               },
               [] { return false; }) {}
--- a/tests/helpers.h
+++ b/tests/helpers.h
@@ -292,10 +292,10 @@
         : heard_(std::move(heard)),
           listener_(std::make_unique<net::Listener>(
               loop, net::Address{"127.0.0.1", port},
-              [this, &loop](uv_stream_t* listener) {
+              [this, &loop](net::AcceptedSocket socket) {
                   ++accepted;
                   Line line;
-                  line.connection = newConnection(loop, listener);
+                  line.connection = newConnection(loop, socket);
                   lines.push_back(std::move(line));
               },
               [] { return false; })) {}
@@ -314,9 +314,8 @@
     int accepted = 0;
 
 private:
-    std::unique_ptr<net::Connection> newConnection(net::Loop& loop, uv_stream_t* listener) {
-        return std::unique_ptr<net::Connection>(
-            new net::Connection(loop, listener, *this, {1 << 20, 1 << 20}));
+    std::unique_ptr<net::Connection> newConnection(net::Loop& loop, net::AcceptedSocket socket) {
+        return std::unique_ptr<net::Connection>(new net::Connection(loop, socket, *this, {1 << 20, 1 << 20}));
     }
     void arrived(net::Connection& from) override {
         const auto line = std::find_if(lines.begin(), lines.end(),
--- a/tests/lab_world_test.cpp
+++ b/tests/lab_world_test.cpp
@@ -197,7 +197,7 @@
 
 int freePort(net::Loop& loop, const std::string& host) {
     return net::Listener(
-               loop, {host, 0}, [](uv_stream_t*) {}, [] { return false; })
+               loop, {host, 0}, [](net::AcceptedSocket) {}, [] { return false; })
         .port();
 }
 
--- a/tests/server_test.cpp
+++ b/tests/server_test.cpp
@@ -1,5 +1,6 @@
 // The whole program against stand-ins on loopback, on one loop and with conditions waited for.
 #include <sys/resource.h>
+#include <uv.h>
 
 #include <filesystem>
 #include <random>
@@ -241,7 +242,7 @@
                                  asks.size() - written % asks.size(), MSG_DONTWAIT | MSG_NOSIGNAL);
         if (now > 0) written += static_cast<std::size_t>(now);
         stuck = now > 0 ? 0 : stuck + 1;
-        uv_run(on.loop.raw(), UV_RUN_NOWAIT);
+        on.loop.turnWithoutWaiting();
     }
     const std::int32_t sequence = on.sidecar->ask(1);
     on.running(1);
@@ -318,7 +319,7 @@
     std::uint64_t most = 0;
     on.wait([&] {
         const std::uint64_t before = on.count(Count::CancelMessages);
-        uv_run(on.loop.raw(), UV_RUN_NOWAIT);
+        on.loop.turnWithoutWaiting();
         most = std::max(most, on.count(Count::CancelMessages) - before);
         return on.count(Count::CancelMessages) == 600;
     });
@@ -664,7 +665,7 @@
     close(peer);
     records.startCall(2, Sidecar::trace(2), 5s, "second");
     EXPECT_EQ(records.idleConnections(), 0U);
-    uv_run(loop.raw(), UV_RUN_NOWAIT);
+    loop.turnWithoutWaiting();
     const auto [again, second] = serve();
     until(loop, [&] { return counters.of(Count::CallsOk) == 2; });
     EXPECT_NE(second.find("\r\n\r\nsecond"), second.npos);
@@ -675,7 +676,7 @@
     });
     // A reply that came in time is read after a stand-still, though the patience is over by then.
     records.startCall(4, Sidecar::trace(4), 100ms, "slow machine");
-    uv_run(loop.raw(), UV_RUN_NOWAIT);
+    loop.turnWithoutWaiting();
     char bytes[4096];
     until(loop, [&, fd = again] { return recv(fd, bytes, sizeof bytes, MSG_DONTWAIT) > 0; });
     EXPECT_EQ(send(again, reply.data(), reply.size(), 0), static_cast<ssize_t>(reply.size()));
@@ -903,7 +904,7 @@
         if (draw(200) == 0) from.hangUp();
         if (draw(400) == 0 && from.connection) from.say("no frame at all");
         play();
-        uv_run(on.loop.raw(), UV_RUN_NOWAIT);
+        on.loop.turnWithoutWaiting();
     }
     ASSERT_EQ(number, 1500);
     on.wait([&] {
