--- /dev/null
+++ b/src/overload/arrival_handling.cpp
@@ -0,0 +1,99 @@
+#include "overload/arrival_handling.h"
+
+#include "overload/units.h"
+
+namespace cottonwing::overload {
+
+ArrivalHandling::ArrivalHandling(ControllerContext& context, RequestClosing& closing)
+    : context_(context), closing_(closing), latencyObjective_(context.config.requestClasses) {}
+
+void ArrivalHandling::accept(const Request& arrival) {
+    RequestState& request = track(arrival);
+    const bool keyed = context_.classOf(request).idempotency == Idempotency::WithKey;
+    if (keyed && arrival.duplicateOf != 0) {
+        joinDuplicate(request);
+    } else {
+        admit(request);
+    }
+}
+
+RequestState& ArrivalHandling::track(const Request& arrival) {
+    RequestState request;
+    request.id = arrival.id;
+    request.requestClass = arrival.requestClass;
+    request.tenant = arrival.tenant;
+    request.isRetry = arrival.isRetry;
+    request.arrivedAt = context_.now - arrival.queuedBeforeRead;
+    request.deadline = arrival.deadline.value_or(request.arrivedAt + context_.classOf(request).timeout);
+    request.memoryKb = arrival.memoryKb;
+    request.work = arrival.expectedWork.value_or(Duration::zero());
+
+    RequestTimes times;
+    times.arrivedAt = request.arrivedAt;
+    times.deadline = request.deadline;
+    times.work = request.work;
+    times.isRetry = request.isRetry;
+    request.objectiveEnd = latencyObjective_.endFor(request.requestClass, times);
+
+    context_.requestValue.recordArrival(valuedRequest(request));
+    context_.shedRate.recordArrival();
+    const double objectiveSeconds = toSeconds(context_.classOf(request).latencyObjective);
+    context_.pushback.recordQueueingDelay(toSeconds(arrival.queuedBeforeRead) / objectiveSeconds);
+    context_.serviceTimes.recordExpectedWork(request.requestClass, request.work);
+    context_.memory.requestArrived(request.memoryKb);
+
+    RequestState& tracked = context_.requests.add(request);
+    context_.requests.setAnswerBy(tracked, context_.shutdown.answerBy(tracked.deadline));
+    return tracked;
+}
+
+void ArrivalHandling::joinDuplicate(RequestState& request) {
+    // The earlier attempt is still here or has run: only its result may be the answer, also after the drain
+    // grace. Without memory the duplicate fails; a rejection would promise that no attempt ran.
+    request.phase = RequestPhase::JoinedDuplicate;
+    if (!context_.memory.admitsArrival(context_.now, false)) {
+        closing_.giveUp(request);
+        return;
+    }
+    context_.sink->joinDuplicate(request.id);
+}
+
+void ArrivalHandling::admit(RequestState& request) {
+    const RequestClass& requestClass = context_.classOf(request);
+    const bool needsKey = requestClass.idempotency == Idempotency::WithKey;
+    // Without room for its idempotency key a request cannot be run.
+    if (context_.shutdown.refuses(request.arrivedAt) ||
+        !context_.memory.admitsArrival(context_.now, needsKey)) {
+        closing_.giveUp(request);
+        return;
+    }
+    if (needsKey && context_.memory.retainsKeys()) retainKey(request);
+    if (runsBreakerRejects()) {
+        closing_.giveUp(request, context_.config.maxRetryAfter);
+        return;
+    }
+    // A request that would meet an open breaker is rejected before it costs work.
+    const bool callRequired = requestClass.callsDependency && requestClass.degradedValueFraction <= 0;
+    const CircuitBreaker& breaker = context_.dependency.breaker();
+    if (breaker.isOpen() && callRequired) {
+        closing_.giveUp(request, breaker.openUntil() - context_.now);
+        return;
+    }
+    context_.requests.enterAdmissionQueue(request);
+}
+
+void ArrivalHandling::retainKey(RequestState& request) {
+    const Timestamp expiry =
+        context_.memory.retainKey(request.id, context_.classOf(request).idempotencyWindow, context_.now);
+    request.key = KeyState::Retained;
+    context_.sink->retainKey(request.id, expiry - context_.now);
+}
+
+bool ArrivalHandling::runsBreakerRejects() const {
+    if (context_.runsBreaker.isOpen()) return true;
+    const bool probeInProgress =
+        context_.requests.runsInProgress() > 0 || !context_.requests.admissionQueue().empty();
+    return context_.runsBreaker.state() == CircuitBreaker::State::HalfOpen && probeInProgress;
+}
+
+}  // namespace cottonwing::overload
--- /dev/null
+++ b/src/overload/client_pushback.cpp
@@ -0,0 +1,46 @@
+#include "overload/client_pushback.h"
+
+#include <algorithm>
+
+#include "overload/units.h"
+
+namespace cottonwing::overload {
+
+namespace {
+
+constexpr double kQueueingDelayWeight = 0.1;
+constexpr double kRetryAfterPerShedFraction = 0.5;    // of the longest Retry-After
+constexpr double kRetryAfterPerQueueingDelay = 4.0;   // of the longest Retry-After
+constexpr double kToleratedRetryAfterFraction = 0.2;  // that short queueing delays would cause
+constexpr double kJitterFraction = 0.5;
+constexpr double kStayAwayPerShedFraction = 4.0;  // chance that a first attempt is to stay away
+
+}  // namespace
+
+void ClientPushback::recordQueueingDelay(double objectiveFraction) {
+    queueingDelay_ += (objectiveFraction - queueingDelay_) * kQueueingDelayWeight;
+}
+
+Duration ClientPushback::retryAfterForLoad(double shedFraction, RandomSource& random) const {
+    const double forDelay =
+        std::max(0.0, kRetryAfterPerQueueingDelay * queueingDelay_ - kToleratedRetryAfterFraction);
+    const double fraction = std::min(1.0, kRetryAfterPerShedFraction * shedFraction + forDelay);
+    const double jitter = (1 - kJitterFraction) + kJitterFraction * random.uniform();
+    return fromSeconds(toSeconds(config_.maxRetryAfter) * fraction * jitter);
+}
+
+Pushback ClientPushback::adviceFor(const Rejection& rejection, RandomSource& random) const {
+    Pushback advice;
+    advice.retryAfter = rejection.retryAfter;
+    if (advice.retryAfter == Duration::zero())
+        advice.retryAfter = retryAfterForLoad(rejection.shedFraction, random);
+    advice.retryAfter =
+        config_.retryAfterAllowed ? std::min(advice.retryAfter, config_.maxRetryAfter) : Duration::zero();
+    const bool staysAway =
+        rejection.runsSucceed &&
+        (rejection.isRetry || random.uniform() < kStayAwayPerShedFraction * rejection.shedFraction);
+    advice.retryElsewhere = !staysAway;
+    return advice;
+}
+
+}  // namespace cottonwing::overload
--- /dev/null
+++ b/src/overload/dependency_limiter.cpp
@@ -0,0 +1,78 @@
+#include "overload/dependency_limiter.h"
+
+#include <algorithm>
+
+#include "overload/units.h"
+
+namespace cottonwing::overload {
+
+namespace {
+
+constexpr double kLeastQuotaFraction = 0.4;
+constexpr double kMostQuotaFraction = 0.8;
+constexpr double kBurstMultiple = 2.0;           // of the concurrency limit
+constexpr double kBurstAccrualFraction = 0.5;    // of the quota: accrued each second, and kept at most
+constexpr double kOverloadedLimitFactor = 0.9;   // a reduction of the limit
+constexpr double kLimitGrowthFraction = 0.05;    // of the quota: an increase of the limit
+constexpr double kLeastLimitForInterval = 0.01;  // avoids a division by zero without a quota
+
+}  // namespace
+
+DependencyLimiter::DependencyLimiter(const Config& config)
+    : config_(config), concurrencyLimit_(config.quota * kLeastQuotaFraction) {}
+
+void DependencyLimiter::callEnded(bool mayStillRun, Timestamp now) {
+    --inFlight_;
+    if (mayStillRun) abandonedUntil_.insert(now + config_.abandonedCallTime);
+}
+
+void DependencyLimiter::removeExpiredAbandonedCalls(Timestamp now) {
+    abandonedUntil_.erase(abandonedUntil_.begin(), abandonedUntil_.upper_bound(now));
+}
+
+void DependencyLimiter::chargeTimeout(Duration elapsed, double random) {
+    unusedQuota_ -= toSeconds(elapsed) * random;
+}
+
+void DependencyLimiter::adapt(const CallTimeModel& callTimes, Timestamp now) {
+    if (config_.kind != DependencyKind::Shared || now < nextAdaptation_) return;
+    if (callTimes.dependencyOverloaded()) {
+        concurrencyLimit_ *= kOverloadedLimitFactor;
+        nextAdaptation_ = now + fromSeconds(callTimes.recentSeconds());
+    } else {
+        concurrencyLimit_ += kLimitGrowthFraction * config_.quota;
+    }
+    concurrencyLimit_ = std::clamp(concurrencyLimit_, config_.quota * kLeastQuotaFraction,
+                                   config_.quota * kMostQuotaFraction);
+}
+
+double DependencyLimiter::quotaToAccrue() const {
+    // What was borrowed is paid back at half of the quota, so that a call that hung is soon followed by the
+    // next.
+    const double most = kBurstAccrualFraction * config_.quota;
+    return unusedQuota_ < 0 ? most : std::min(concurrencyLimit_, most);
+}
+
+void DependencyLimiter::accrueUnusedQuota(double elapsedSeconds) {
+    unusedQuota_ =
+        std::min(quotaToAccrue(), unusedQuota_ + (quotaToAccrue() - inProgress()) * elapsedSeconds);
+}
+
+double DependencyLimiter::inProgress() const {
+    return inFlight_ + static_cast<double>(abandonedUntil_.size());
+}
+
+bool DependencyLimiter::hasCapacity(bool dependencyOverloaded) const {
+    if (config_.kind != DependencyKind::Shared) return true;
+    const double withThisCall = inProgress() + 1;
+    if (withThisCall <= concurrencyLimit_) return true;
+    const double burstLimit = dependencyOverloaded ? concurrencyLimit_ : kBurstMultiple * concurrencyLimit_;
+    return withThisCall <= std::max(1.0, burstLimit) && hasUnusedQuota();
+}
+
+double DependencyLimiter::secondsBetweenCalls(double callSeconds) const {
+    if (config_.kind != DependencyKind::Shared) return 0;
+    return callSeconds / std::max(concurrencyLimit_, kLeastLimitForInterval);
+}
+
+}  // namespace cottonwing::overload
--- /dev/null
+++ b/src/overload/graceful_shutdown.h
@@ -0,0 +1,38 @@
+/// @file
+/// Graceful shutdown: which requests may still run after the notice, and until when they are answered.
+#pragma once
+
+#include <optional>
+
+#include "overload/types.h"
+
+namespace cottonwing::overload {
+
+/// After the shutdown notice the server drains: requests that arrived later than a grace period after it are
+/// rejected, and all are answered before the process ends.
+class GracefulShutdown {
+public:
+    /// @param drainGrace time after the notice in which arrivals are still run.
+    explicit GracefulShutdown(Duration drainGrace) : drainGrace_(drainGrace) {}
+
+    /// Notes the shutdown notice; only the first one counts.
+    /// @param endsAt when the process ends.
+    /// @return whether it was the first.
+    bool begin(Timestamp now, const std::optional<Timestamp>& endsAt);
+
+    bool draining() const { return endsAt_.has_value(); }
+
+    /// @return whether a request that reached the server at this time must not be run any more.
+    bool refuses(Timestamp arrivedAt) const;
+
+    /// @param deadline when the client stops waiting.
+    /// @return when its request must be answered: somewhat before the deadline and before the process ends.
+    Timestamp answerBy(Timestamp deadline) const;
+
+private:
+    Duration drainGrace_;
+    Timestamp noticeAt_{0};
+    std::optional<Timestamp> endsAt_;
+};
+
+}  // namespace cottonwing::overload
--- /dev/null
+++ b/src/overload/load_advertiser.h
@@ -0,0 +1,27 @@
+/// @file
+/// The load share that the server advertises to its clients.
+#pragma once
+
+#include <optional>
+
+#include "overload/types.h"
+
+namespace cottonwing::overload {
+
+/// Advertises the share of its usual traffic that the server can take. Only with LoadSignal::Share: a client
+/// that heeds a threshold or a window gives requests up for the whole fleet.
+class LoadAdvertiser {
+public:
+    explicit LoadAdvertiser(LoadSignal signal) : signal_(signal) {}
+
+    /// Lowers the share while requests are shed, to 0.4 at least, and raises it slowly otherwise.
+    /// @param shedFraction of the requests, from 0 to 1.
+    /// @return the share to advertise if it changed.
+    std::optional<double> update(double shedFraction);
+
+private:
+    LoadSignal signal_;
+    double share_ = 1;
+};
+
+}  // namespace cottonwing::overload
--- /dev/null
+++ b/src/overload/request_state.h
@@ -0,0 +1,66 @@
+/// @file
+/// What the controller remembers of one request in progress.
+#pragma once
+
+#include "overload/retry_policy.h"
+#include "overload/types.h"
+
+namespace cottonwing::overload {
+
+/// Where a request is on its way.
+enum class RequestPhase {
+    Queued,                ///< In the admission queue, or not yet admitted.
+    JoinedDuplicate,       ///< Waits for the result of an earlier attempt; never runs itself.
+    OnCores,               ///< Its run computes.
+    WaitingForDependency,  ///< Its run wants a dependency call that is not sent yet, or is to be retried.
+    CallingDependency      ///< Its dependency call is in flight.
+};
+
+/// Whether the client still waits for an answer.
+enum class AnswerState {
+    Pending,
+    Closed  ///< Answered, or the client cancelled; only the end of the run is still to come.
+};
+
+/// Whether an idempotency key is retained for the request.
+enum class KeyState { NotRetained, Retained };
+
+/// Why a call was sent to the dependency.
+enum class CallPurpose { Regular, HalfOpenProbe };
+
+/// The dependency call that a run waits for, and its calls so far.
+struct DependencyCallState {
+    int callsWanted = 0;  ///< By the run so far, this one included.
+    int attempts = 0;     ///< Of this call.
+    Timestamp retryAt{0};
+    AttemptTime attemptTime = AttemptTime::Full;
+    CallPurpose purpose = CallPurpose::Regular;
+};
+
+struct RequestState {
+    RequestId id = 0;
+    int requestClass = 0;
+    int tenant = -1;  ///< -1: none.
+    bool isRetry = false;
+    Timestamp arrivedAt{0};
+    Timestamp deadline{0};      ///< When the client stops waiting.
+    Timestamp answerBy{0};      ///< When it must be answered, somewhat earlier.
+    Timestamp objectiveEnd{0};  ///< End of the latency objective.
+    double memoryKb = 0;
+    Duration work{0};  ///< Expected; 0: unknown.
+
+    RequestPhase phase = RequestPhase::Queued;
+    Timestamp phaseStart{0};
+    double earlierCoreSeconds = 0;  ///< On the cores before this phase.
+    AnswerState answer = AnswerState::Pending;
+    KeyState key = KeyState::NotRetained;
+    DependencyCallState call;
+
+    bool answerPending() const { return answer == AnswerState::Pending; }
+    /// @return whether its run was started.
+    bool hasStarted() const {
+        return phase != RequestPhase::Queued && phase != RequestPhase::JoinedDuplicate;
+    }
+};
+
+}  // namespace cottonwing::overload
--- /dev/null
+++ b/src/overload/service_time_model.h
@@ -0,0 +1,77 @@
+/// @file
+/// How long runs of each request class take, on the cores and in all.
+#pragma once
+
+#include <vector>
+
+#include "overload/types.h"
+
+namespace cottonwing::overload {
+
+/// What one successful run took.
+struct RunTimes {
+    double coreSeconds = 0;   ///< Time on the cores, without the waits for its dependency calls.
+    double totalSeconds = 0;  ///< From its start to its end.
+    int dependencyCalls = 0;
+};
+
+/// The runs that are on the cores at one moment.
+struct RunsOnCores {
+    double ageSeconds = 0;       ///< Sum of the times that they have been on the cores.
+    double expectedSeconds = 0;  ///< Sum of the mean core times of their classes.
+    int cores = 1;
+};
+
+/// Learned means per request class, scaled by the expected work of a request and by the slowdown of the
+/// machine.
+class ServiceTimeModel {
+public:
+    /// Starts from a guess, a part of the latency objective, until runs have ended.
+    explicit ServiceTimeModel(const std::vector<RequestClass>& requestClasses);
+
+    /// Learns the mean expected work of a class. The first value stands for the mean: one that grows from
+    /// zero would make every early request look huge.
+    void recordExpectedWork(int requestClass, Duration work);
+
+    void recordSuccess(int requestClass, const RunTimes& run);
+
+    /// Learns from a run whose client stopped waiting: it takes at least this long. On a machine that is slow
+    /// or hangs no run may ever end in time, and means of ended runs alone would stay as they were.
+    void recordUnfinished(int requestClass, const RunTimes& soFar);
+
+    /// Re-estimates the slowdown factor from the runs on the cores, which shows a slow or hanging machine
+    /// before any of them has ended. Runs in progress are on average as old as runs take. One long run is no
+    /// slow machine: they are averaged with as many usual runs as there are cores.
+    void updateSlowdown(const RunsOnCores& runs);
+
+    /// @param work expected work of the request; 0: unknown.
+    /// @return expected time on the cores, in seconds.
+    double expectedCoreSeconds(int requestClass, Duration work) const;
+    /// @return expected time from start to end, in seconds.
+    double expectedTotalSeconds(int requestClass, Duration work) const;
+    /// @return mean number of dependency calls of a run.
+    double expectedCalls(int requestClass) const;
+    /// @return mean core time of the class at usual speed, in seconds.
+    double usualCoreSeconds(int requestClass) const;
+    /// @return unweighted mean of usualCoreSeconds over all classes.
+    double meanUsualCoreSeconds() const;
+    /// @return how many times longer than usual runs take at present, from 1 to 10.
+    double slowdown() const { return slowdown_; }
+
+private:
+    struct ClassMeans {
+        double coreSeconds = 0;
+        double totalSeconds = 0;
+        double calls = 0;
+        double workSeconds = 0;  ///< Of requests whose expected work is known; 0: none seen.
+        int runs = 0;
+    };
+
+    const ClassMeans& meansOf(int requestClass) const;
+    ClassMeans& meansOf(int requestClass);
+
+    std::vector<ClassMeans> classes_;
+    double slowdown_ = 1;
+};
+
+}  // namespace cottonwing::overload
--- a/tests/cases_test.cpp
+++ b/tests/overload/controller_test.cpp
@@ -103,12 +103,12 @@
 TEST(Calls, FiveFailuresInARowOpenTheBreakerAndThreeGoodProbesCloseIt) {
     Machine m(plainTerms());
     for (RequestId id = 1; id <= 5; ++id) {
-        EXPECT_FALSE(m.logged("breaker open"));
+        EXPECT_FALSE(m.logged("circuit breaker opened"));
         toCall(m, id);
         back(m, id, Outcome::Error);
         end(m, id, Outcome::Cancelled);
     }
-    EXPECT_TRUE(m.logged("breaker open: 5 failures in a row"));
+    EXPECT_TRUE(m.logged("circuit breaker opened: target=dependency consecutive_failures=5 "));
     const int calls = m.calls, bounces = m.bounces;
     EventBatch round;
     round.arrivals = {m.command(9)};
@@ -118,13 +118,13 @@
     EXPECT_GT(m.retryAfter, 500ms);
     for (int n = 0; n < 120; ++n) m.step();
     for (RequestId id = 11; id <= 13; ++id) {
-        EXPECT_FALSE(m.logged("breaker closed"));
+        EXPECT_FALSE(m.logged("circuit breaker closed"));
         toCall(m, id);
         EXPECT_EQ(m.calls, calls + static_cast<int>(id) - 10);
         back(m, id, Outcome::Ok);
         end(m, id);
     }
-    EXPECT_TRUE(m.logged("breaker closed: 3 good probes"));
+    EXPECT_TRUE(m.logged("circuit breaker closed: target=dependency successful_probes=3"));
 }
 
 // What our own limits kept back, and runs that were never started or are unknown below, are no failures.
@@ -138,7 +138,7 @@
         back(m, id, Outcome::Ok);
         end(m, id, Outcome::Superseded);
     }
-    EXPECT_FALSE(m.logged("breaker open"));
+    EXPECT_FALSE(m.logged("circuit breaker opened"));
 }
 
 // A call whose reply can't be read has run: the dependency works, and nothing lingers in its hands.
@@ -154,7 +154,7 @@
         end(m, id);
     }
     EXPECT_GT(m.calls, 33);
-    EXPECT_FALSE(m.logged("breaker open"));
+    EXPECT_FALSE(m.logged("circuit breaker opened"));
     toCall(m, 99, 2);
     back(m, 99, Outcome::MalformedResponse);  // it may have had its effect
     EXPECT_EQ(m.leftOut, 1);
@@ -218,12 +218,12 @@
 TEST(Calls, HalfOfTheLastTwentyOpenTheBreaker) {
     Machine m(plainTerms());
     for (RequestId id = 1; id <= 20; ++id) {
-        EXPECT_FALSE(m.logged("breaker open"));
+        EXPECT_FALSE(m.logged("circuit breaker opened"));
         toCall(m, id);
         back(m, id, id % 2 == 0 ? Outcome::Error : Outcome::Ok);
         end(m, id);
     }
-    EXPECT_TRUE(m.logged("10 of the last 20"));
+    EXPECT_TRUE(m.logged("window_failures=10 window_size=20"));
 }
 
 TEST(Calls, TimeOutsOfAStalledProcessAreNotTheDependencysFailure) {
@@ -233,8 +233,8 @@
         back(m, id, Outcome::TimedOut, 400ms);
         end(m, id, Outcome::Cancelled);
     }
-    EXPECT_TRUE(m.logged("stall"));
-    EXPECT_FALSE(m.logged("breaker open"));
+    EXPECT_TRUE(m.logged("process stalled"));
+    EXPECT_FALSE(m.logged("circuit breaker opened"));
 }
 
 // Where our share is less than one call, each long call must be followed by a pause: once all backends were
@@ -317,7 +317,7 @@
         if (m.work.count(id) != 0U) end(m, id, outcome);
     };
     for (RequestId id = 1; id <= 5; ++id) run(id, Outcome::Error);
-    EXPECT_TRUE(m.logged("run breaker open: 5 failures in a row"));
+    EXPECT_TRUE(m.logged("circuit breaker opened: target=runs consecutive_failures=5 "));
     EXPECT_FALSE(m.good);
     run(6, Outcome::Ok);
     EXPECT_EQ(m.bounces, 1);
@@ -331,7 +331,7 @@
     end(m, 11);
     run(13, Outcome::Ok);
     run(14, Outcome::Ok);
-    EXPECT_TRUE(m.logged("run breaker closed"));
+    EXPECT_TRUE(m.logged("circuit breaker closed: target=runs"));
 }
 
 // Tables full of connections that nobody used again kept callers out and took core time; under pressure of
@@ -464,7 +464,7 @@
         ASSERT_NE(round.runResults[0].id, 0U);
         m.step(round, 1ms);
     }
-    EXPECT_TRUE(m.logged("run breaker open"));
+    EXPECT_TRUE(m.logged("circuit breaker opened: target=runs"));
     EXPECT_GT(m.bounces, 0);
     EXPECT_EQ(m.on(Machine::At::Hold), 0);
 }
--- a/tests/server_test.cpp
+++ b/tests/server_test.cpp
@@ -780,7 +780,7 @@
     std::this_thread::sleep_for(400ms);  // the machine stands still
     const std::uint64_t before = on.count(Count::EventBatches);
     on.loop.turnOnce();
-    on.wait([&] { return on.lines.str().find("stall: pulse late") != std::string::npos; });
+    on.wait([&] { return on.lines.str().find("process stalled: tick_delay_ms=") != std::string::npos; });
     EXPECT_LE(on.count(Count::EventBatches) - before, 2U);
     EXPECT_LE(on.pool.polls, polls + 2);  // of the twenty alarms that the time would hold
 }
