--- a/tests/overload/controller_rules_test.cpp
+++ b/tests/overload/controller_rules_test.cpp
@@ -1,6 +1,5 @@
-// Random worlds: arrivals of every kind of profile, repeats, callers that leave, every outcome, stalls, a
-// notice to leave, little memory, cold starts. The machine of helpers.h checks the four rules after every
-// round.
+// Random worlds: arrivals of every class, duplicates, cancellations, every outcome, stalls, a shutdown
+// notice, little memory, cold starts. The machine of helpers.h checks the four rules after every batch.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 #include <rapidcheck/gtest.h>
@@ -15,29 +14,29 @@
 int upTo(int most) { return *rc::gen::resize(1000, rc::gen::inRange(0, most + 1)); }
 bool oneIn(int n) { return upTo(n - 1) == 0; }
 
-ControllerConfig anyTerms() {
-    ControllerConfig terms = plainTerms();
-    terms.seed = static_cast<std::uint64_t>(upTo(1000000));
-    terms.startsCold = oneIn(2);
-    terms.cores = 1 + upTo(5);
-    terms.memoryLimitKb = 400 + 400 * upTo(10);
-    terms.runCancellation = static_cast<RunCancellation>(upTo(2));
-    terms.loadSignal = static_cast<LoadSignal>(upTo(3));
-    terms.dependency = static_cast<DependencyKind>(1 + upTo(1));
-    terms.dependencyQuota = 0.4 + 0.6 * upTo(5);
-    terms.clientCount = upTo(2) * 500;
-    if (oneIn(3)) terms.tenants = {{5}, {10}};
-    return terms;
+ControllerConfig anyConfig() {
+    ControllerConfig config = plainTerms();
+    config.seed = static_cast<std::uint64_t>(upTo(1000000));
+    config.startsCold = oneIn(2);
+    config.cores = 1 + upTo(5);
+    config.memoryLimitKb = 400 + 400 * upTo(10);
+    config.runCancellation = static_cast<RunCancellation>(upTo(2));
+    config.loadSignal = static_cast<LoadSignal>(upTo(3));
+    config.dependency = static_cast<DependencyKind>(1 + upTo(1));
+    config.dependencyQuota = 0.4 + 0.6 * upTo(5);
+    config.clientCount = upTo(2) * 500;
+    if (oneIn(3)) config.tenants = {{5}, {10}};
+    return config;
 }
 
-RC_GTEST_PROP(Rules, HoldAfterEveryRound, ()) {
-    Machine machine(anyTerms());
-    const int rounds = 150 + upTo(250), rush = upTo(4), fails = 1 + upTo(9), speed = 1 + upTo(19),
+RC_GTEST_PROP(ControllerRules, HoldAfterEveryBatch, ()) {
+    Machine machine(anyConfig());
+    const int batches = 150 + upTo(250), rush = upTo(4), fails = 1 + upTo(9), speed = 1 + upTo(19),
               lag = 1 + upTo(99);
-    const int leaveAt = oneIn(2) ? upTo(rounds) : -1;
+    const int leaveAt = oneIn(2) ? upTo(batches) : -1;
     RequestId next = 1;
-    for (int i = 0; i < rounds && machine.broken.empty(); ++i) {
-        EventBatch round;
+    for (int i = 0; i < batches && machine.broken.empty(); ++i) {
+        EventBatch batch;
         const bool stopped = machine.stopAt >= 0ns && machine.now + 700ms > machine.stopAt;
         for (int n = stopped ? 0 : upTo(rush); n > 0; --n) {
             Request c = machine.command(next++, upTo(2), 10ms * upTo(500));
@@ -47,13 +46,13 @@
             if (!machine.terms.tenants.empty()) c.tenant = upTo(1);
             if (oneIn(4)) c.deadline.reset();
             if (oneIn(3)) c.expectedWork = 1ms * (1 + upTo(500));
-            // a repeat is known by the entry of the try that was kept
+            // a duplicate is known by the retained key of the earlier attempt
             if (c.requestClass == 1 && !machine.kept.empty() && oneIn(2)) {
                 auto of = machine.kept.begin();
                 std::advance(of, upTo(static_cast<int>(machine.kept.size()) - 1));
                 if (of->second > machine.now + 700ms) c.duplicateOf = of->first;
             }
-            round.arrivals.push_back(c);
+            batch.arrivals.push_back(c);
         }
         std::vector<RequestId> ids;
         for (const auto& [id, w] : machine.work) ids.push_back(id);
@@ -64,25 +63,25 @@
                                      : oneIn(fails)            ? static_cast<Outcome>(1 + upTo(4))
                                                                : Outcome::Ok;
                 if (w.answered || w.left)
-                    round.runResults.push_back({id, Outcome::Cancelled, 100ms});
+                    batch.runResults.push_back({id, Outcome::Cancelled, 100ms});
                 else
-                    round.dependencyResults.push_back({id, outcome, 50ms});
+                    batch.dependencyResults.push_back({id, outcome, 50ms});
             } else if (w.at == Machine::At::Call && (w.answered || w.left)) {
-                round.runResults.push_back({id, Outcome::Cancelled, 100ms});
+                batch.runResults.push_back({id, Outcome::Cancelled, 100ms});
             } else if (w.at == Machine::At::Cores && oneIn(speed)) {
                 if (oneIn(2) && !w.answered && !w.left)
-                    round.waitingForDependency.push_back(id);
+                    batch.waitingForDependency.push_back(id);
                 else
-                    round.runResults.push_back({id, oneIn(9) ? Outcome::Error : Outcome::Ok, 100ms});
+                    batch.runResults.push_back({id, oneIn(9) ? Outcome::Error : Outcome::Ok, 100ms});
             } else if (w.at == Machine::At::Joined && oneIn(20)) {
-                round.runResults.push_back({id, Outcome::Ok, 100ms});
+                batch.runResults.push_back({id, Outcome::Ok, 100ms});
             } else if (!w.left && !w.answered && oneIn(60)) {
-                round.clientCancellations.push_back(id);
+                batch.clientCancellations.push_back(id);
             }
         }
-        if (i == leaveAt) round.shutdownAt = machine.now + 2s + 10ms * upTo(300);
+        if (i == leaveAt) batch.shutdownAt = machine.now + 2s + 10ms * upTo(300);
         if (machine.stopAt >= 0ns && machine.now + 60ms > machine.stopAt) break;
-        machine.step(round, oneIn(40) && machine.stopAt < 0ns ? 60ms : 20ms);
+        machine.step(batch, oneIn(40) && machine.stopAt < 0ns ? 60ms : 20ms);
     }
     const std::vector<std::string> broken = std::exchange(machine.broken, {});
     RC_ASSERT(broken == std::vector<std::string>{});
--- a/tests/overload/controller_test.cpp
+++ b/tests/overload/controller_test.cpp
@@ -1,30 +1,30 @@
-// Plain cases: the design's figures for breaker, budget and back-off, and one for each failure found.
+// The whole controller in plain cases: the figures of docs/design.md, and one case for each failure found.
 #include "helpers.h"
 
 namespace cottonwing::testing {
 namespace {
 
-// Brings one command to its first call and returns the machine's count of calls.
+// Brings one request to its first dependency call.
 void toCall(Machine& m, RequestId id, int profile = 0) {
-    EventBatch round;
-    round.arrivals = {m.command(id, profile)};
-    m.step(round);
-    round = {};
-    round.waitingForDependency = {id};
-    m.step(round);
+    EventBatch batch;
+    batch.arrivals = {m.command(id, profile)};
+    m.step(batch);
+    batch = {};
+    batch.waitingForDependency = {id};
+    m.step(batch);
 }
 void back(Machine& m, RequestId id, Outcome outcome, Duration passed = 20ms, Duration took = 50ms) {
-    EventBatch round;
-    round.dependencyResults = {{id, outcome, took}};
-    m.step(round, passed);
+    EventBatch batch;
+    batch.dependencyResults = {{id, outcome, took}};
+    m.step(batch, passed);
 }
 void end(Machine& m, RequestId id, Outcome outcome = Outcome::Ok) {
-    EventBatch round;
-    round.runResults = {{id, outcome, 100ms}};
-    m.step(round);
+    EventBatch batch;
+    batch.runResults = {{id, outcome, 100ms}};
+    m.step(batch);
 }
 
-TEST(Calls, ARepeatableCommandIsCalledThreeTimesAtMost) {
+TEST(ControllerCalls, AnIdempotentRequestMakesAtMostThreeAttempts) {
     Machine m(plainTerms());
     toCall(m, 1);
     for (int i = 0; i < 3; ++i) {
@@ -35,7 +35,7 @@
     EXPECT_EQ(m.scraps, 1);
 }
 
-TEST(Calls, AServerErrorIsNotRepeated) {
+TEST(ControllerCalls, AnErrorIsNotRetried) {
     Machine m(plainTerms());
     toCall(m, 1);
     back(m, 1, Outcome::Error);
@@ -43,7 +43,7 @@
     EXPECT_EQ(m.scraps, 1);
 }
 
-TEST(Calls, OnceOnlyRepeatsOnlyWhatNeverRanAndIsLeftOutWhereAllowed) {
+TEST(ControllerCalls, WithoutIdempotencyOnlyCallsThatNeverRanAreRetriedAndOthersSkippedWhereAllowed) {
     Machine m(plainTerms());
     toCall(m, 1, 2);
     back(m, 1, Outcome::Unreachable);
@@ -54,21 +54,21 @@
     EXPECT_EQ(m.leftOut, 1);
 }
 
-TEST(Calls, PatienceIsTheLesserOfAttemptTimeoutAndHalfOfWhatIsLeft) {
+TEST(ControllerCalls, AnAttemptGetsTheAttemptTimeoutOrHalfOfTheRemainingTime) {
     Machine m(plainTerms());
     toCall(m, 1);
     EXPECT_EQ(m.patience, 1s);
-    EventBatch round;
-    round.arrivals = {m.command(2, 0, 1040ms)};
-    m.step(round);
-    round = {};
-    round.waitingForDependency = {2};
-    m.step(round);
+    EventBatch batch;
+    batch.arrivals = {m.command(2, 0, 1040ms)};
+    m.step(batch);
+    batch = {};
+    batch.waitingForDependency = {2};
+    m.step(batch);
     EXPECT_NEAR(m.patience.count(), Duration(500ms).count(), Duration(40ms).count());
 }
 
-// A shared database that gets slow must not keep commands for the time that a tier's long calls need.
-TEST(Calls, AttemptTimeoutFollowsWhatGoodCallsTake) {
+// A shared database that gets slow must not keep requests for the time that a tier's long calls need.
+TEST(ControllerCalls, TheAttemptTimeoutFollowsSuccessfulCalls) {
     Machine m(plainTerms());
     for (RequestId id = 1; id <= 20; ++id) {
         toCall(m, id);
@@ -79,10 +79,10 @@
     EXPECT_EQ(m.patience, 350ms);  // seven times what these took
 }
 
-TEST(Calls, TheBudgetStopsRepeatsAtHalfItsTokens) {
+TEST(ControllerCalls, TheRetryBudgetStopsRetriesAtHalfItsTokens) {
     Machine m(plainTerms());
     int calls = 0;
-    // single failures with good ones between: 0.4 tokens a good one never win back what a failure takes
+    // single failures with successes between them, which never earn back what a failure takes
     for (RequestId id = 1; id <= 40; ++id) {
         toCall(m, id);
         if (id % 3 != 0) {
@@ -100,7 +100,7 @@
     EXPECT_EQ(calls, 0);
 }
 
-TEST(Calls, FiveFailuresInARowOpenTheBreakerAndThreeGoodProbesCloseIt) {
+TEST(ControllerCalls, FiveConsecutiveFailuresOpenTheCircuitBreakerAndThreeSuccessfulProbesCloseIt) {
     Machine m(plainTerms());
     for (RequestId id = 1; id <= 5; ++id) {
         EXPECT_FALSE(m.logged("circuit breaker opened"));
@@ -110,9 +110,9 @@
     }
     EXPECT_TRUE(m.logged("circuit breaker opened: target=dependency consecutive_failures=5 "));
     const int calls = m.calls, bounces = m.bounces;
-    EventBatch round;
-    round.arrivals = {m.command(9)};
-    m.step(round);  // would meet the open breaker: bounced before it costs work, with a time to come back
+    EventBatch batch;
+    batch.arrivals = {m.command(9)};
+    m.step(batch);  // would meet the open breaker: rejected before it costs work, with a Retry-After
     EXPECT_EQ(m.calls, calls);
     EXPECT_EQ(m.bounces, bounces + 1);
     EXPECT_GT(m.retryAfter, 500ms);
@@ -127,22 +127,22 @@
     EXPECT_TRUE(m.logged("circuit breaker closed: target=dependency successful_probes=3"));
 }
 
-// What our own limits kept back, and runs that were never started or are unknown below, are no failures.
-TEST(Calls, OwnLimitsSayNothingOfTheDependencyNorUnknownRunsOfTheMachine) {
+// What a limit of this server held back, and runs that were never started, are no failures.
+TEST(ControllerCalls, LocalLimitsAndSupersededRunsOpenNoCircuitBreaker) {
     Machine m(plainTerms());
     for (RequestId id = 1; id <= 30; ++id) {
         toCall(m, id);
         back(m, id, Outcome::LocalLimit);
         for (int n = 0; n < 10; ++n) m.step();
-        EXPECT_EQ(m.work.at(id).at, Machine::At::Below) << "it never left, so it may try again";
+        EXPECT_EQ(m.work.at(id).at, Machine::At::Below) << "it was never sent, so it may be retried";
         back(m, id, Outcome::Ok);
         end(m, id, Outcome::Superseded);
     }
     EXPECT_FALSE(m.logged("circuit breaker opened"));
 }
 
-// A call whose reply can't be read has run: the dependency works, and nothing lingers in its hands.
-TEST(Calls, ASpoiltReplyIsRepeatedAndOpensNoBreaker) {
+// A call whose response cannot be parsed has run: the dependency works, and nothing is left running there.
+TEST(ControllerCalls, AMalformedResponseIsRetriedAndOpensNoCircuitBreaker) {
     Machine m(plainTerms());
     for (RequestId id = 1; id <= 30; ++id) {
         toCall(m, id);
@@ -160,62 +160,62 @@
     EXPECT_EQ(m.leftOut, 1);
 }
 
-// A call that hangs now and then took a quarter of a promised time and stood for a crowd below.
-TEST(Calls, OneThatHangsAmongQuickOnesIsGivenUpSoonAndIsNoCrowd) {
-    ControllerConfig terms = plainTerms();
-    terms.dependency = DependencyKind::Shared;
-    terms.dependencyQuota = 10;
-    Machine m(terms);
+// A call that hangs now and then took a quarter of a latency objective and passed for an overload.
+TEST(ControllerCalls, ACallThatHangsAmongQuickOnesTimesOutSoonAndIsNoOverload) {
+    ControllerConfig config = plainTerms();
+    config.dependency = DependencyKind::Shared;
+    config.dependencyQuota = 10;
+    Machine m(config);
     for (RequestId id = 1; id <= 200; ++id) {
         const bool hangs = id % 20 == 0;
         toCall(m, id);
         back(m, id, hangs ? Outcome::TimedOut : Outcome::Ok, 20ms, hangs ? 1s : 10ms);
         end(m, id, hangs ? Outcome::Cancelled : Outcome::Ok);
     }
-    EXPECT_EQ(m.patience, 100ms);  // a twentieth of the promised time at least
-    EventBatch round;              // as many as our share bears go out at once
-    for (RequestId id = 300; id < 310; ++id) round.arrivals.push_back(m.command(id));
-    for (m.step(round); m.on(Machine::At::Cores) > 0;) {
+    EXPECT_EQ(m.patience, 100ms);  // a twentieth of the latency objective at least
+    EventBatch batch;              // as many as the quota allows are sent at once
+    for (RequestId id = 300; id < 310; ++id) batch.arrivals.push_back(m.command(id));
+    for (m.step(batch); m.on(Machine::At::Cores) > 0;) {
         EventBatch calls;
         for (const auto& [id, w] : m.work)
             if (w.at == Machine::At::Cores) calls.waitingForDependency.push_back(id);
         m.step(calls);
     }
-    EXPECT_GE(m.out, 7) << "nothing is crowded";
-}
-
-// With a line at the calls, what makes none has the cores; the others can still be bounced, or start later.
-TEST(Hold, WhatWouldOnlyWaitForItsCallIsNotStarted) {
-    ControllerConfig terms = plainTerms();
-    terms.dependency = DependencyKind::Shared;
-    terms.dependencyQuota = 4;
-    terms.cores = 30;
-    terms.requestClasses[0].latencyObjective = 12s;
-    terms.requestClasses[0].timeout = 100s;
-    terms.requestClasses[1] = terms.requestClasses[0];
-    terms.requestClasses[1].callsDependency = false;
-    Machine m(terms);
+    EXPECT_GE(m.out, 7) << "nothing is overloaded";
+}
+
+// While calls queue, requests that make none get the cores; the others can be rejected, or start later.
+TEST(ControllerQueue, ARequestThatWouldOnlyWaitForItsCallIsNotStarted) {
+    ControllerConfig config = plainTerms();
+    config.dependency = DependencyKind::Shared;
+    config.dependencyQuota = 4;
+    config.cores = 30;
+    config.requestClasses[0].latencyObjective = 12s;
+    config.requestClasses[0].timeout = 100s;
+    config.requestClasses[1] = config.requestClasses[0];
+    config.requestClasses[1].callsDependency = false;
+    Machine m(config);
     for (RequestId id = 1; id <= 5; ++id) {
         toCall(m, id);
         back(m, id, Outcome::Ok, 20ms, 1s);
         end(m, id);
     }
-    EventBatch round;
-    for (RequestId id = 10; id < 34; ++id) round.arrivals.push_back(m.command(id, 0, 90s));
-    m.step(round);
-    round = {};
+    EventBatch batch;
+    for (RequestId id = 10; id < 34; ++id) batch.arrivals.push_back(m.command(id, 0, 90s));
+    m.step(batch);
+    batch = {};
     for (RequestId id = 10; id < 34; ++id)
-        round.waitingForDependency.push_back(id);  // some are called, the others wait
-    m.step(round);
-    round = {};
+        batch.waitingForDependency.push_back(id);  // some are called, the others wait
+    m.step(batch);
+    batch = {};
     for (int profile = 0; profile < 2; ++profile)
-        round.arrivals.push_back(m.command(50 + profile, profile, 90s));
-    m.step(round);
+        batch.arrivals.push_back(m.command(50 + profile, profile, 90s));
+    m.step(batch);
     EXPECT_EQ(m.work.at(50).at, Machine::At::Hold);
     EXPECT_EQ(m.work.at(51).at, Machine::At::Cores);
 }
 
-TEST(Calls, HalfOfTheLastTwentyOpenTheBreaker) {
+TEST(ControllerCalls, HalfOfTheLastTwentyOutcomesOpenTheCircuitBreaker) {
     Machine m(plainTerms());
     for (RequestId id = 1; id <= 20; ++id) {
         EXPECT_FALSE(m.logged("circuit breaker opened"));
@@ -226,7 +226,7 @@
     EXPECT_TRUE(m.logged("window_failures=10 window_size=20"));
 }
 
-TEST(Calls, TimeOutsOfAStalledProcessAreNotTheDependencysFailure) {
+TEST(ControllerCalls, TimeoutsOfAStalledProcessAreNotTheDependencysFailure) {
     Machine m(plainTerms());
     for (RequestId id = 1; id <= 8; ++id) {
         toCall(m, id);
@@ -237,41 +237,41 @@
     EXPECT_FALSE(m.logged("circuit breaker opened"));
 }
 
-// Where our share is less than one call, each long call must be followed by a pause: once all backends were
-// out for nearly their whole share at a time, lingering calls not counted, and the dependency fell.
-TEST(Calls, HangingCallsKeepToAShareOfLessThanOne) {
-    ControllerConfig terms = plainTerms();
-    terms.dependency = DependencyKind::Shared;
-    terms.dependencyQuota = 0.25;
+// Where the quota is below one call, each long call must be followed by a pause: once all servers used nearly
+// their whole quota at a time, abandoned calls not counted, and the dependency collapsed.
+TEST(ControllerCalls, HangingCallsKeepToAQuotaBelowOne) {
+    ControllerConfig config = plainTerms();
+    config.dependency = DependencyKind::Shared;
+    config.dependencyQuota = 0.25;
     std::vector<Duration> called[2];
     for (int seed = 0; seed < 2; ++seed) {
-        terms.seed = static_cast<std::uint64_t>(seed);
-        Machine m(terms);  // the model of the rules sums up what is in hand
+        config.seed = static_cast<std::uint64_t>(seed);
+        Machine m(config);  // the model of the rules sums up what is in progress
         for (RequestId id = 1; id <= 4000; ++id) {
-            EventBatch round;
-            if (id % 10 == 0) round.arrivals = {m.command(id)};
+            EventBatch batch;
+            if (id % 10 == 0) batch.arrivals = {m.command(id)};
             for (const auto& [other, w] : m.work)
                 if (w.at == Machine::At::Cores)
-                    round.waitingForDependency.push_back(other);
+                    batch.waitingForDependency.push_back(other);
                 else if (w.at != Machine::At::Hold && w.answered)
-                    round.runResults.push_back({other, Outcome::Cancelled, 1s});
+                    batch.runResults.push_back({other, Outcome::Cancelled, 1s});
                 else if (w.at == Machine::At::Below && m.now >= w.callEnds)
-                    round.dependencyResults.push_back({other, Outcome::TimedOut, 1s});
+                    batch.dependencyResults.push_back({other, Outcome::TimedOut, 1s});
             const int before = m.calls;
-            m.step(round);
+            m.step(batch);
             if (m.calls > before) called[seed].push_back(m.now);
         }
         EXPECT_GE(m.calls, 5);  // and it never stops for good
     }
-    EXPECT_NE(called[0], called[1]);  // and backends that met it together do not call in step
+    EXPECT_NE(called[0], called[1]);  // and servers that met it together do not call in step
 }
 
-// One long call out once stood for all of them for seconds, and the hold gave up what it had room for.
-TEST(Calls, OneLongCallIsNoSlowDependency) {
-    ControllerConfig terms = plainTerms();
-    terms.dependency = DependencyKind::Shared;
-    terms.dependencyQuota = 0.4;
-    Machine m(terms);
+// One long call in flight once stood for all of them for seconds, and requests were shed without need.
+TEST(ControllerCalls, OneLongCallIsNoSlowDependency) {
+    ControllerConfig config = plainTerms();
+    config.dependency = DependencyKind::Shared;
+    config.dependencyQuota = 0.4;
+    Machine m(config);
     RequestId id = 1;
     for (int n = 0; n < 20; ++n) m.step();
     for (; id <= 30; ++id) {
@@ -285,18 +285,18 @@
     for (int n = 0; n < 15; ++n) m.step();
     back(m, id, Outcome::Ok);
     end(m, id);
-    EventBatch round;
-    for (RequestId other = 100; other < 104; ++other) round.arrivals.push_back(m.command(other));
-    m.step(round);
+    EventBatch batch;
+    for (RequestId other = 100; other < 104; ++other) batch.arrivals.push_back(m.command(other));
+    m.step(batch);
     EXPECT_EQ(m.bounces, 0);
 }
 
-// An abandoned call that nobody struck out, as no command waited at a call, was paid for without end.
-TEST(Calls, AnAbandonedCallIsPaidForOnce) {
-    ControllerConfig terms = plainTerms();
-    terms.dependency = DependencyKind::Shared;
-    terms.dependencyQuota = 0.4;
-    Machine m(terms);
+// An abandoned call that was not removed, as no run waited for a call, was charged without end.
+TEST(ControllerCalls, AnAbandonedCallIsChargedOnce) {
+    ControllerConfig config = plainTerms();
+    config.dependency = DependencyKind::Shared;
+    config.dependencyQuota = 0.4;
+    Machine m(config);
     for (int n = 0; n < 20; ++n) m.step();
     toCall(m, 1, 2);
     for (int n = 0; n < 50; ++n) m.step();
@@ -307,13 +307,13 @@
     EXPECT_EQ(m.calls, 2);
 }
 
-// A node that failed its runs in a millisecond looked quick to callers, and drew more of them.
-TEST(Runs, FailuresInARowBounceCommandsUntilProbesAreGood) {
+// A server that failed its runs in a millisecond looked quick to clients, and attracted more of them.
+TEST(ControllerRuns, ConsecutiveFailuresRejectRequestsUntilProbesSucceed) {
     Machine m(plainTerms());
     const auto run = [&](RequestId id, Outcome outcome) {
-        EventBatch round;
-        round.arrivals = {m.command(id)};
-        m.step(round);
+        EventBatch batch;
+        batch.arrivals = {m.command(id)};
+        m.step(batch);
         if (m.work.count(id) != 0U) end(m, id, outcome);
     };
     for (RequestId id = 1; id <= 5; ++id) run(id, Outcome::Error);
@@ -324,9 +324,9 @@
     EXPECT_GT(m.retryAfter, 500ms);
     for (int n = 0; n < 320; ++n) m.step();
     EXPECT_TRUE(m.good);
-    EventBatch round;
-    round.arrivals = {m.command(11), m.command(12)};
-    m.step(round);  // one at a time
+    EventBatch batch;
+    batch.arrivals = {m.command(11), m.command(12)};
+    m.step(batch);  // one at a time
     EXPECT_EQ(m.bounces, 2);
     end(m, 11);
     run(13, Outcome::Ok);
@@ -334,13 +334,13 @@
     EXPECT_TRUE(m.logged("circuit breaker closed: target=runs"));
 }
 
-// Tables full of connections that nobody used again kept callers out and took core time; under pressure of
-// the cores they are the cheapest bounce.
-TEST(Connections, AreClosedEarlyWhereCallersComeBackSeldomAndKeptUnderPressure) {
-    ControllerConfig terms = plainTerms();
-    Machine few(terms);
-    terms.clientCount = 1000;
-    Machine many(terms);
+// Tables full of connections that nobody used again kept clients out and took core time; when the cores are
+// overloaded they are the cheapest rejection.
+TEST(ControllerConnections, AreClosedEarlyWhereClientsComeBackSeldomAndKeptUnderOverload) {
+    ControllerConfig config = plainTerms();
+    Machine few(config);
+    config.clientCount = 1000;
+    Machine many(config);
     for (RequestId id = 1; id <= 40; ++id)
         for (Machine* m : {&few, &many}) {
             toCall(*m, id);
@@ -348,109 +348,109 @@
             end(*m, id);
             for (int n = 0; n < 7; ++n) m->step();
         }
-    EXPECT_LT(few.idle, 0s);  // never told
+    EXPECT_LT(few.idle, 0s);  // never changed
     EXPECT_EQ(many.idle, 1s);
     for (RequestId id = 1000; id < 2000; id += 5) {
-        EventBatch round;
-        for (RequestId n = 0; n < 5; ++n) round.arrivals.push_back(many.command(id + n));
-        many.step(round);
+        EventBatch batch;
+        for (RequestId n = 0; n < 5; ++n) batch.arrivals.push_back(many.command(id + n));
+        many.step(batch);
     }
     EXPECT_GT(many.idle, 2s);
 }
 
-// A storm of repeats feeds on first tries that are bounced: they all come again.
-TEST(Hold, FurtherTriesGiveWayToFirstOnes) {
+// A retry storm feeds on first attempts that are rejected: they all come again.
+TEST(ControllerQueue, RetriesAreShedBeforeFirstAttempts) {
     Machine m(plainTerms());
-    EventBatch round;
+    EventBatch batch;
     for (RequestId id = 1; id <= 60; ++id) {
-        round.arrivals.push_back(m.command(id));
-        round.arrivals.back().isRetry = id % 2 == 0;
+        batch.arrivals.push_back(m.command(id));
+        batch.arrivals.back().isRetry = id % 2 == 0;
     }
-    m.step(round);
+    m.step(batch);
     int first = 0, further = 0;
     for (const auto& [id, w] : m.work) ++(w.command.isRetry ? further : first);
     EXPECT_GT(first, 2 * further);
 }
 
-// On two cores a burst of handshakes once held runs back for a second.
-TEST(Hold, ABurstOnTheCoresDoesNotHoldRunsBack) {
+// On two cores a burst of handshakes once delayed runs for a second.
+TEST(ControllerQueue, ABurstOfCoreDemandDoesNotDelayRuns) {
     Machine m(plainTerms());
     for (int n = 0; n < 100; ++n) {
-        EventBatch round;
-        round.arrivals = {m.command(static_cast<RequestId>(n + 1))};
+        EventBatch batch;
+        batch.arrivals = {m.command(static_cast<RequestId>(n + 1))};
         m.asking = n % 5 == 0 ? 12.0 : 1.0;
-        m.step(round);
+        m.step(batch);
     }
     EXPECT_GE(m.on(Machine::At::Cores), 4);
 }
 
-TEST(Hold, StartsByDueTime) {
+TEST(ControllerQueue, StartsByDeadline) {
     Machine m(plainTerms());
-    EventBatch round;
+    EventBatch batch;
     for (RequestId id = 1; id <= 8; ++id)
-        round.arrivals.push_back(m.command(id, 0, 5s - 100ms * static_cast<int>(id)));
-    m.step(round);
+        batch.arrivals.push_back(m.command(id, 0, 5s - 100ms * static_cast<int>(id)));
+    m.step(batch);
     EXPECT_TRUE(m.work.at(8).ran && m.work.at(7).ran);
     EXPECT_FALSE(m.work.at(1).ran);
 }
 
-TEST(Hold, GivesUpWhatEarnsLeastAtOnceWhenNotAllCanBeInTime) {
+TEST(ControllerQueue, ShedsTheLeastValuableAtOnceWhenNotAllCanCompleteInTime) {
     Machine m(plainTerms());
-    EventBatch round;
-    for (RequestId id = 1; id <= 60; ++id) round.arrivals.push_back(m.command(id, id % 2 == 0 ? 1 : 0));
-    m.step(round);
+    EventBatch batch;
+    for (RequestId id = 1; id <= 60; ++id) batch.arrivals.push_back(m.command(id, id % 2 == 0 ? 1 : 0));
+    m.step(batch);
     EXPECT_GT(m.bounces, 5);
     int cheap = 0, dear = 0;
     for (const auto& [id, w] : m.work) ++(w.command.requestClass == 1 ? dear : cheap);
     EXPECT_GT(dear, 2 * cheap);
 }
 
-// A mean of told work that grew from nothing took a fresh node's first command for twenty times the usual.
-TEST(Hold, TheFirstHintStandsForTheMean) {
+// A mean of expected work that grew from zero took a new server's first request for twenty times the usual.
+TEST(ControllerQueue, TheFirstExpectedWorkStandsForTheMean) {
     Machine m(plainTerms());
-    EventBatch round;
-    round.arrivals = {m.command(1)};
-    round.arrivals[0].expectedWork = 300ms;
-    m.step(round);
+    EventBatch batch;
+    batch.arrivals = {m.command(1)};
+    batch.arrivals[0].expectedWork = 300ms;
+    m.step(batch);
     EXPECT_EQ(m.starts, 1);
 }
 
-// Calls with little time of their own once made an idle backend call itself full.
-TEST(Hold, WhatCameWithLittleTimeIsNoOverload) {
+// Requests with little time left once made an idle server report an overload.
+TEST(ControllerQueue, ShortDeadlinesAreNoOverload) {
     Machine m(plainTerms());
     for (RequestId id = 1; id <= 100; ++id) {
-        EventBatch round;
-        round.arrivals = {m.command(id, 0, 100ms), m.command(1000 + id, 0, 100ms)};
-        m.step(round);
+        EventBatch batch;
+        batch.arrivals = {m.command(id, 0, 100ms), m.command(1000 + id, 0, 100ms)};
+        m.step(batch);
     }
     EXPECT_GT(m.bounces, 50);
     EXPECT_FALSE(m.logged("overload"));
 }
 
-// Only callers that stay away end a jam of commands that are read too late.
-TEST(Hold, AnUnreadJamAsksCallersToComeBackLater) {
+// Only clients that stay away end a queue of requests that are read too late.
+TEST(ControllerQueue, AQueueingDelayBeforeReadingRaisesRetryAfter) {
     Machine m(plainTerms());
     for (RequestId id = 1; id <= 30; ++id) {
-        EventBatch round;
-        round.arrivals = {m.command(id)};
-        round.arrivals[0].queuedBeforeRead = 1950ms;
-        m.step(round);
+        EventBatch batch;
+        batch.arrivals = {m.command(id)};
+        batch.arrivals[0].queuedBeforeRead = 1950ms;
+        m.step(batch);
     }
     EXPECT_GT(m.bounces, 10);
     EXPECT_GT(m.retryAfter, 400ms);
 }
 
-// The fifth failed run in a row gives up all that is held; a caller that left in that very round was bounced
-// with the others, though nobody was there to be answered.
-TEST(Runs, ABreakerThatOpensAnswersNobodyWhoHasLeft) {
-    ControllerConfig terms = plainTerms();
-    terms.cores = 1;
-    terms.requestClasses[0].callsDependency = false;
-    Machine m(terms);
+// The fifth consecutive failure rejects all that is queued; a client that cancelled in that very batch was
+// answered with the others, though nobody was there.
+TEST(ControllerRuns, ACircuitBreakerThatOpensAnswersNoClientThatCancelled) {
+    ControllerConfig config = plainTerms();
+    config.cores = 1;
+    config.requestClasses[0].callsDependency = false;
+    Machine m(config);
     RequestId next = 1;
-    EventBatch round;
-    for (int n = 0; n < 12; ++n) round.arrivals.push_back(m.command(next++));
-    m.step(round);
+    EventBatch batch;
+    for (int n = 0; n < 12; ++n) batch.arrivals.push_back(m.command(next++));
+    m.step(batch);
     const auto firstAt = [&](Machine::At place) {
         for (const auto& [id, w] : m.work)
             if (w.at == place && !w.answered) return id;
@@ -458,30 +458,30 @@
     };
     for (int failed = 0; failed < 5; ++failed) {
         for (int n = 0; n < 200 && firstAt(Machine::At::Cores) == 0; ++n) m.step();
-        round = {};
-        round.runResults = {{firstAt(Machine::At::Cores), Outcome::Error, 5ms}};
-        if (failed == 4) round.clientCancellations = {firstAt(Machine::At::Hold)};
-        ASSERT_NE(round.runResults[0].id, 0U);
-        m.step(round, 1ms);
+        batch = {};
+        batch.runResults = {{firstAt(Machine::At::Cores), Outcome::Error, 5ms}};
+        if (failed == 4) batch.clientCancellations = {firstAt(Machine::At::Hold)};
+        ASSERT_NE(batch.runResults[0].id, 0U);
+        m.step(batch, 1ms);
     }
     EXPECT_TRUE(m.logged("circuit breaker opened: target=runs"));
     EXPECT_GT(m.bounces, 0);
     EXPECT_EQ(m.on(Machine::At::Hold), 0);
 }
 
-// A cold machine of one core bears a crowd of 1.6 at first: two runs were let on it, as 1 is below 1.28.
-TEST(Runs, AColdMachineOfOneCoreIsNotCrowdedByRounding) {
-    ControllerConfig terms = plainTerms();
-    terms.cores = 1;
-    terms.startsCold = true;
-    Machine m(terms);
-    m.asking = 0.2;  // the gauge says that the core has room
+// A cold server of one core survives 1.6 runs at first: two were started on it, as 1 is below 1.28.
+TEST(ControllerRuns, AColdServerOfOneCoreIsNotOverloadedByRounding) {
+    ControllerConfig config = plainTerms();
+    config.cores = 1;
+    config.startsCold = true;
+    Machine m(config);
+    m.asking = 0.2;  // the gauge says that the core is idle
     RequestId next = 1;
     for (int n = 0; n < 150; ++n) {
-        EventBatch round;
-        if (n < 20) round.arrivals = {m.command(next++)};
-        m.step(round);
-        // The ceiling passes two runs once the machine is at half of its speed.
+        EventBatch batch;
+        if (n < 20) batch.arrivals = {m.command(next++)};
+        m.step(batch);
+        // Two runs are allowed once the server is at half of its capacity.
         if (m.now - m.born < 3s) {
             EXPECT_LE(m.on(Machine::At::Cores), 1) << n;
         }
@@ -489,39 +489,39 @@
     EXPECT_GT(m.starts, 0);
 }
 
-// Found by the laboratory (slow-records): runs given up at their call were never stopped; where what runs
-// them does not end them by itself, 26 of them filled a backend's places, and it handled a fifth of its load
-// for good.
-TEST(Calls, ARunThatIsGivenUpAtItsCallIsStopped) {
-    ControllerConfig terms = plainTerms();
-    terms.runCancellation = RunCancellation::Suspend;
-    Machine m(terms);
-    EventBatch round;
-    round.arrivals = {m.command(1)};
-    m.step(round);
-    round = {};
-    round.waitingForDependency = {1};
-    m.step(round);
+// Found by a load test (slow-records): runs cancelled during their call were never stopped; where the
+// executor does not end them by itself, 26 of them filled a server's limit, and it completed a fifth of its
+// load for good.
+TEST(ControllerCalls, ARunThatIsCancelledDuringItsCallIsStopped) {
+    ControllerConfig config = plainTerms();
+    config.runCancellation = RunCancellation::Suspend;
+    Machine m(config);
+    EventBatch batch;
+    batch.arrivals = {m.command(1)};
+    m.step(batch);
+    batch = {};
+    batch.waitingForDependency = {1};
+    m.step(batch);
     m.step();
     ASSERT_EQ(m.on(Machine::At::Below), 1);
-    round = {};
-    round.clientCancellations = {1};
-    m.step(round);
+    batch = {};
+    batch.clientCancellations = {1};
+    m.step(batch);
     EXPECT_EQ(m.halts, 1);
 }
 
-TEST(Leaving, NoticeTurnsHealthBadAndLateArrivalsAway) {
+TEST(ControllerShutdown, TheNoticeEndsHealthAndRejectsLateArrivals) {
     Machine m(plainTerms());
     m.step();
     EXPECT_TRUE(m.good);
-    EventBatch round;
-    round.shutdownAt = m.now + 5s;
-    m.step(round);
+    EventBatch batch;
+    batch.shutdownAt = m.now + 5s;
+    m.step(batch);
     EXPECT_FALSE(m.good);
     for (int n = 0; n < 60; ++n) m.step();
-    round = {};
-    round.arrivals = {m.command(1)};
-    m.step(round);
+    batch = {};
+    batch.arrivals = {m.command(1)};
+    m.step(batch);
     EXPECT_EQ(m.bounces, 1);
 }
 
