--- a/src/request/request_manager.cpp
+++ b/src/request/request_manager.cpp
@@ -1,7 +1,8 @@
 #include "request/request_manager.h"
 
-#include <charconv>
+#include <algorithm>
 #include <utility>
+#include <variant>
 
 namespace cottonwing::request {
 
@@ -9,364 +10,496 @@
 
 using namespace std::chrono_literals;
 using telemetry::Count;
+using KeyOutcome = state::IdempotencyKeys::Outcome;
 
-constexpr Duration kGaugesHold = 100ms;  // gauges older than this are not shown as present ones
-constexpr Duration kUnsure = 1s;         // what was said that long before a link was lost may be lost with it
-// A command that is over for that long is over for what runs commands, too: started again it is not run.
-constexpr Duration kOver = 1s;
-// Beside its window and the longest wait of its caller: the longest that clocks are borne to differ.
-constexpr Duration kKeySlack = 2s;
+// Gauges older than this are left out of a batch rather than presented as current.
+constexpr Duration kGaugesMaxAge = 100ms;
+// What was sent within this time before a connection was lost may be lost with it.
+constexpr Duration kLossWindow = 1s;
+// After a request has been over for this long the executor does not run it any more: asked to start it, it
+// reports that nothing ran. Also the interval between such inquiries.
+constexpr Duration kInquiryDelay = 1s;
+// The greatest difference between the clocks of clients and servers that is tolerated. An idempotency key is
+// retained that much longer than its window and the longest wait of its client.
+constexpr Duration kClockTolerance = 2s;
+// Memory booked for each request: its body, the body of its dependency call and the reply, estimated by the
+// size of its body each, and what the tables take.
+constexpr std::size_t kBodiesPerRequest = 3;
+constexpr std::size_t kRequestOverheadBytes = 1024;
 
 }  // namespace
 
-std::optional<RequestId> parseRequestId(std::string_view text) {
-    RequestId id = 0;
-    const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), id, 16);
-    if (text.size() != 16 || error != std::errc() || end != text.data() + text.size()) return std::nullopt;
-    return id;
-}
-
-RequestManager::RequestManager(net::Loop& loop, const ControllerConfig& terms, std::size_t mostBytes,
-                               std::size_t keyBytes, telemetry::Log& log, telemetry::Counters& counters)
-    : terms_(terms),
-      mostBytes_(mostBytes),
+RequestManager::RequestManager(net::Loop& loop, const ControllerConfig& config, std::size_t maxRequestBytes,
+                               std::size_t maxKeyBytes, telemetry::Log& log, telemetry::Counters& counters)
+    : config_(config),
+      maxRequestBytes_(maxRequestBytes),
       log_(log),
       counters_(counters),
-      alarm_(loop, [this] { ring(); }),
-      gathered_(log),
-      keys_(keyBytes) {}
+      tickTimer_(loop, [this] { controlTick(); }),
+      decisions_(log),
+      keys_(maxKeyBytes) {}
+
+void RequestManager::connect(ResponseSink& sink, Executor& executor, DependencyClient& dependencyClient) {
+    sinks_ = {&sink};
+    executor_ = &executor;
+    dependencyClient_ = &dependencyClient;
+}
 
-void RequestManager::accept(IncomingRequest arrival) {
+// ---- Events from protocol servers -----------------------------------------------------------------------
+
+void RequestManager::accept(IncomingRequest incoming) {
     counters_.add(Count::RequestsRead);
-    const RequestId id = arrival.request.id;
-    const auto at = table_.emplace(id, Owned{}).first;
-    at->second.door = arrival.sink != nullptr ? arrival.sink : doors_.front();
-    ++unanswered_;
-    const RequestClass& profile =
-        terms_.requestClasses[static_cast<std::size_t>(arrival.request.requestClass)];
-    // Nothing can run before the machine is there, or without memory of our own for it: a body each for the
-    // command, its call and the reply. Where another try may have run, only that must not be denied.
-    const std::size_t bytes = 3 * arrival.body.size() + kEachTakes;
-    if (!controller_ || bytes_ + bytes > mostBytes_) {
-        if (controller_) counters_.add(Count::RejectedForMemory);
-        if (!arrival.idempotencyKey.empty() && keys_.holder(arrival.idempotencyKey) != 0) {
-            at->second.door->failed(id);
-            answered(at, Count::Failed);
-        } else {
-            at->second.door->rejected(id, {});
-            answered(at, Count::Rejected);
-        }
-        return;
-    }
-    if (profile.idempotency == Idempotency::WithKey) {
-        using Claim = state::IdempotencyKeys::Claim;
-        const Duration now = net::unixNow();
-        // Marked with our seed, so that nobody finds a body of another meaning with the same mark.
-        const std::size_t mark = std::hash<std::string>{}(std::to_string(terms_.seed) + arrival.body);
-        const Claim claim =
-            keys_.claim(arrival.idempotencyKey, id, mark, now - arrival.request.queuedBeforeRead, now,
-                        {profile.idempotencyWindow, profile.timeout + kKeySlack});
-        if (claim == Claim::Conflict) {
+    const Table::iterator entry = track(incoming);
+    const std::size_t bytes = kBodiesPerRequest * incoming.body.size() + kRequestOverheadBytes;
+    if (!hasCapacityFor(bytes)) return refuseForCapacity(entry, incoming);
+    if (!claimIdempotencyKey(entry, incoming)) return;
+    book(entry, std::move(incoming), bytes);
+}
+
+RequestManager::Table::iterator RequestManager::track(const IncomingRequest& incoming) {
+    const Table::iterator entry = table_.emplace(incoming.request.id, RequestState{}).first;
+    entry->second.sink = incoming.sink != nullptr ? incoming.sink : sinks_.front();
+    ++unansweredCount_;
+    return entry;
+}
+
+// Nothing can run before the executor is ready, or without memory for the request.
+bool RequestManager::hasCapacityFor(std::size_t bytes) const {
+    return controller_ && bookedBytes_ + bytes <= maxRequestBytes_;
+}
+
+// A rejection tells the client that nothing ran and another server may be tried. Where another attempt holds
+// the idempotency key and may have run, the request fails instead.
+void RequestManager::refuseForCapacity(Table::iterator entry, const IncomingRequest& incoming) {
+    if (controller_) counters_.add(Count::RejectedForMemory);
+    if (!incoming.idempotencyKey.empty() && keys_.holder(incoming.idempotencyKey) != 0)
+        return answerFailed(entry);
+    answerRejected(entry, {});
+}
+
+// Returns whether the request is to go on; otherwise it has been answered.
+bool RequestManager::claimIdempotencyKey(Table::iterator entry, IncomingRequest& incoming) {
+    const RequestClass& requestClass =
+        config_.requestClasses[static_cast<std::size_t>(incoming.request.requestClass)];
+    if (requestClass.idempotency != Idempotency::WithKey) return true;
+    using Claim = state::IdempotencyKeys::Claim;
+    const Timestamp now = net::unixNow();
+    // Seeded, so that no client can construct a different body with the same hash.
+    const std::size_t bodyHash = std::hash<std::string>{}(std::to_string(config_.seed) + incoming.body);
+    const state::KeyTimes times{requestClass.idempotencyWindow, requestClass.timeout + kClockTolerance};
+    const Claim claim = keys_.claim(incoming.idempotencyKey, incoming.request.id, bodyHash,
+                                    now - incoming.request.queuedBeforeRead, now, times);
+    RequestState& request = entry->second;
+    switch (claim) {
+        case Claim::Conflict:
             counters_.add(Count::KeyConflicts);
-            at->second.door->unknownToExecutor(id);
-            return answered(at, Count::Failed);
-        }
-        if (claim == Claim::NoRoom) {
+            answerUnknownToExecutor(entry);
+            return false;
+        case Claim::NoRoom:
             counters_.add(Count::RejectedForMemory);
-            at->second.door->rejected(id, {});
-            return answered(at, Count::Rejected);
-        }
-        at->second.holdsKey = claim == Claim::First;
-        if (claim == Claim::Repeat) {
+            answerRejected(entry, {});
+            return false;
+        case Claim::First:
+            request.idempotencyRole = IdempotencyRole::HoldsKey;
+            break;
+        case Claim::Repeat:
             counters_.add(Count::DuplicateRequests);
-            arrival.request.duplicateOf = keys_.holder(arrival.idempotencyKey);
-        }
-        at->second.key = std::move(arrival.idempotencyKey);
+            request.idempotencyRole = IdempotencyRole::Duplicate;
+            incoming.request.duplicateOf = keys_.holder(incoming.idempotencyKey);
+            break;
     }
-    bytes_ += at->second.bytes = bytes;
-    at->second.name = std::move(arrival.externalId);
-    at->second.body = std::move(arrival.body);
-    at->second.profile = arrival.request.requestClass;
-    at->second.format = arrival.format;
-    at->second.subject = arrival.routingKey;
-    at->second.due = arrival.request.deadline.value_or(net::unixNow() + profile.timeout);
-    round_.arrivals.push_back(arrival.request);
-    fresh_ = true;
+    request.idempotencyKey = std::move(incoming.idempotencyKey);
+    return true;
+}
+
+void RequestManager::book(Table::iterator entry, IncomingRequest incoming, std::size_t bytes) {
+    const Duration classTimeout =
+        config_.requestClasses[static_cast<std::size_t>(incoming.request.requestClass)].timeout;
+    RequestState& request = entry->second;
+    request.bookedBytes = bytes;
+    bookedBytes_ += bytes;
+    request.externalId = std::move(incoming.externalId);
+    request.body = std::move(incoming.body);
+    request.requestClass = incoming.request.requestClass;
+    request.format = incoming.format;
+    request.routingKey = incoming.routingKey;
+    request.deadline = incoming.request.deadline.value_or(net::unixNow() + classTimeout);
+    batch_.arrivals.push_back(incoming.request);
+    hasEvents_ = true;
 }
 
 void RequestManager::clientCancelled(RequestId id) {
-    const auto at = table_.find(id);
-    if (at == table_.end() || !at->second.waiting()) return;
+    const Table::iterator entry = findWaiting(id);
+    if (entry == table_.end()) return;
     counters_.add(Count::ClientCancellations);
-    --unanswered_;
-    at->second.left = true;
-    at->second.overAt = net::unixNow();
-    if (at->second.calling) calls_->abandonCall(id);
-    at->second.calling = false;
-    round_.clientCancellations.push_back(id);
-    fresh_ = true;
+    --unansweredCount_;
+    entry->second.client = ClientState::Cancelled;
+    entry->second.noLongerAwaitedAt = net::unixNow();
+    abandonDependencyCall(entry);
+    batch_.clientCancellations.push_back(id);
+    hasEvents_ = true;
 }
 
-void RequestManager::executorReady(bool cold, Duration ago) {
+// ---- Events from the executor ---------------------------------------------------------------------------
+
+void RequestManager::executorReady(bool cold, Duration runningFor) {
     if (controller_) return;
-    ControllerConfig terms = terms_;
-    terms.startsCold = cold;
-    controller_ = makeOverloadController(terms);
-    log_.info("backend", std::string("machine is up, ") + (cold ? "cold" : "warm") + ", for " +
-                             std::to_string(ago / 1ms) + " ms");
-    fresh_ = true;
+    ControllerConfig config = config_;
+    config.startsCold = cold;
+    controller_ = makeOverloadController(config);
+    log_.info("request", std::string("executor ready: state=") + (cold ? "cold" : "warm") +
+                             " running_ms=" + std::to_string(runningFor / 1ms));
+    hasEvents_ = true;
 }
 
 void RequestManager::runWaitsForDependency(RequestId id, std::string callBody) {
-    const auto at = table_.find(id);
-    if (at == table_.end() || !at->second.running) return;
-    at->second.callBody = std::move(callBody);
-    at->second.supplied.clear();
-    at->second.suppliedAt = 0ns;
-    round_.waitingForDependency.push_back(id);
-    fresh_ = true;
-}
-
-void RequestManager::runCompleted(RequestId id, Outcome outcome, Duration took, std::string_view result) {
-    const auto at = table_.find(id);
-    if (at == table_.end() || !at->second.running) return;
+    const Table::iterator entry = findRunning(id);
+    if (entry == table_.end()) return;
+    entry->second.dependencyCallBody = std::move(callBody);
+    entry->second.continuation.reset();
+    batch_.waitingForDependency.push_back(id);
+    hasEvents_ = true;
+}
+
+void RequestManager::runCompleted(RequestId id, Outcome outcome, Duration elapsed, std::string_view result) {
+    const Table::iterator entry = findRunning(id);
+    if (entry == table_.end()) return;
     counters_.add(Count::RunsCompleted);
-    Owned& owned = at->second;
-    owned.running = false;
-    if (owned.calling) calls_->abandonCall(id);
-    owned.calling = false;
-    round_.runResults.push_back({id, outcome, took});
-    fresh_ = true;
-    if (outcome == Outcome::Ok) workSeen_ = true;
-    if (owned.holdsKey) {
-        using Known = state::IdempotencyKeys::Known;
-        using End = state::IdempotencyKeys::Outcome;
-        if (outcome == Outcome::Superseded && !owned.unsure)
-            tellJoined(keys_.release(owned.key, id), Known{End::NeverRan, {}});
-        else if (outcome == Outcome::Ok)
-            tellJoined(keys_.ended(owned.key, id, true, result), Known{End::Ok, result});
-        else
-            tellJoined(keys_.ended(owned.key, id, false, {}), Known{End::Failed, {}});
-    }
-    if (owned.unsure) --unsure_;
-    owned.unsure = false;
-    if (!owned.waiting()) return dropIfDone(at);
-    if (outcome == Outcome::Ok) {
-        owned.door->completed(id, result);
-        return answered(at, Count::Completed);
-    }
-    owned.door->failed(id);
-    answered(at, Count::Failed);
-}
-
-void RequestManager::tellJoined(const std::vector<RequestId>& ids, state::IdempotencyKeys::Known known) {
-    for (const RequestId id : ids) tellJoined(id, known);
-}
-
-// A repeat is answered with what became of the try that has its key.
-void RequestManager::tellJoined(RequestId id, state::IdempotencyKeys::Known known) {
-    using End = state::IdempotencyKeys::Outcome;
-    const auto at = table_.find(id);
-    if (at == table_.end() || !at->second.waiting()) return;
-    at->second.joined = known.outcome == End::Pending;
-    if (at->second.joined) return;
-    fresh_ = true;
-    if (known.outcome == End::Ok) {
-        round_.runResults.push_back({id, Outcome::Ok, 0ns});
-        at->second.door->completed(id, known.result);
-        return answered(at, Count::Completed);
-    }
-    if (known.outcome == End::Failed) {
-        round_.runResults.push_back({id, Outcome::Error, 0ns});
-        at->second.door->failed(id);
-        return answered(at, Count::Failed);
-    }
-    round_.runResults.push_back({id, Outcome::Superseded, 0ns});
-    at->second.door->rejected(id, {});
-    answered(at, Count::Rejected);
+    RequestState& request = entry->second;
+    const bool startUnconfirmed = request.run == RunState::StartUnconfirmed;
+    request.run = RunState::Ended;
+    if (startUnconfirmed) --unconfirmedStartCount_;
+    abandonDependencyCall(entry);
+    addRunResult(id, outcome, elapsed);
+    if (outcome == Outcome::Ok) runSucceededSinceCheck_ = true;
+    if (request.idempotencyRole == IdempotencyRole::HoldsKey)
+        settleKey(entry, outcome, startUnconfirmed, result);
+    if (!request.isClientWaiting()) return eraseIfOver(entry);
+    if (outcome == Outcome::Ok) return answerCompleted(entry, result);
+    answerFailed(entry);
 }
 
 void RequestManager::runUnknownToExecutor(RequestId id) {
-    const auto at = table_.find(id);
-    if (at == table_.end() || !at->second.running) return;
-    if (at->second.waiting()) {
-        at->second.door->unknownToExecutor(id);
-        answered(at, Count::Failed);  // its run has yet to end, so it stays
-    }
+    const Table::iterator entry = findRunning(id);
+    if (entry == table_.end()) return;
+    // The entry stays after the answer, as its run has yet to end.
+    if (entry->second.isClientWaiting()) answerUnknownToExecutor(entry);
     runCompleted(id, Outcome::Superseded, 0ns, {});
 }
 
-void RequestManager::checkWorkGetsDone(std::function<void(bool)> told) {
-    if (!well_ || std::exchange(workSeen_, false)) return told(well_);
-    runs_->verifyWork([this, told = std::move(told)](std::optional<bool> good) {
-        told(well_ && good.value_or(true));  // no word in time is no proof that work fails
-    });
-}
-
 void RequestManager::updateGauges(const Gauges& gauges) {
     gauges_ = gauges;
-    gaugesAt_ = net::unixNow();
+    gaugesUpdatedAt_ = net::unixNow();
+}
+
+void RequestManager::resumeRuns(Timestamp lostAt) {
+    for (auto& [id, request] : table_) {
+        if (!request.isRunInProgress()) continue;
+        restartOrMarkUnconfirmed(request, lostAt);
+        if (!request.isClientWaiting() && config_.runCancellation != RunCancellation::Unsupported)
+            executor_->cancel(request.externalId);
+        else
+            repeatLastInstruction(request, lostAt);
+    }
+}
+
+bool RequestManager::mayRunTwice(const RequestState& request) const {
+    return config_.requestClasses[static_cast<std::size_t>(request.requestClass)].idempotency ==
+           Idempotency::Idempotent;
+}
+
+// Also restarts runs that nobody waits for any more: only the report of an end, even of a run that never was,
+// removes the request from the table. A request that may run only once is not restarted, as its run may have
+// ended meanwhile; it is inquired after once it is over.
+void RequestManager::restartOrMarkUnconfirmed(RequestState& request, Timestamp lostAt) {
+    if (mayRunTwice(request)) return executor_->start(request.runSpec());
+    const bool startMayBeLost = request.runStartedAt > lostAt - kLossWindow;
+    if (request.run == RunState::StartUnconfirmed || !startMayBeLost) return;
+    request.run = RunState::StartUnconfirmed;
+    ++unconfirmedStartCount_;
 }
 
-void RequestManager::dependencyCallCompleted(RequestId id, Outcome outcome, Duration took,
+// An instruction from before the loss window has arrived: repeated, it might be taken for the answer to the
+// run's next dependency call.
+void RequestManager::repeatLastInstruction(const RequestState& request, Timestamp lostAt) {
+    const std::optional<RunContinuation>& last = request.continuation;
+    if (!last || last->sentAt <= lostAt - kLossWindow) return;
+    if (last->reply)
+        executor_->supplyReply(request.externalId, *last->reply);
+    else
+        executor_->skipDependencyCall(request.externalId);
+}
+
+// A request whose start may be lost would otherwise stay in the table for ever. Started again once it is
+// over, a run in progress is not disturbed, and where there is none the executor reports that nothing was
+// started.
+void RequestManager::inquireUnconfirmedStarts(Timestamp now) {
+    if (unconfirmedStartCount_ == 0) return;
+    for (auto& [id, request] : table_) {
+        if (request.run != RunState::StartUnconfirmed || request.isClientWaiting()) continue;
+        if (now - request.noLongerAwaitedAt < kInquiryDelay) continue;
+        request.noLongerAwaitedAt = now;  // inquires again after the same delay, should this be lost as well
+        executor_->start(request.runSpec());
+    }
+}
+
+// ---- Events from the dependency client ------------------------------------------------------------------
+
+void RequestManager::dependencyCallCompleted(RequestId id, Outcome outcome, Duration elapsed,
                                              std::string_view reply) {
-    const auto at = table_.find(id);
-    if (at == table_.end() || !at->second.calling) return;
-    at->second.calling = false;
-    // No run waits for that call: the run's end is on its way, and it is what counts.
+    const Table::iterator entry = table_.find(id);
+    if (entry == table_.end() || !entry->second.isDependencyCallInProgress()) return;
+    RequestState& request = entry->second;
+    request.dependencyCall = DependencyCallState::NotInProgress;
+    // No run waits for the call: the end of the run is about to be reported, and that is what counts.
     if (outcome == Outcome::Superseded) return;
     if (outcome == Outcome::Ok) {
-        at->second.supplied = reply;
-        at->second.suppliedAt = net::unixNow();
-        at->second.leftOut = false;
-        runs_->supplyReply(at->second.name, reply);
+        request.continuation = RunContinuation{std::string(reply), net::unixNow()};
+        executor_->supplyReply(request.externalId, reply);
     }
-    round_.dependencyResults.push_back({id, outcome, took});
-    fresh_ = true;
+    batch_.dependencyResults.push_back({id, outcome, elapsed});
+    hasEvents_ = true;
 }
 
-void RequestManager::beginShutdown(Duration stopAt) {
-    round_.shutdownAt = stopAt;
-    fresh_ = true;
+// ---- Control --------------------------------------------------------------------------------------------
+
+void RequestManager::beginShutdown(Timestamp stopAt) {
+    batch_.shutdownAt = stopAt;
+    hasEvents_ = true;
 }
 
-// The last figures go with the alarm, and new ones are asked for: a round never waits for them, and figures
-// that did not come are absent rather than old.
-void RequestManager::ring() {
-    const Duration now = net::unixNow();
-    if (now < alarmAt_) return alarm_.start(alarmAt_ - now);
-    round_.gauges = now - gaugesAt_ < kGaugesHold ? gauges_ : Gauges{};
-    fresh_ = true;
-    askAfterUnsure(now);
-    runs_->requestGauges();
+// The latest gauges go into this batch, and new ones are requested for the next: a batch never waits for
+// them, and gauges that did not arrive in time are absent rather than old.
+void RequestManager::controlTick() {
+    const Timestamp now = net::unixNow();
+    if (now < nextTickAt_) return tickTimer_.start(nextTickAt_ - now);
+    const bool gaugesAreCurrent = now - gaugesUpdatedAt_ < kGaugesMaxAge;
+    batch_.gauges = gaugesAreCurrent ? gauges_ : Gauges{};
+    hasEvents_ = true;
+    inquireUnconfirmedStarts(now);
+    executor_->requestGauges();
 }
 
 void RequestManager::processEvents() {
-    if (!controller_) return ended_.clear();
-    if (!fresh_) return;
+    if (!controller_) return endedThisTurn_.clear();
+    if (!hasEvents_) return;
     counters_.add(Count::EventBatches);
-    last_ = std::max(last_ + 1ns, net::unixNow());  // the module's time never goes back
-    EventBatch round = std::move(round_);
-    round_ = EventBatch{};
-    fresh_ = false;
-    ended_.clear();
-    round.now = last_;
-    controller_->decide(round, gathered_);
-    for (const Decision& decision : gathered_.all) carryOut(decision);
-    gathered_.all.clear();
-    for (const RequestId id : round.clientCancellations)
-        if (const auto at = table_.find(id); at != table_.end()) dropIfDone(at);
-}
-
-void RequestManager::carryOut(const Decision& decision) {
-    using Kind = Decision::Kind;
-    const auto at = table_.find(decision.id);
-    const bool there = at != table_.end();
-    switch (decision.kind) {
-        case Kind::Start:
-            if (!there || at->second.running) return;
-            at->second.running = true;
-            at->second.startedAt = net::unixNow();
-            counters_.add(Count::RunsStarted);
-            return startRun(at->second);
-        case Kind::Halt:
-            if (!there || !at->second.running) return;
-            counters_.add(Count::RunsCancelled);
-            return runs_->cancel(at->second.name);
-        case Kind::Call:
-            if (!there || !at->second.running || !at->second.waiting()) return;
-            at->second.calling = true;
-            return calls_->startCall(decision.id, at->second.name, decision.time, at->second.callBody);
-        case Kind::LeaveOut:
-            if (!there || !at->second.running || !at->second.waiting()) return;
-            at->second.leftOut = true;
-            at->second.suppliedAt = net::unixNow();
-            return runs_->skipDependencyCall(at->second.name);
-        case Kind::Join:
-            if (!there || !at->second.waiting()) return;
-            return tellJoined(decision.id, keys_.join(at->second.key, decision.id));
-        case Kind::Bounce:
-        case Kind::Scrap:
-            if (!there || !at->second.waiting()) return;
-            if (decision.kind == Kind::Bounce)
-                at->second.door->rejected(decision.id, {decision.time, decision.yes});
-            else
-                at->second.door->failed(decision.id);
-            if (at->second.calling) calls_->abandonCall(decision.id);
-            at->second.calling = false;
-            return answered(at, decision.kind == Kind::Bounce ? Count::Rejected : Count::Failed);
-        case Kind::Health:
-            if (well_ != decision.yes) log_.info("backend", decision.yes ? "health good" : "health bad");
-            well_ = decision.yes;
-            if (healthTold_) healthTold_(well_);
-            return;
-        case Kind::FreeValue:
-            freeValue_ = decision.value;
-            return;
-        case Kind::CloseIdle:
-            for (ResponseSink* door : doors_) door->closeIdleConnections(decision.time);
-            return;
-        case Kind::Wake:
-            alarmAt_ = last_ + decision.time;
-            return alarm_.start(decision.time);
+    // The controller's time is the Unix clock, but never goes back or stands still.
+    lastDecisionAt_ = std::max(lastDecisionAt_ + 1ns, net::unixNow());
+    EventBatch batch = std::move(batch_);
+    batch_ = EventBatch{};
+    hasEvents_ = false;
+    endedThisTurn_.clear();
+    batch.now = lastDecisionAt_;
+    controller_->decide(batch, decisions_);
+    for (const Decision& decision : decisions_.decisions())
+        std::visit([this](const auto& kind) { carryOut(kind); }, decision);
+    decisions_.clear();
+    for (const RequestId id : batch.clientCancellations) {
+        const Table::iterator entry = table_.find(id);
+        if (entry != table_.end()) eraseIfOver(entry);
     }
 }
 
-void RequestManager::startRun(const Owned& owned) {
-    runs_->start({owned.name, owned.profile, owned.body, owned.format, owned.subject, owned.due});
+// ---- Decisions of the controller ------------------------------------------------------------------------
+// The request of a decision may have ended since the events that the decision rests on.
+
+void RequestManager::carryOut(const StartRun& decision) {
+    const Table::iterator entry = table_.find(decision.id);
+    if (entry == table_.end() || entry->second.isRunInProgress()) return;
+    entry->second.run = RunState::Running;
+    entry->second.runStartedAt = net::unixNow();
+    counters_.add(Count::RunsStarted);
+    executor_->start(entry->second.runSpec());
+}
+
+void RequestManager::carryOut(const RejectRequest& decision) {
+    const Table::iterator entry = findWaiting(decision.id);
+    if (entry == table_.end()) return;
+    entry->second.sink->rejected(decision.id, decision.pushback);
+    abandonDependencyCall(entry);
+    recordAnswer(entry, Count::Rejected);
+}
+
+void RequestManager::carryOut(const FailRequest& decision) {
+    const Table::iterator entry = findWaiting(decision.id);
+    if (entry == table_.end()) return;
+    entry->second.sink->failed(decision.id);
+    abandonDependencyCall(entry);
+    recordAnswer(entry, Count::Failed);
 }
 
-void RequestManager::answered(Table::iterator at, Count kind) {
+void RequestManager::carryOut(const CancelRun& decision) {
+    const Table::iterator entry = findRunning(decision.id);
+    if (entry == table_.end()) return;
+    counters_.add(Count::RunsCancelled);
+    executor_->cancel(entry->second.externalId);
+}
+
+void RequestManager::carryOut(const CallDependency& decision) {
+    const Table::iterator entry = findRunningAndWaiting(decision.id);
+    if (entry == table_.end()) return;
+    RequestState& request = entry->second;
+    request.dependencyCall = DependencyCallState::InProgress;
+    dependencyClient_->startCall(decision.id, request.externalId, decision.timeout,
+                                 request.dependencyCallBody);
+}
+
+void RequestManager::carryOut(const SkipDependencyCall& decision) {
+    const Table::iterator entry = findRunningAndWaiting(decision.id);
+    if (entry == table_.end()) return;
+    entry->second.continuation = RunContinuation{std::nullopt, net::unixNow()};
+    executor_->skipDependencyCall(entry->second.externalId);
+}
+
+void RequestManager::carryOut(const JoinDuplicate& decision) {
+    const Table::iterator entry = findWaiting(decision.id);
+    if (entry == table_.end()) return;
+    resolveDuplicate(decision.id, keys_.join(entry->second.idempotencyKey, decision.id));
+}
+
+void RequestManager::carryOut(const SetHealth& decision) {
+    if (healthy_ != decision.healthy)
+        log_.info("request", std::string("health changed: healthy=") + (decision.healthy ? "true" : "false"));
+    healthy_ = decision.healthy;
+    if (onHealthChange_) onHealthChange_(healthy_);
+}
+
+void RequestManager::carryOut(const AdvertiseLoadShare& decision) { advertisedLoadShare_ = decision.share; }
+
+void RequestManager::carryOut(const CloseIdleConnections& decision) {
+    for (ResponseSink* const sink : sinks_) sink->closeIdleConnections(decision.unusedFor);
+}
+
+void RequestManager::carryOut(const ScheduleTick& decision) {
+    nextTickAt_ = lastDecisionAt_ + decision.delay;
+    tickTimer_.start(decision.delay);
+}
+
+// ---- Look-ups -------------------------------------------------------------------------------------------
+
+RequestManager::Table::iterator RequestManager::findWaiting(RequestId id) {
+    const Table::iterator entry = table_.find(id);
+    return entry != table_.end() && entry->second.isClientWaiting() ? entry : table_.end();
+}
+
+RequestManager::Table::iterator RequestManager::findRunning(RequestId id) {
+    const Table::iterator entry = table_.find(id);
+    return entry != table_.end() && entry->second.isRunInProgress() ? entry : table_.end();
+}
+
+RequestManager::Table::iterator RequestManager::findRunningAndWaiting(RequestId id) {
+    const Table::iterator entry = findRunning(id);
+    return entry != table_.end() && entry->second.isClientWaiting() ? entry : table_.end();
+}
+
+// ---- Answers and ends -----------------------------------------------------------------------------------
+
+void RequestManager::answerCompleted(Table::iterator entry, std::string_view result) {
+    entry->second.sink->completed(entry->first, result);
+    recordAnswer(entry, Count::Completed);
+}
+
+void RequestManager::answerRejected(Table::iterator entry, const Pushback& pushback) {
+    entry->second.sink->rejected(entry->first, pushback);
+    recordAnswer(entry, Count::Rejected);
+}
+
+void RequestManager::answerFailed(Table::iterator entry) {
+    entry->second.sink->failed(entry->first);
+    recordAnswer(entry, Count::Failed);
+}
+
+void RequestManager::answerUnknownToExecutor(Table::iterator entry) {
+    entry->second.sink->unknownToExecutor(entry->first);
+    recordAnswer(entry, Count::Failed);
+}
+
+void RequestManager::recordAnswer(Table::iterator entry, Count kind) {
     counters_.add(kind);
-    --unanswered_;
-    at->second.answered = true;
-    at->second.overAt = net::unixNow();
-    dropIfDone(at);
-}
-
-void RequestManager::dropIfDone(Table::iterator at) {
-    if (at->second.waiting() || at->second.running) return;
-    bytes_ -= at->second.bytes;
-    const RequestId id = at->first;
-    const Owned gone = std::move(at->second);
-    ended_.insert(id);
-    table_.erase(at);
-    if (gone.joined) keys_.leave(gone.key, id);
-    // Where its run has ended the key stays; else nothing ran, and those that wait may try again.
-    if (gone.holdsKey) tellJoined(keys_.release(gone.key, id), {});
-}
-
-void RequestManager::resumeRuns(Duration lostAt) {
-    for (auto& [id, owned] : table_) {
-        if (!owned.running) continue;
-        // Also for one that nobody waits for any more: only an end, if of nothing, closes its books. A run
-        // that may have ended meanwhile is not risked twice where once is all that is allowed: that one is
-        // asked after when it is over.
-        if (terms_.requestClasses[static_cast<std::size_t>(owned.profile)].idempotency ==
-            Idempotency::Idempotent) {
-            startRun(owned);
-        } else if (!owned.unsure && owned.startedAt > lostAt - kUnsure) {
-            owned.unsure = true;
-            ++unsure_;
-        }
-        if (!owned.waiting() && terms_.runCancellation != RunCancellation::Unsupported)
-            runs_->cancel(owned.name);
-        else if (owned.suppliedAt > 0ns && owned.suppliedAt > lostAt - kUnsure)
-            // An older one has arrived: said again it might meet the run's next call.
-            owned.leftOut ? runs_->skipDependencyCall(owned.name)
-                          : runs_->supplyReply(owned.name, owned.supplied);
-    }
+    --unansweredCount_;
+    entry->second.client = ClientState::Answered;
+    entry->second.noLongerAwaitedAt = net::unixNow();
+    eraseIfOver(entry);
 }
 
-// One whose start may be lost would hold its place for ever. Started again once it is over, a run that goes
-// on is not disturbed, and where there is none what runs commands tells that nothing was started.
-void RequestManager::askAfterUnsure(Duration now) {
-    if (unsure_ == 0) return;
-    for (auto& [id, owned] : table_) {
-        if (!owned.unsure || owned.waiting() || now - owned.overAt < kOver) continue;
-        owned.overAt = now;  // and again after as long, should this word be lost as well
-        startRun(owned);
+void RequestManager::abandonDependencyCall(Table::iterator entry) {
+    if (!entry->second.isDependencyCallInProgress()) return;
+    dependencyClient_->abandonCall(entry->first);
+    entry->second.dependencyCall = DependencyCallState::NotInProgress;
+}
+
+void RequestManager::eraseIfOver(Table::iterator entry) {
+    if (!entry->second.isOver()) return;
+    bookedBytes_ -= entry->second.bookedBytes;
+    const RequestId id = entry->first;
+    const RequestState request = std::move(entry->second);
+    endedThisTurn_.insert(id);
+    table_.erase(entry);
+    if (request.idempotencyRole == IdempotencyRole::DuplicateWaiting) keys_.leave(request.idempotencyKey, id);
+    // Without effect on a key whose run has ended: that key stays. Otherwise nothing ran, and the duplicates
+    // that wait may be tried again.
+    if (request.idempotencyRole == IdempotencyRole::HoldsKey)
+        resolveDuplicates(keys_.release(request.idempotencyKey, id), {});
+}
+
+// ---- Idempotency keys -----------------------------------------------------------------------------------
+
+// Records what became of the run that holds the key, and answers the duplicates that waited for it. Only a
+// run that is known not to have been started releases the key; an unconfirmed start may have run before.
+void RequestManager::settleKey(Table::iterator entry, Outcome outcome, bool startUnconfirmed,
+                               std::string_view result) {
+    const RequestId id = entry->first;
+    const std::string& key = entry->second.idempotencyKey;
+    if (outcome == Outcome::Superseded && !startUnconfirmed)
+        resolveDuplicates(keys_.release(key, id), {KeyOutcome::NeverRan, {}});
+    else if (outcome == Outcome::Ok)
+        resolveDuplicates(keys_.ended(key, id, true, result), {KeyOutcome::Ok, result});
+    else
+        resolveDuplicates(keys_.ended(key, id, false, {}), {KeyOutcome::Failed, {}});
+}
+
+void RequestManager::resolveDuplicates(const std::vector<RequestId>& duplicates, KeyResult result) {
+    for (const RequestId id : duplicates) resolveDuplicate(id, result);
+}
+
+// A duplicate is answered with what became of the attempt that holds its key; while that is pending, it
+// waits.
+void RequestManager::resolveDuplicate(RequestId id, KeyResult result) {
+    const Table::iterator entry = findWaiting(id);
+    if (entry == table_.end()) return;
+    if (result.outcome == KeyOutcome::Pending) {
+        entry->second.idempotencyRole = IdempotencyRole::DuplicateWaiting;
+        return;
+    }
+    entry->second.idempotencyRole = IdempotencyRole::Duplicate;
+    if (result.outcome == KeyOutcome::Ok) {
+        addRunResult(id, Outcome::Ok, 0ns);
+        return answerCompleted(entry, result.result);
+    }
+    if (result.outcome == KeyOutcome::Failed) {
+        addRunResult(id, Outcome::Error, 0ns);
+        return answerFailed(entry);
     }
+    addRunResult(id, Outcome::Superseded, 0ns);
+    answerRejected(entry, {});
+}
+
+void RequestManager::addRunResult(RequestId id, Outcome outcome, Duration elapsed) {
+    batch_.runResults.push_back({id, outcome, elapsed});
+    hasEvents_ = true;
+}
+
+// ---- Observation ----------------------------------------------------------------------------------------
+
+void RequestManager::checkWorkGetsDone(std::function<void(bool)> onChecked) {
+    if (!healthy_) return onChecked(false);
+    const bool runSucceeded = std::exchange(runSucceededSinceCheck_, false);
+    if (runSucceeded) return onChecked(true);
+    executor_->verifyWork([this, onChecked = std::move(onChecked)](std::optional<bool> verified) {
+        // No result in time does not prove that work fails.
+        onChecked(healthy_ && verified.value_or(true));
+    });
 }
 
 }  // namespace cottonwing::request
--- a/src/request/request_manager.h
+++ b/src/request/request_manager.h
@@ -1,9 +1,19 @@
-// The owner of a command from its reading to its answer. Gathers what came in during one turn of the loop,
-// has the module decide once, and carries out what it wrote. Knows no protocol: commands come in and answers
-// go out by a Door, runs and calls by the links below.
+/// @file
+/// The owner of every request from its acceptance to its answer.
+///
+/// Collects the events of one turn of the loop, has the overload controller decide once, and carries out the
+/// decisions in order. Knows no protocol: requests arrive from and answers go to a ResponseSink; runs and
+/// dependency calls go through an Executor and a DependencyClient.
+///
+/// Who owns what: the table of requests (RequestState), the batch of events in progress and the queue of
+/// decisions belong to the RequestManager alone. The overload controller keeps its own account of each
+/// request, fed by the events only. Bodies and results are passed to the interfaces as views that are valid
+/// during the call. Idempotency keys and their results belong to state::IdempotencyKeys, which only the
+/// RequestManager calls.
 #pragma once
 
 #include <functional>
+#include <memory>
 #include <optional>
 #include <string>
 #include <string_view>
@@ -13,231 +23,180 @@
 
 #include "net/loop.h"
 #include "overload/overload_controller.h"
+#include "request/decision_queue.h"
+#include "request/dependency_client.h"
+#include "request/executor.h"
+#include "request/incoming_request.h"
+#include "request/request_id.h"
+#include "request/request_state.h"
+#include "request/response_sink.h"
 #include "state/idempotency_keys.h"
 #include "telemetry/counters.h"
 #include "telemetry/log.h"
 
 namespace cottonwing::request {
 
-// An id as all wires give it: 16 hex digits.
-std::optional<RequestId> parseRequestId(std::string_view text);
-
-// Where a command came from and its answer goes to; each takes one answer a command.
-class ResponseSink {
-public:
-    virtual ~ResponseSink() = default;
-    virtual void completed(RequestId id, std::string_view result) = 0;
-    virtual void rejected(RequestId id, const Pushback& pushback) = 0;
-    virtual void failed(RequestId id) = 0;
-    virtual void unknownToExecutor(
-        RequestId id) = 0;  // scrapped, as what runs commands knows of no such command
-    virtual void closeIdleConnections(Duration unusedFor) = 0;
-};
-
-// How a body is to be understood by what runs it.
-enum class PayloadFormat {
-    Plain,  // the command's own bytes
-    Scgi    // a whole SCGI request, and the result a whole reply
-};
-
-// A command as a protocol brings it: name is its id as it was given; answers go to the door it came by, the
-// first one where none is named.
-struct IncomingRequest {
-    Request request;
-    std::string externalId, body;
-    std::string idempotencyKey;  // the idempotency key, where its profile is keyed: the same in all tries of
-                                 // a request
-    PayloadFormat format = PayloadFormat::Plain;
-    std::uint64_t routingKey = 0;  // what it is about, for those that route by it
-    ResponseSink* sink = nullptr;
-};
-
-// What a run is started with; due: when nobody waits for it any more, on the Unix clock.
-struct RunSpec {
-    const std::string& externalId;
-    int requestClass;
-    std::string_view body;
-    PayloadFormat format;
-    std::uint64_t routingKey;
-    Duration deadline;
-};
-
-// The link to what runs commands.
-class Executor {
-public:
-    virtual ~Executor() = default;
-    virtual void start(const RunSpec& run) = 0;
-    virtual void cancel(const std::string& name) = 0;
-    virtual void supplyReply(const std::string& name, std::string_view reply) = 0;
-    virtual void skipDependencyCall(
-        const std::string& name) = 0;  // go on without the call that the run waits for
-    virtual void requestGauges() = 0;
-    // Does a little work; tells how it went, or nothing where no word came in time.
-    virtual void verifyWork(std::function<void(std::optional<bool>)> told) = 0;
-};
-
-// The link to the dependency.
-class DependencyClient {
-public:
-    virtual ~DependencyClient() = default;
-    virtual void startCall(RequestId id, const std::string& name, Duration patience,
-                           std::string_view body) = 0;
-    virtual void abandonCall(RequestId id) = 0;
-};
-
+/// Tracks requests between the protocol servers, the overload controller, the executor and the dependency
+/// client. Lives on the loop's thread. Events about requests that are not tracked are ignored.
 class RequestManager {
 public:
-    // mostBytes: what the bodies of all commands in hand may take; keyBytes: idempotency keys and results.
-    RequestManager(net::Loop& loop, const ControllerConfig& terms, std::size_t mostBytes,
-                   std::size_t keyBytes, telemetry::Log& log, telemetry::Counters& counters);
-
-    void connect(ResponseSink& door, Executor& runs, DependencyClient& calls) {
-        doors_ = {&door}, runs_ = &runs, calls_ = &calls;
-    }
-    void addResponseSink(ResponseSink& door) { doors_.push_back(&door); }
-    void onHealthChange(std::function<void(bool)> told) { healthTold_ = std::move(told); }
-
-    // From the door.
-    // Also for one that ended in this turn: the module has yet to hear of it, and would take the two for one.
-    bool contains(RequestId id) const { return table_.contains(id) || ended_.contains(id); }
-    void accept(IncomingRequest arrival);
+    /// @param loop must outlive the manager, as must log and counters.
+    /// @param config of the overload controller; copied.
+    /// @param maxRequestBytes memory that the bodies of all tracked requests may take.
+    /// @param maxKeyBytes memory that idempotency keys and their results may take.
+    RequestManager(net::Loop& loop, const ControllerConfig& config, std::size_t maxRequestBytes,
+                   std::size_t maxKeyBytes, telemetry::Log& log, telemetry::Counters& counters);
+
+    /// Joins the parts; to be called once, before the first event. All must outlive the manager's use.
+    /// @param sink receives the answers of requests that name no sink.
+    void connect(ResponseSink& sink, Executor& executor, DependencyClient& dependencyClient);
+    /// Adds a protocol server beside the first one.
+    void addResponseSink(ResponseSink& sink) { sinks_.push_back(&sink); }
+    /// @param onChange receives the health each time the controller sets it.
+    void onHealthChange(std::function<void(bool)> onChange) { onHealthChange_ = std::move(onChange); }
+
+    // ---- Events from protocol servers.
+
+    /// @return whether the id may not be used for another request yet. That includes a request that ended in
+    /// this turn: the controller has yet to learn of its end, and would take the two requests for one.
+    bool contains(RequestId id) const { return table_.contains(id) || endedThisTurn_.contains(id); }
+    /// Accepts a request; the sink is answered exactly once, possibly from within the call.
+    /// @param incoming its id must not be contained.
+    void accept(IncomingRequest incoming);
+    /// The client no longer waits; the sink is not answered.
     void clientCancelled(RequestId id);
 
-    // From the runs. up: the machine is there; it may be cold, and it started that long ago.
-    void executorReady(bool cold, Duration ago);
+    // ---- Events from the executor.
+
+    /// The executor can run requests. Only the first call has an effect.
+    /// @param cold whether it needs to warm up.
+    /// @param runningFor time since it started.
+    void executorReady(bool cold, Duration runningFor);
+    /// A run wants its dependency call.
+    /// @param callBody what the call is to carry.
     void runWaitsForDependency(RequestId id, std::string callBody);
-    void runCompleted(RequestId id, Outcome outcome, Duration took, std::string_view result);
+    /// A run ended. Its client, if it still waits, is answered at once.
+    /// @param elapsed time that the run took.
+    /// @param result of a successful run; valid during the call only.
+    void runCompleted(RequestId id, Outcome outcome, Duration elapsed, std::string_view result);
+    /// The executor refused to start the run.
     void runUnknownToExecutor(RequestId id);
+    /// Takes in the measurements that requestGauges asked for.
     void updateGauges(const Gauges& gauges);
+    /// Restores what the executor has to know after its connection was lost and opened again: all runs that
+    /// are still in progress. To be called once the reports missed meanwhile have been read.
+    /// @param lostAt when the connection was lost.
+    void resumeRuns(Timestamp lostAt);
+
+    // ---- Events from the dependency client.
+
+    /// A dependency call ended.
+    /// @param reply body of the reply; valid during the call only.
+    void dependencyCallCompleted(RequestId id, Outcome outcome, Duration elapsed, std::string_view reply);
 
-    // From the calls.
-    void dependencyCallCompleted(RequestId id, Outcome outcome, Duration took, std::string_view reply);
+    // ---- Control.
 
-    void beginShutdown(Duration stopAt);
+    /// Graceful shutdown begins.
+    /// @param stopAt when the process ends.
+    void beginShutdown(Timestamp stopAt);
+    /// Has the controller decide on all events since the last call, and carries its decisions out. To be
+    /// called at the end of each turn of the loop.
     void processEvents();
 
-    // Good health, from the module's word alone.
-    bool healthy() const { return well_; }
-    // And whether work gets done: seen from a run that has ended well since the last such check or, without
-    // one, from new work.
-    void checkWorkGetsDone(std::function<void(bool)> told);
-    std::optional<double> advertisedLoadShare() const { return freeValue_; }
-    std::size_t unansweredCount() const { return unanswered_; }
+    // ---- Observation.
+
+    /// @return the health as the controller set it last.
+    bool healthy() const { return healthy_; }
+    /// Checks that work gets done, beyond healthy(): a run that succeeded since the last such check proves
+    /// it; otherwise the executor does a little work.
+    /// @param onChecked receives the result, possibly from within the call.
+    void checkWorkGetsDone(std::function<void(bool)> onChecked);
+    /// @return the share of its usual traffic that the server can take, from 0 to 1, once one was set.
+    std::optional<double> advertisedLoadShare() const { return advertisedLoadShare_; }
+    /// @return the number of requests whose clients wait.
+    std::size_t unansweredCount() const { return unansweredCount_; }
+    /// @return the number of requests whose clients wait or whose runs are in progress.
     std::size_t trackedCount() const { return table_.size(); }
-    // What is with the machine, said again on a new link after one that was lost then.
-    void resumeRuns(Duration lostAt);
 
 private:
-    struct Owned {
-        std::string name, body, key, callBody, supplied;
-        Duration startedAt{0}, overAt{0};  // overAt: when its answer was given or its caller left
-        Duration suppliedAt{0}, due{0};    // suppliedAt: when it was last told how to go on after a call
-        ResponseSink* door = nullptr;
-        std::uint64_t subject = 0;
-        PayloadFormat format = PayloadFormat::Plain;
-        int profile = 0;
-        bool answered = false, left = false, running = false, calling = false;
-        bool holdsKey = false, joined = false;  // the first try of its key; one that waits for that try
-        bool leftOut = false;                   // told to go on without its call, rather than with a reply
-        bool unsure = false;    // may not be repeated, and its start may be lost with a link of the pool
-        std::size_t bytes = 0;  // counted for it
-        bool waiting() const { return !answered && !left; }
-    };
-    using Table = std::unordered_map<RequestId, Owned>;
-    static constexpr std::size_t kEachTakes = 1024;  // of memory, beside its bodies
-
-    struct Decision {
-        enum class Kind {
-            Start,
-            Bounce,
-            Scrap,
-            Halt,
-            Call,
-            LeaveOut,
-            Join,
-            Health,
-            FreeValue,
-            CloseIdle,
-            Wake
-        } kind;
-        RequestId id = 0;
-        Duration time{0};
-        double value = 0;
-        bool yes = false;
-    };
-
-    // Keeps what the module writes until it is done.
-    class Gathered : public DecisionSink {
-    public:
-        explicit Gathered(telemetry::Log& log) : log_(log) {}
-        void startRun(RequestId id) override { all.push_back({Decision::Kind::Start, id}); }
-        void reject(RequestId id, const Pushback& pushback) override {
-            all.push_back({Decision::Kind::Bounce, id, pushback.retryAfter, 0, pushback.retryElsewhere});
-        }
-        void fail(RequestId id) override { all.push_back({Decision::Kind::Scrap, id}); }
-        void cancelRun(RequestId id) override { all.push_back({Decision::Kind::Halt, id}); }
-        void callDependency(RequestId id, Duration patience) override {
-            all.push_back({Decision::Kind::Call, id, patience});
-        }
-        void skipDependencyCall(RequestId id) override { all.push_back({Decision::Kind::LeaveOut, id}); }
-        // Keys are ours, in our own memory: no entry of the module's costs what commands are booked for.
-        void retainKey(RequestId, Duration) override { notCarried("keep"); }
-        void releaseKey(RequestId) override { notCarried("forget"); }
-        void joinDuplicate(RequestId id) override { all.push_back({Decision::Kind::Join, id}); }
-        void setHealth(bool good) override {
-            all.push_back({Decision::Kind::Health, 0, Duration(0), 0, good});
-        }
-        void advertiseLoadShare(double value) override {
-            all.push_back({Decision::Kind::FreeValue, 0, Duration(0), value});
-        }
-        void closeIdleConnections(Duration unusedFor) override {
-            all.push_back({Decision::Kind::CloseIdle, 0, unusedFor});
-        }
-        void scheduleTick(Duration wait) override { all.push_back({Decision::Kind::Wake, 0, wait}); }
-        void log(std::string_view line) override { log_.info("module", line); }
-
-        std::vector<Decision> all;  // emptied by carrying them out
-
-    private:
-        void notCarried(const char* what) { log_.error("backend", what); }
-        telemetry::Log& log_;
-    };
-
-    void carryOut(const Decision& decision);
-    void startRun(const Owned& owned);
-    void answered(Table::iterator at, telemetry::Count kind);
-    void dropIfDone(Table::iterator at);
-    void tellJoined(RequestId id, state::IdempotencyKeys::Known known);
-    void tellJoined(const std::vector<RequestId>& ids, state::IdempotencyKeys::Known known);
-    void askAfterUnsure(Duration now);
-    void ring();
-
-    const ControllerConfig terms_;
-    const std::size_t mostBytes_;
+    using Table = std::unordered_map<RequestId, RequestState>;
+    using KeyResult = state::IdempotencyKeys::Known;
+
+    // Steps of accept().
+    Table::iterator track(const IncomingRequest& incoming);
+    bool hasCapacityFor(std::size_t bytes) const;
+    void refuseForCapacity(Table::iterator entry, const IncomingRequest& incoming);
+    bool claimIdempotencyKey(Table::iterator entry, IncomingRequest& incoming);
+    void book(Table::iterator entry, IncomingRequest incoming, std::size_t bytes);
+
+    // Decisions of the controller.
+    void carryOut(const StartRun& decision);
+    void carryOut(const RejectRequest& decision);
+    void carryOut(const FailRequest& decision);
+    void carryOut(const CancelRun& decision);
+    void carryOut(const CallDependency& decision);
+    void carryOut(const SkipDependencyCall& decision);
+    void carryOut(const JoinDuplicate& decision);
+    void carryOut(const SetHealth& decision);
+    void carryOut(const AdvertiseLoadShare& decision);
+    void carryOut(const CloseIdleConnections& decision);
+    void carryOut(const ScheduleTick& decision);
+
+    // Look-ups: table_.end() when there is no such request in that state.
+    Table::iterator findWaiting(RequestId id);
+    Table::iterator findRunning(RequestId id);
+    Table::iterator findRunningAndWaiting(RequestId id);
+
+    // Answers and ends.
+    void answerCompleted(Table::iterator entry, std::string_view result);
+    void answerRejected(Table::iterator entry, const Pushback& pushback);
+    void answerFailed(Table::iterator entry);
+    void answerUnknownToExecutor(Table::iterator entry);
+    void recordAnswer(Table::iterator entry, telemetry::Count kind);
+    void abandonDependencyCall(Table::iterator entry);
+    void eraseIfOver(Table::iterator entry);
+
+    // Idempotency keys.
+    void settleKey(Table::iterator entry, Outcome outcome, bool startUnconfirmed, std::string_view result);
+    void resolveDuplicates(const std::vector<RequestId>& duplicates, KeyResult result);
+    void resolveDuplicate(RequestId id, KeyResult result);
+    void addRunResult(RequestId id, Outcome outcome, Duration elapsed);
+
+    // Recovery of runs after the executor's connection was lost.
+    bool mayRunTwice(const RequestState& request) const;
+    void restartOrMarkUnconfirmed(RequestState& request, Timestamp lostAt);
+    void repeatLastInstruction(const RequestState& request, Timestamp lostAt);
+    void inquireUnconfirmedStarts(Timestamp now);
+
+    void controlTick();
+
+    const ControllerConfig config_;
+    const std::size_t maxRequestBytes_;
     telemetry::Log& log_;
     telemetry::Counters& counters_;
-    net::Timer alarm_;
-    std::vector<ResponseSink*> doors_;
-    Executor* runs_ = nullptr;
-    DependencyClient* calls_ = nullptr;
-    std::function<void(bool)> healthTold_;
-
-    std::unique_ptr<OverloadController> controller_;  // there once the machine is
-    Gathered gathered_;
-    EventBatch round_;  // what came in since the last turn
-    bool fresh_ = false;
-    Duration last_{0}, alarmAt_{0};
+    net::Timer tickTimer_;
+    std::vector<ResponseSink*> sinks_;
+    Executor* executor_ = nullptr;
+    DependencyClient* dependencyClient_ = nullptr;
+    std::function<void(bool)> onHealthChange_;
+
+    std::unique_ptr<OverloadController> controller_;  // created once the executor is ready
+    DecisionQueue decisions_;
+    EventBatch batch_;        // events since the last processEvents()
+    bool hasEvents_ = false;  // whether batch_ is to be decided on
+    Timestamp lastDecisionAt_{0};
+    Timestamp nextTickAt_{0};
     Gauges gauges_;
-    Duration gaugesAt_{0};
-    bool well_ = false;
-    bool workSeen_ = false;  // a run has ended well since work was last checked
-    std::optional<double> freeValue_;
-    Table table_;                          // emptied by answers, by ends of runs and by callers that leave
-    std::unordered_set<RequestId> ended_;  // out of the table in this turn; emptied by the next round
+    Timestamp gaugesUpdatedAt_{0};
+    bool healthy_ = false;
+    bool runSucceededSinceCheck_ = false;
+    std::optional<double> advertisedLoadShare_;
+    Table table_;  // entries leave with the answer or cancellation and the end of the run
+    std::unordered_set<RequestId> endedThisTurn_;  // emptied by the next processEvents()
     state::IdempotencyKeys keys_;
-    std::size_t unsure_ = 0;  // rows that are
-    std::size_t unanswered_ = 0;
-    std::size_t bytes_ = 0;  // of the bodies in the table
+    std::size_t unconfirmedStartCount_ = 0;  // requests in RunState::StartUnconfirmed
+    std::size_t unansweredCount_ = 0;
+    std::size_t bookedBytes_ = 0;  // by all requests of the table
 };
 
 }  // namespace cottonwing::request
--- /dev/null
+++ b/src/request/response_sink.h
@@ -0,0 +1,43 @@
+/// @file
+/// The interface through which answers go back to the protocol server that received a request.
+#pragma once
+
+#include <string_view>
+
+#include "overload/decision_sink.h"
+#include "overload/types.h"
+
+namespace cottonwing::request {
+
+/// Receives exactly one answer for each request that it passed to the RequestManager, unless the client
+/// cancelled the request. Implemented by each protocol server.
+class ResponseSink {
+public:
+    virtual ~ResponseSink() = default;
+
+    /// The run completed.
+    /// @param id of the request.
+    /// @param result of the run; valid during the call only.
+    virtual void completed(RequestId id, std::string_view result) = 0;
+
+    /// The request was shed and never ran.
+    /// @param id of the request.
+    /// @param pushback advice for the client's retry.
+    virtual void rejected(RequestId id, const Pushback& pushback) = 0;
+
+    /// The request ran, or may have run, without a result.
+    /// @param id of the request.
+    virtual void failed(RequestId id) = 0;
+
+    /// The request failed because the executor does not accept it: either it does not know such a request or
+    /// the request's idempotency key belongs to a request with another body. The protocol server may count
+    /// this against the connection.
+    /// @param id of the request.
+    virtual void unknownToExecutor(RequestId id) = 0;
+
+    /// Sets how long a client connection may stay unused before it is closed.
+    /// @param unusedFor the limit.
+    virtual void closeIdleConnections(Duration unusedFor) = 0;
+};
+
+}  // namespace cottonwing::request
