--- a/src/worker_pool/protocol.cpp
+++ b/src/worker_pool/protocol.cpp
@@ -1,6 +1,6 @@
 #include "worker_pool/protocol.h"
 
-#include <array>
+#include <algorithm>
 #include <cmath>
 #include <map>
 #include <nlohmann/json.hpp>
@@ -11,96 +11,200 @@
 
 using Json = nlohmann::json;
 
-constexpr std::string_view kDigits = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
+// The words of the protocol. No other file knows them.
+namespace wire {
 
-std::string textOf(const Json& object, const char* key) {
-    const auto found = object.find(key);
+// Fields.
+constexpr const char* kType = "type";
+constexpr const char* kJob = "job";        // external id of the request
+constexpr const char* kReference = "ref";  // of polls and verifications
+constexpr const char* kNumber = "n";       // of a numbered message
+constexpr const char* kElapsedMillis = "took";
+constexpr const char* kData = "data";  // body, call, reply or result in base64
+constexpr const char* kGauges = "gauges";
+constexpr const char* kState = "state";
+constexpr const char* kRequestClass = "kind";
+
+// Types of messages from the pool.
+constexpr const char* kConnectionAccepted = "bound";
+constexpr const char* kRunFinished = "finished";
+constexpr const char* kRunBlocked = "blocked";
+constexpr const char* kPollAnswered = "polled";
+constexpr const char* kWorkVerified = "verified";
+constexpr const char* kMessageRefused = "unknown";
+constexpr const char* kChatter = "chatter";
+
+// Types of messages to the pool.
+constexpr const char* kBind = "bind";
+constexpr const char* kStart = "spawn";
+constexpr const char* kCancel = "suspend";
+constexpr const char* kSupply = "supply";
+constexpr const char* kSkipDependencyCall = "pass";
+constexpr const char* kPoll = "poll";
+constexpr const char* kVerify = "verify";
+
+// Values of the state field; by the type of the message.
+constexpr const char* kCold = "cold";            // connection accepted
+constexpr const char* kRunCompleted = "ok";      // run finished; anything else: it failed
+constexpr const char* kRunCancelled = "halted";  // run finished
+constexpr const char* kNothingRan = "void";      // run finished
+constexpr const char* kVerifySucceeded = "ok";   // work verified; anything else: it failed
+
+// Names of gauges.
+constexpr const char* kCoreUtilization = "core_use";
+constexpr const char* kCoreDemand = "on_cores";
+constexpr const char* kMemoryUtilization = "heap_share";
+constexpr const char* kOpenConnections = "links";
+
+}  // namespace wire
+
+constexpr double kNanosPerMilli = 1e6;
+// Longer times are taken for absent, as they would not fit a Duration.
+constexpr double kMaxElapsedMillis = 1e12;
+
+std::string textOf(const Json& object, const char* field) {
+    const auto found = object.find(field);
     return found != object.end() && found->is_string() ? found->get<std::string>() : std::string();
 }
 
-std::string line(const Json& object) { return object.dump() + "\n"; }
+std::uint64_t numberOf(const Json& object) {
+    const auto found = object.find(wire::kNumber);
+    return found != object.end() && found->is_number_unsigned() ? found->get<std::uint64_t>() : 0;
+}
+
+Duration elapsedOf(const Json& object) {
+    const auto found = object.find(wire::kElapsedMillis);
+    if (found == object.end() || !found->is_number()) return Duration(0);
+    const auto millis = found->get<double>();
+    const bool inRange = millis >= 0 && millis < kMaxElapsedMillis;
+    return inRange ? Duration(static_cast<std::int64_t>(millis * kNanosPerMilli)) : Duration(0);
+}
+
+std::vector<double> gaugeValuesOf(const Json& object) {
+    std::vector<double> values;
+    const auto found = object.find(wire::kGauges);
+    if (found == object.end() || !found->is_array()) return values;
+    for (const Json& gauge : *found) values.push_back(gauge.is_number() ? gauge.get<double>() : std::nan(""));
+    return values;
+}
+
+RunEnd runEndOf(const Json& object) {
+    const std::string state = textOf(object, wire::kState);
+    if (state == wire::kRunCompleted) return RunEnd::Completed;
+    if (state == wire::kRunCancelled) return RunEnd::Cancelled;
+    if (state == wire::kNothingRan) return RunEnd::NothingRan;
+    return RunEnd::Failed;
+}
+
+using Content = decltype(PoolMessage::content);
+using ContentReader = Content (*)(const Json& object, std::string&& data);
+
+Content readConnectionAccepted(const Json& object, std::string&& /*data*/) {
+    return ConnectionAccepted{textOf(object, wire::kState) == wire::kCold, elapsedOf(object)};
+}
+
+Content readRunFinished(const Json& object, std::string&& data) {
+    return RunFinished{textOf(object, wire::kJob), runEndOf(object), elapsedOf(object), std::move(data)};
+}
+
+Content readRunBlocked(const Json& object, std::string&& data) {
+    return RunBlocked{textOf(object, wire::kJob), std::move(data)};
+}
+
+Content readPollAnswered(const Json& object, std::string&& /*data*/) {
+    return PollAnswered{textOf(object, wire::kReference), gaugeValuesOf(object)};
+}
+
+Content readWorkVerified(const Json& object, std::string&& /*data*/) {
+    return WorkVerified{textOf(object, wire::kReference),
+                        textOf(object, wire::kState) == wire::kVerifySucceeded};
+}
+
+Content readMessageRefused(const Json& object, std::string&& /*data*/) {
+    std::string messageType = textOf(object, wire::kState);
+    const bool isStart = messageType == wire::kStart;
+    return MessageRefused{textOf(object, wire::kJob), std::move(messageType), isStart};
+}
+
+Content readChatter(const Json& /*object*/, std::string&& /*data*/) { return Chatter{}; }
+
+std::string toLine(const Json& object) { return object.dump() + "\n"; }
 
 }  // namespace
 
-std::optional<Notice> readNotice(std::string_view line) {
-    static const std::map<std::string, NoticeKind> kKinds = {
-        {"bound", NoticeKind::Bound},    {"finished", NoticeKind::Finished}, {"blocked", NoticeKind::Blocked},
-        {"polled", NoticeKind::Polled},  {"verified", NoticeKind::Verified}, {"unknown", NoticeKind::Unknown},
-        {"chatter", NoticeKind::Chatter}};
-    const Json all = Json::parse(line, nullptr, false);
-    if (!all.is_object()) return std::nullopt;
-    const auto kind = kKinds.find(textOf(all, "type"));
-    if (kind == kKinds.end()) return std::nullopt;
-    Notice notice;
-    notice.kind = kind->second;
-    notice.job = textOf(all, "job");
-    notice.state = textOf(all, "state");
-    notice.tag = textOf(all, "ref");
-    if (const auto found = all.find("n"); found != all.end() && found->is_number_unsigned())
-        notice.number = found->get<std::uint64_t>();
-    if (const auto found = all.find("took"); found != all.end() && found->is_number()) {
-        const double millis = found->get<double>();
-        if (millis >= 0 && millis < 1e12) notice.took = Duration(static_cast<std::int64_t>(millis * 1e6));
-    }
-    if (const auto data = decode64(textOf(all, "data")))
-        notice.data = *data;
-    else
-        return std::nullopt;
-    if (const auto found = all.find("gauges"); found != all.end() && found->is_array())
-        for (const Json& gauge : *found)
-            notice.gauges.push_back(gauge.is_number() ? gauge.get<double>() : std::nan(""));
-    return notice;
-}
-
-std::string encode64(std::string_view bytes) {
-    std::string text;
-    text.reserve((bytes.size() + 2) / 3 * 4);
-    for (std::size_t at = 0; at < bytes.size(); at += 3) {
-        std::uint32_t group = 0;
-        for (std::size_t i = 0; i < 3; ++i)
-            group = group << 8 | (at + i < bytes.size() ? static_cast<std::uint8_t>(bytes[at + i]) : 0U);
-        for (std::size_t i = 0; i < 4; ++i)
-            text.push_back(at + i <= bytes.size() ? kDigits[group >> (18 - 6 * i) & 63] : '=');
+std::optional<PoolMessage> parsePoolMessage(std::string_view line) {
+    static const std::map<std::string, ContentReader> kReaders = {
+        {wire::kConnectionAccepted, readConnectionAccepted},
+        {wire::kRunFinished, readRunFinished},
+        {wire::kRunBlocked, readRunBlocked},
+        {wire::kPollAnswered, readPollAnswered},
+        {wire::kWorkVerified, readWorkVerified},
+        {wire::kMessageRefused, readMessageRefused},
+        {wire::kChatter, readChatter}};
+    const Json object = Json::parse(line, nullptr, false);
+    if (!object.is_object()) return std::nullopt;
+    const auto reader = kReaders.find(textOf(object, wire::kType));
+    if (reader == kReaders.end()) return std::nullopt;
+    std::optional<std::string> data = decode64(textOf(object, wire::kData));
+    if (!data) return std::nullopt;
+    return PoolMessage{numberOf(object), reader->second(object, std::move(*data))};
+}
+
+Outcome outcomeOf(RunEnd end) {
+    switch (end) {
+        case RunEnd::Completed:
+            return Outcome::Ok;
+        case RunEnd::Cancelled:
+            return Outcome::Cancelled;
+        case RunEnd::NothingRan:
+            return Outcome::Superseded;
+        case RunEnd::Failed:
+            break;
     }
-    return text;
-}
-
-std::optional<std::string> decode64(std::string_view text) {
-    static const auto kValues = [] {
-        std::array<int, 256> values;
-        values.fill(-1);
-        for (std::size_t i = 0; i < kDigits.size(); ++i)
-            values[static_cast<std::uint8_t>(kDigits[i])] = static_cast<int>(i);
-        return values;
-    }();
-    if (text.size() % 4 != 0) return std::nullopt;
-    for (int i = 0; i < 2 && !text.empty() && text.back() == '='; ++i) text.remove_suffix(1);
-    std::string bytes;
-    bytes.reserve(text.size() * 3 / 4);
-    std::uint32_t group = 0;
-    int bits = 0;
-    for (const char digit : text) {
-        const int value = kValues[static_cast<std::uint8_t>(digit)];
-        if (value < 0) return std::nullopt;
-        group = group << 6 | static_cast<std::uint32_t>(value);
-        bits += 6;
-        if (bits < 8) continue;
-        bits -= 8;
-        bytes.push_back(static_cast<char>(group >> bits & 0xff));
+    return Outcome::Error;
+}
+
+Gauges gaugesOf(const std::vector<std::string>& names, const std::vector<double>& values) {
+    Gauges gauges;
+    for (std::size_t i = 0; i < std::min(names.size(), values.size()); ++i) {
+        if (!std::isfinite(values[i])) continue;
+        if (names[i] == wire::kCoreUtilization) gauges.coreUtilization = values[i];
+        if (names[i] == wire::kCoreDemand) gauges.coreDemand = values[i];
+        if (names[i] == wire::kMemoryUtilization) gauges.memoryUtilization = values[i];
+        if (names[i] == wire::kOpenConnections) gauges.openConnections = values[i];
     }
-    return bytes;
+    return gauges;
 }
 
-std::string bindLine(std::uint64_t last) { return line({{"type", "bind"}, {"n", last}}); }
-std::string startLine(std::string_view job, std::string_view profile, std::string_view body) {
-    return line({{"type", "spawn"}, {"job", job}, {"kind", profile}, {"data", encode64(body)}});
+std::string bindLine(std::uint64_t lastNumber) {
+    return toLine({{wire::kType, wire::kBind}, {wire::kNumber, lastNumber}});
 }
-std::string haltLine(std::string_view job) { return line({{"type", "suspend"}, {"job", job}}); }
+
+std::string startLine(std::string_view job, std::string_view requestClass, std::string_view body) {
+    return toLine({{wire::kType, wire::kStart},
+                   {wire::kJob, job},
+                   {wire::kRequestClass, requestClass},
+                   {wire::kData, encode64(body)}});
+}
+
+std::string cancelLine(std::string_view job) {
+    return toLine({{wire::kType, wire::kCancel}, {wire::kJob, job}});
+}
+
 std::string supplyLine(std::string_view job, std::string_view reply) {
-    return line({{"type", "supply"}, {"job", job}, {"data", encode64(reply)}});
+    return toLine({{wire::kType, wire::kSupply}, {wire::kJob, job}, {wire::kData, encode64(reply)}});
+}
+
+std::string skipDependencyCallLine(std::string_view job) {
+    return toLine({{wire::kType, wire::kSkipDependencyCall}, {wire::kJob, job}});
+}
+
+std::string pollLine(std::string_view reference) {
+    return toLine({{wire::kType, wire::kPoll}, {wire::kReference, reference}});
+}
+
+std::string verifyLine(std::string_view reference) {
+    return toLine({{wire::kType, wire::kVerify}, {wire::kReference, reference}});
 }
-std::string leaveOutLine(std::string_view job) { return line({{"type", "pass"}, {"job", job}}); }
-std::string pollLine(std::string_view tag) { return line({{"type", "poll"}, {"ref", tag}}); }
-std::string verifyLine(std::string_view tag) { return line({{"type", "verify"}, {"ref", tag}}); }
 
 }  // namespace cottonwing::worker_pool
--- a/src/worker_pool/protocol.h
+++ b/src/worker_pool/protocol.h
@@ -1,38 +1,107 @@
-// The lines of the worker pool: pure, bytes in, values out.
+/// @file
+/// The messages of the worker pool protocol, one JSON object a line in each direction. Pure: bytes in, values
+/// out. The table of wire words stands in protocol.cpp.
 #pragma once
 
 #include <cstdint>
 #include <optional>
 #include <string>
 #include <string_view>
+#include <variant>
 #include <vector>
 
 #include "overload/types.h"
+#include "worker_pool/base64.h"
 
 namespace cottonwing::worker_pool {
 
-enum class NoticeKind { Bound, Finished, Blocked, Polled, Verified, Unknown, Chatter };
+// ---- Messages from the worker pool.
 
-struct Notice {
-    NoticeKind kind = NoticeKind::Chatter;
-    std::uint64_t number = 0;  // 0 where the kind has none
-    std::string job, state, data, tag;
-    Duration took{0};
-    std::vector<double> gauges;
+/// The pool accepted the connection. Sent again on each connection.
+struct ConnectionAccepted {
+    bool cold = false;       ///< Whether the pool needs to warm up.
+    Duration runningFor{0};  ///< Time since the pool started.
 };
 
-// Nothing when the line can't be read.
-std::optional<Notice> readNotice(std::string_view line);
+/// How a run ended, by the pool's account.
+enum class RunEnd {
+    Completed,
+    Cancelled,
+    NothingRan,  ///< The pool runs nothing for the request, and did not start it.
+    Failed
+};
+
+/// A run ended.
+struct RunFinished {
+    std::string job;  ///< External id of the request.
+    RunEnd end = RunEnd::Failed;
+    Duration elapsed{0};
+    std::string result;
+};
+
+/// A run wants its dependency call.
+struct RunBlocked {
+    std::string job;       ///< External id of the request.
+    std::string callBody;  ///< What the call is to carry.
+};
+
+/// The answer to a poll.
+struct PollAnswered {
+    std::string reference;       ///< As the poll gave it.
+    std::vector<double> gauges;  ///< In the configured order; not a number where one is unknown.
+};
+
+/// The answer to a request to verify that work gets done.
+struct WorkVerified {
+    std::string reference;  ///< As the request gave it.
+    bool succeeded = false;
+};
+
+/// The pool did not carry a message out.
+struct MessageRefused {
+    std::string job;          ///< External id of the request.
+    std::string messageType;  ///< Wire word of the message that was refused.
+    bool isStart = false;     ///< Whether that message was to start a run.
+};
+
+/// A message without consequences.
+struct Chatter {};
+
+/// One message from the worker pool.
+struct PoolMessage {
+    /// Position among the pool's numbered messages, from 1; 0 for kinds that are not numbered.
+    std::uint64_t number = 0;
+    std::variant<Chatter, ConnectionAccepted, RunFinished, RunBlocked, PollAnswered, WorkVerified,
+                 MessageRefused>
+        content;
+};
+
+/// @param line without its end of line.
+/// @return the message; nothing when the line is malformed or of an unknown type.
+std::optional<PoolMessage> parsePoolMessage(std::string_view line);
+
+/// @return the outcome of a run that ended this way.
+Outcome outcomeOf(RunEnd end);
+
+/// @param names of the gauges, in the order in which the pool reports them; unknown names are skipped.
+/// @param values as reported; those that are not finite count as absent.
+Gauges gaugesOf(const std::vector<std::string>& names, const std::vector<double>& values);
 
-std::string encode64(std::string_view bytes);
-std::optional<std::string> decode64(std::string_view text);
+// ---- Messages to the worker pool, each a complete line.
 
-std::string bindLine(std::uint64_t last);
-std::string startLine(std::string_view job, std::string_view profile, std::string_view body);
-std::string haltLine(std::string_view job);
+/// The first message on a connection.
+/// @param lastNumber of the last numbered message that was read; the pool repeats all later ones. 0: none.
+std::string bindLine(std::uint64_t lastNumber);
+/// Starts a run; no effect where it is in progress.
+std::string startLine(std::string_view job, std::string_view requestClass, std::string_view body);
+std::string cancelLine(std::string_view job);
+/// Lets a blocked run continue with the reply to its dependency call.
 std::string supplyLine(std::string_view job, std::string_view reply);
-std::string leaveOutLine(std::string_view job);
-std::string pollLine(std::string_view tag);
-std::string verifyLine(std::string_view tag);
+/// Lets a blocked run continue without its dependency call.
+std::string skipDependencyCallLine(std::string_view job);
+/// @param reference comes back with the answer.
+std::string pollLine(std::string_view reference);
+/// @param reference comes back with the answer.
+std::string verifyLine(std::string_view reference);
 
 }  // namespace cottonwing::worker_pool
--- a/src/worker_pool/worker_pool_client.cpp
+++ b/src/worker_pool/worker_pool_client.cpp
@@ -1,7 +1,7 @@
 #include "worker_pool/worker_pool_client.h"
 
-#include <cmath>
 #include <utility>
+#include <variant>
 
 namespace cottonwing::worker_pool {
 
@@ -10,180 +10,212 @@
 using namespace std::chrono_literals;
 using telemetry::Count;
 
-constexpr Duration kCheck = 250ms;  // what a check may take
-constexpr Duration kSilent = 1s;    // polls unanswered for that long: the link is open but dead
-constexpr int kAgainLeast = 20, kAgainMost = 100;  // milliseconds before a lost link is opened again
-// Asked behind the notices that a new link catches up with: its answer tells that these are all in.
-constexpr const char* kCaughtUp = "caught-up";
+constexpr const char* kLogKind = "worker_pool";
+constexpr Duration kVerificationTimeout = 250ms;
+// With no message for this long after a poll, the connection is open but dead.
+constexpr Duration kSilenceLimit = 1s;
+// Bounds of the random delay before a connection that could not be opened is tried again.
+constexpr int kReconnectMinMillis = 20;
+constexpr int kReconnectMaxMillis = 100;
+// The input buffer's part of both.
+constexpr std::size_t kInputDivisor = 4;
+// References of polls. The answer to the second kind stands behind all messages that a new connection has to
+// catch up with, and so tells that they have all been read.
+constexpr const char* kGaugesReference = "gauges";
+constexpr const char* kCaughtUpReference = "caught-up";
 
 }  // namespace
 
-WorkerPoolClient::WorkerPoolClient(net::Loop& loop, net::Address at, const config::ResourceLimits& shares,
-                                   std::vector<std::string> profiles, std::vector<std::string> gauges,
-                                   std::uint64_t seed, request::RequestManager& backend, telemetry::Log& log,
+WorkerPoolClient::WorkerPoolClient(net::Loop& loop, net::Address address,
+                                   const config::ResourceLimits& limits,
+                                   std::vector<std::string> requestClasses,
+                                   std::vector<std::string> gaugeNames, std::uint64_t seed,
+                                   request::RequestManager& requests, telemetry::Log& log,
                                    telemetry::Counters& counters)
     : loop_(loop),
-      at_(std::move(at)),
-      bytes_(shares.workerPoolBytes),
-      profiles_(std::move(profiles)),
-      gauges_(std::move(gauges)),
-      chance_(static_cast<std::mt19937::result_type>(seed)),
-      backend_(backend),
+      address_(std::move(address)),
+      bufferBytes_(limits.workerPoolBytes),
+      requestClasses_(std::move(requestClasses)),
+      gaugeNames_(std::move(gaugeNames)),
+      random_(static_cast<std::mt19937::result_type>(seed)),
+      requests_(requests),
       log_(log),
       counters_(counters),
-      again_(loop, [this] { open(); }),
-      patience_(loop, [this] { tell(std::nullopt); }) {
-    open();
+      reconnectTimer_(loop, [this] { connect(); }),
+      verificationTimer_(loop, [this] { completeVerification(std::nullopt); }) {
+    connect();
 }
 
-void WorkerPoolClient::open() {
-    again_.stop();
-    searched_ = 0;
-    unheard_ = 0ns;
-    connection_.reset(new net::Connection(loop_, at_, *this, {bytes_ / 4, bytes_ - bytes_ / 4}));
-    connection_->send(bindLine(last_));
-}
+// ---- Messages to the pool -------------------------------------------------------------------------------
 
 void WorkerPoolClient::start(const request::RunSpec& run) {
-    say(startLine(run.externalId, profiles_[static_cast<std::size_t>(run.requestClass)], run.body));
+    const std::string& requestClass = requestClasses_[static_cast<std::size_t>(run.requestClass)];
+    sendIfReady(startLine(run.externalId, requestClass, run.body));
 }
-void WorkerPoolClient::cancel(const std::string& name) { say(haltLine(name)); }
-void WorkerPoolClient::supplyReply(const std::string& name, std::string_view reply) {
-    say(supplyLine(name, reply));
+
+void WorkerPoolClient::cancel(const std::string& externalId) { sendIfReady(cancelLine(externalId)); }
+
+void WorkerPoolClient::supplyReply(const std::string& externalId, std::string_view reply) {
+    sendIfReady(supplyLine(externalId, reply));
+}
+
+void WorkerPoolClient::skipDependencyCall(const std::string& externalId) {
+    sendIfReady(skipDependencyCallLine(externalId));
 }
-void WorkerPoolClient::skipDependencyCall(const std::string& name) { say(leaveOutLine(name)); }
+
 void WorkerPoolClient::requestGauges() {
-    const Duration now = net::unixNow();
-    if (bound_ && unheard_ > 0ns && now - unheard_ > kSilent) return lost(net::ConnectionEnd::TimedOut);
-    if (unheard_ == 0ns) unheard_ = now;
-    say(pollLine("gauges"));
+    const Timestamp now = net::unixNow();
+    const bool pollPending = silentSince_ > 0ns;
+    if (ready_ && pollPending && now - silentSince_ > kSilenceLimit)
+        return handleConnectionLost(net::ConnectionEnd::TimedOut);
+    if (!pollPending) silentSince_ = now;
+    sendIfReady(pollLine(kGaugesReference));
 }
 
-void WorkerPoolClient::moveTo(net::Address at) {
-    at_ = std::move(at);
-    log_.info("pool", "moves to " + at_.host + ":" + std::to_string(at_.port));
-    unbind();
-    // Closed over notices that were not read yet, it would be reset, and what was said last lost with it.
-    if (connection_) connection_->finish([] {});
-    open();
+void WorkerPoolClient::verifyWork(std::function<void(std::optional<bool>)> onVerified) {
+    verifications_.push_back(std::move(onVerified));
+    if (verifications_.size() > 1) return;
+    verificationTimer_.start(ready_ ? kVerificationTimeout : 0ns);
+    ++verificationCount_;
+    sendIfReady(verifyLine(std::to_string(verificationCount_)));
 }
 
-// What was said shortly before may be lost, from the first such loss until a link has caught up.
-void WorkerPoolClient::unbind() {
-    if (bound_ && lostAt_ == 0ns) lostAt_ = net::unixNow();
-    bound_ = false;
+void WorkerPoolClient::completeVerification(std::optional<bool> result) {
+    verificationTimer_.stop();
+    for (const auto& onVerified : std::exchange(verifications_, {})) onVerified(result);
 }
 
-// One check at a time serves all who ask meanwhile.
-void WorkerPoolClient::verifyWork(std::function<void(std::optional<bool>)> told) {
-    checks_.push_back(std::move(told));
-    if (checks_.size() > 1) return;
-    patience_.start(bound_ ? kCheck : 0ns);
-    say(verifyLine(std::to_string(++verified_)));
+// Without a connection nothing is sent: what the pool has to know is repeated once there is one.
+void WorkerPoolClient::sendIfReady(const std::string& line) {
+    if (ready_) connection_->send(line);
 }
 
-void WorkerPoolClient::tell(std::optional<bool> good) {
-    patience_.stop();
-    for (const auto& told : std::exchange(checks_, {})) told(good);
+// ---- The connection -------------------------------------------------------------------------------------
+
+void WorkerPoolClient::connect() {
+    reconnectTimer_.stop();
+    searchedBytes_ = 0;
+    silentSince_ = 0ns;
+    const std::size_t inputBytes = bufferBytes_ / kInputDivisor;
+    const net::Bounds bounds{inputBytes, bufferBytes_ - inputBytes};
+    // Not by make_unique, which can't see that this is a net::Owner.
+    connection_.reset(new net::Connection(loop_, address_, *this, bounds));
+    connection_->send(bindLine(lastNumber_));
 }
 
-// Without a link nothing is said: what the pool has to know is said again once there is one.
-void WorkerPoolClient::say(const std::string& line) {
-    if (bound_) connection_->send(line);
+void WorkerPoolClient::moveTo(net::Address address) {
+    address_ = std::move(address);
+    log_.info(kLogKind,
+              "worker pool address changed: address=" + address_.host + ":" + std::to_string(address_.port));
+    markDisconnected();
+    // Closed over messages that were not read yet, the old connection would be reset, and what was sent last
+    // would be lost with it.
+    if (connection_) connection_->finish([] {});
+    connect();
+}
+
+// What was sent shortly before may be lost; that holds from the first such loss until a connection has caught
+// up.
+void WorkerPoolClient::markDisconnected() {
+    if (ready_ && lostAt_ == 0ns) lostAt_ = net::unixNow();
+    ready_ = false;
+}
+
+void WorkerPoolClient::handleConnectionLost(net::ConnectionEnd end) {
+    counters_.addEnd(end);
+    if (ready_ || !lossLogged_)
+        log_.warn(kLogKind, std::string(ready_ ? "worker pool connection lost: reason="
+                                               : "worker pool connection failed: reason=") +
+                                net::nameOf(end));
+    // A connection that served is opened again at once: runs that end meanwhile delay those that wait for
+    // their cores.
+    const bool reconnectAtOnce = ready_;
+    markDisconnected();
+    lossLogged_ = true;
+    connection_.reset();
+    if (reconnectAtOnce) return reconnectTimer_.start(0ns);
+    std::uniform_int_distribution<int> millis(kReconnectMinMillis, kReconnectMaxMillis);
+    reconnectTimer_.start(1ms * millis(random_));
 }
 
 void WorkerPoolClient::arrived(net::Connection& connection) {
     net::Ring& input = connection.input();
     std::string scratch;
     for (;;) {
-        const std::size_t end = input.find('\n', searched_);
-        if (end == input.size()) {
-            searched_ = end;
+        const std::size_t lineEnd = input.find('\n', searchedBytes_);
+        if (lineEnd == input.size()) {
+            searchedBytes_ = lineEnd;
             return;
         }
-        const auto notice = readNotice(input.peek(end, scratch));
-        input.drop(end + 1);
-        searched_ = 0;
-        if (notice) {
-            hear(*notice);
+        const std::optional<PoolMessage> message = parsePoolMessage(input.peek(lineEnd, scratch));
+        input.drop(lineEnd + 1);
+        searchedBytes_ = 0;
+        if (message) {
+            handle(*message);
         } else {
             counters_.add(Count::WorkerPoolMalformedMessages);
-            log_.warn("pool", "a line that can't be read was left out");
+            log_.warn(kLogKind, "message from the worker pool ignored: reason=malformed");
         }
     }
 }
 
-void WorkerPoolClient::ended(net::Connection&, net::ConnectionEnd end) { lost(end); }
-
-void WorkerPoolClient::lost(net::ConnectionEnd end) {
-    counters_.addEnd(end);
-    if (bound_ || !away_)
-        log_.warn("pool", std::string(bound_ ? "link lost: " : "no link: ") + net::nameOf(end));
-    // One that served is opened again at once: runs that end meanwhile hold up what waits for the cores.
-    const bool atOnce = bound_;
-    unbind();
-    away_ = true;
-    connection_.reset();
-    again_.start(atOnce ? 0ns : 1ms * std::uniform_int_distribution<int>(kAgainLeast, kAgainMost)(chance_));
+void WorkerPoolClient::ended(net::Connection& /*connection*/, net::ConnectionEnd end) {
+    handleConnectionLost(end);
 }
 
-void WorkerPoolClient::hear(const Notice& notice) {
-    unheard_ = 0ns;
-    if (notice.number != 0) {
-        if (notice.number <= last_) return;  // seen on an earlier link
-        last_ = notice.number;
-    }
-    const auto id = request::parseRequestId(notice.job);
-    switch (notice.kind) {
-        case NoticeKind::Bound:
-            bound_ = true;
-            away_ = false;
-            counters_.add(Count::WorkerPoolConnections);
-            if (everBound_) {
-                log_.info("pool", "link is back, last notice " + std::to_string(last_));
-                say(pollLine(kCaughtUp));
-            }
-            everBound_ = true;
-            return backend_.executorReady(notice.state == "cold", notice.took);
-        case NoticeKind::Finished:
-            if (!id) return;
-            return backend_.runCompleted(*id,
-                                         notice.state == "ok"       ? Outcome::Ok
-                                         : notice.state == "halted" ? Outcome::Cancelled
-                                         : notice.state == "void"   ? Outcome::Superseded
-                                                                    : Outcome::Error,
-                                         notice.took, notice.data);
-        case NoticeKind::Blocked:
-            if (id) backend_.runWaitsForDependency(*id, notice.data);
-            return;
-        case NoticeKind::Polled:
-            if (notice.tag == kCaughtUp) return backend_.resumeRuns(std::exchange(lostAt_, 0ns));
-            return hearGauges(notice.gauges);
-        case NoticeKind::Unknown:
-            counters_.add(Count::WorkerPoolUnknownRequests);
-            log_.warn("pool", notice.state + " not carried out for " + notice.job);
-            // Nothing of it runs, which tells of its caller and nothing of our runs; other commands that were
-            // not carried out leave a run as it is.
-            if (id && notice.state == "spawn") backend_.runUnknownToExecutor(*id);
-            return;
-        case NoticeKind::Verified:
-            if (notice.tag == std::to_string(verified_)) tell(notice.state == "ok");
-            return;
-        case NoticeKind::Chatter:
-            return;
+// ---- Messages from the pool -----------------------------------------------------------------------------
+
+void WorkerPoolClient::handle(const PoolMessage& message) {
+    silentSince_ = 0ns;
+    if (message.number != 0) {
+        if (message.number <= lastNumber_) return;  // was read on an earlier connection
+        lastNumber_ = message.number;
     }
+    std::visit([this](const auto& content) { handle(content); }, message.content);
 }
 
-void WorkerPoolClient::hearGauges(const std::vector<double>& figures) {
-    Gauges gauges;
-    for (std::size_t i = 0; i < std::min(figures.size(), gauges_.size()); ++i) {
-        if (!std::isfinite(figures[i])) continue;
-        if (gauges_[i] == "core_use") gauges.coreUtilization = figures[i];
-        if (gauges_[i] == "on_cores") gauges.coreDemand = figures[i];
-        if (gauges_[i] == "heap_share") gauges.memoryUtilization = figures[i];
-        if (gauges_[i] == "links") gauges.openConnections = figures[i];
+void WorkerPoolClient::handle(const ConnectionAccepted& message) {
+    ready_ = true;
+    lossLogged_ = false;
+    counters_.add(Count::WorkerPoolConnections);
+    if (wasEverReady_) {
+        log_.info(kLogKind, "worker pool connection restored: last_number=" + std::to_string(lastNumber_));
+        sendIfReady(pollLine(kCaughtUpReference));
     }
-    backend_.updateGauges(gauges);
+    wasEverReady_ = true;
+    requests_.executorReady(message.cold, message.runningFor);
+}
+
+void WorkerPoolClient::handle(const RunFinished& message) {
+    const std::optional<RequestId> id = request::parseRequestId(message.job);
+    if (id) requests_.runCompleted(*id, outcomeOf(message.end), message.elapsed, message.result);
 }
 
+void WorkerPoolClient::handle(const RunBlocked& message) {
+    const std::optional<RequestId> id = request::parseRequestId(message.job);
+    if (id) requests_.runWaitsForDependency(*id, message.callBody);
+}
+
+void WorkerPoolClient::handle(const PollAnswered& message) {
+    if (message.reference == kCaughtUpReference) return requests_.resumeRuns(std::exchange(lostAt_, 0ns));
+    requests_.updateGauges(gaugesOf(gaugeNames_, message.gauges));
+}
+
+void WorkerPoolClient::handle(const WorkVerified& message) {
+    // An answer to an earlier check, which has timed out, proves nothing about this one.
+    if (message.reference == std::to_string(verificationCount_)) completeVerification(message.succeeded);
+}
+
+// A refused start tells that nothing of the request runs, which says something about its client and nothing
+// about the health of runs. Other messages that were refused leave a run as it is.
+void WorkerPoolClient::handle(const MessageRefused& message) {
+    counters_.add(Count::WorkerPoolUnknownRequests);
+    log_.warn(kLogKind,
+              "message refused by the worker pool: type=" + message.messageType + " request=" + message.job);
+    const std::optional<RequestId> id = request::parseRequestId(message.job);
+    if (id && message.isStart) requests_.runUnknownToExecutor(*id);
+}
+
+void WorkerPoolClient::handle(const Chatter& /*message*/) {}
+
 }  // namespace cottonwing::worker_pool
