--- a/src/config/controller_config.cpp
+++ b/src/config/controller_config.cpp
@@ -3,131 +3,149 @@
 #include <nlohmann/json.hpp>
 #include <vector>
 
+#include "config/json_reader.h"
+#include "config/keys.h"
+
 namespace cottonwing::config {
 
 namespace {
 
-using Json = nlohmann::json;
-
-template <typename T>
-T valueOr(const Json& object, const char* key, T otherwise) {
-    const auto found = object.find(key);
-    if (found == object.end() || found->is_null()) return otherwise;
-    try {
-        return found->get<T>();
-    } catch (const Json::exception&) {
-        throw ConfigError(std::string("settings: ") + key + ": a value of another type was expected, not " +
-                          found->dump());
+using namespace std::chrono_literals;
+
+const std::map<std::string, Idempotency>& idempotencyWords() {
+    static const std::map<std::string, Idempotency> kWords = {
+        {keys::kIdempotent, Idempotency::Idempotent},
+        {keys::kIdempotentWithKey, Idempotency::WithKey},
+        {keys::kNotIdempotent, Idempotency::None},
+    };
+    return kWords;
+}
+
+const std::map<std::string, RunCancellation>& runCancellationWords() {
+    static const std::map<std::string, RunCancellation> kWords = {
+        {keys::kOff, RunCancellation::Unsupported},
+        {keys::kCancellationAborts, RunCancellation::Abort},
+        {keys::kCancellationSuspends, RunCancellation::Suspend},
+    };
+    return kWords;
+}
+
+const std::map<std::string, LoadSignal>& loadSignalWords() {
+    static const std::map<std::string, LoadSignal> kWords = {
+        {keys::kOff, LoadSignal::None},
+        {keys::kSignalThreshold, LoadSignal::Threshold},
+        {keys::kSignalWindow, LoadSignal::Window},
+        {keys::kSignalShare, LoadSignal::Share},
+    };
+    return kWords;
+}
+
+const std::map<std::string, DependencyKind>& dependencyKindWords() {
+    static const std::map<std::string, DependencyKind> kWords = {
+        {keys::kOff, DependencyKind::None},
+        {keys::kDependencyShared, DependencyKind::Shared},
+        {keys::kDependencyTier, DependencyKind::Tier},
+    };
+    return kWords;
+}
+
+std::string readName(const JsonReader& entry, const char* key) {
+    const nlohmann::json* const name = entry.find(key);
+    if (name == nullptr || !name->is_string()) throw ConfigError(entry.pathOf(key), "a name");
+    return name->get<std::string>();
+}
+
+RequestClass readRequestClass(const JsonReader& entry) {
+    RequestClass requestClass;
+    requestClass.idempotency = entry.choiceOr(keys::kIdempotency, idempotencyWords(), Idempotency::None);
+    requestClass.latencyObjective = entry.microsecondsOr(keys::kLatencyObjectiveUs, 0ns);
+    requestClass.timeout = entry.microsecondsOr(keys::kTimeoutUs, 0ns);
+    requestClass.latencyObjectiveWorkFactor = entry.valueOr(keys::kLatencyObjectiveWorkFactor, 0.0);
+    requestClass.idempotencyWindow = entry.microsecondsOr(keys::kIdempotencyWindowUs, 0ns);
+    requestClass.priorityWeight = entry.valueOr(keys::kPriorityWeight, 1.0);
+    requestClass.lateValueFraction = entry.valueOr(keys::kLateValueFraction, 0.0);
+    return requestClass;
+}
+
+void readRequestClasses(const JsonReader& settings, ControllerConfig& controller, NameTables& names) {
+    const JsonReader instance = settings.objectOrEmpty(keys::kInstance);
+    // Both lists go along the classes by place; one that is too short leaves the rest at the default.
+    const auto degraded = instance.valueOr<std::vector<double>>(keys::kDegradedValueFractions, {});
+    const auto callDependency = instance.valueOr<std::vector<bool>>(keys::kClassesCallDependency, {});
+    for (const JsonReader& entry : settings.listOrEmpty(keys::kRequestClasses)) {
+        const std::size_t index = controller.requestClasses.size();
+        RequestClass requestClass = readRequestClass(entry);
+        requestClass.degradedValueFraction = index < degraded.size() ? degraded[index] : 0.0;
+        requestClass.callsDependency = index < callDependency.size() && callDependency[index];
+        names.requestClasses.emplace(readName(entry, keys::kRequestClassName), static_cast<int>(index));
+        controller.requestClasses.push_back(requestClass);
     }
 }
 
-Duration microsOr(const Json& object, const char* key, std::int64_t otherwise) {
-    return std::chrono::microseconds(valueOr<std::int64_t>(object, key, otherwise));
+void readTenants(const JsonReader& settings, ControllerConfig& controller, NameTables& names) {
+    for (const JsonReader& entry : settings.listOrEmpty(keys::kTenants)) {
+        const int index = static_cast<int>(controller.tenants.size());
+        names.tenants.emplace(readName(entry, keys::kTenantName), index);
+        controller.tenants.push_back({entry.valueOr(keys::kTenantQuotaPerSecond, 0.0)});
+    }
 }
 
-const Json& part(const Json& object, const char* key) {
-    static const Json kEmpty = Json::object();
-    const auto found = object.find(key);
-    return found == object.end() || !found->is_object() ? kEmpty : *found;
+void readValueOfRequests(const JsonReader& settings, ControllerConfig& controller) {
+    const JsonReader goal = settings.objectOrEmpty(keys::kGoal);
+    controller.overQuotaValueFraction = settings.valueOr(keys::kOverQuotaValueFraction, 1.0);
+    controller.valueCountsWork =
+        settings.valueOr<std::string>(keys::kValueUnit, keys::kValueByRequest) == keys::kValueByWork;
+    controller.goalTotalValue = goal.valueOr(keys::kGoalTotalValue, 1.0);
+    controller.goalWorstClass = goal.valueOr(keys::kGoalWorstClass, 0.0);
 }
 
-const Json& list(const Json& object, const char* key) {
-    static const Json kEmpty = Json::array();
-    const auto found = object.find(key);
-    if (found == object.end()) return kEmpty;
-    if (!found->is_array()) throw ConfigError(std::string("settings: ") + key + ": a list was expected");
-    return *found;
+void readInstance(const JsonReader& instance, ControllerConfig& controller) {
+    controller.cores = instance.valueOr(keys::kCores, 1);
+    controller.startsCold = instance.valueOr(keys::kStartsCold, false);
+    controller.memoryLimitKb = instance.valueOr(keys::kMemoryLimitKb, 0.0);
+    controller.idempotencyKeyKb = instance.valueOr(keys::kIdempotencyKeyKb, 0.0);
+    controller.runMemoryFactor = instance.valueOr(keys::kRunMemoryFactor, 1.0);
+    controller.runCancellation =
+        instance.choiceOr(keys::kRunCancellation, runCancellationWords(), RunCancellation::Unsupported);
+    controller.loadSignal = instance.choiceOr(keys::kLoadSignal, loadSignalWords(), LoadSignal::None);
+    controller.dependency =
+        instance.choiceOr(keys::kDependencyKind, dependencyKindWords(), DependencyKind::None);
+    controller.dependencyQuota = instance.valueOr(keys::kDependencyQuota, 0.0);
+    controller.dependencyQuotaWindow = instance.microsecondsOr(keys::kDependencyQuotaWindowUs, 0ns);
+    controller.abandonedCallTime = instance.microsecondsOr(keys::kAbandonedCallTimeUs, 0ns);
+    controller.maxConnectionIdle = instance.microsecondsOr(keys::kMaxConnectionIdleUs, 0ns);
+    controller.clientCount = instance.valueOr(keys::kClientCount, 0);
 }
 
-std::string nameOf(const Json& entry) {
-    if (!entry.is_object() || !entry.contains("name") || !entry["name"].is_string())
-        throw ConfigError("settings: name: each of classes and tenants needs one");
-    return entry["name"].get<std::string>();
+void readObligations(const JsonReader& obligations, ControllerConfig& controller) {
+    controller.coldCapacityFraction = obligations.valueOr(keys::kColdCapacityFraction, 1.0);
+    controller.warmUpTime = obligations.microsecondsOr(keys::kWarmUpTimeUs, 0ns);
+    controller.drainGrace = obligations.microsecondsOr(keys::kDrainGraceUs, 0ns);
+    controller.overloadFactor = obligations.valueOr(keys::kOverloadFactor, 1.0);
+    controller.overloadWindow = obligations.microsecondsOr(keys::kOverloadWindowUs, 0ns);
 }
 
-template <typename T>
-T choice(const Json& object, const char* key, const std::map<std::string, T>& names, T otherwise) {
-    const auto name = valueOr<std::string>(object, key, "");
-    if (name.empty()) return otherwise;
-    const auto found = names.find(name);
-    if (found == names.end())
-        throw ConfigError(std::string("settings: ") + key + ": unknown value '" + name + "'");
-    return found->second;
+void readPermissions(const JsonReader& permissions, ControllerConfig& controller) {
+    controller.retryAfterAllowed = permissions.valueOr(keys::kRetryAfterAllowed, false);
+    controller.maxRetryAfter = permissions.microsecondsOr(keys::kMaxRetryAfterUs, 0ns);
 }
 
 }  // namespace
 
-ControllerConfig readControllerConfig(const Json& all, std::uint64_t seed, NameTables& names) {
-    ControllerConfig terms;
-    terms.seed = seed;
-    const Json& mine = part(all, "family_info");
-    const Json& permissions = part(all, "permissions");
-    const Json& obligations = part(all, "obligations");
-    const Json& goal = part(all, "goal");
-    const auto poorer = valueOr<std::vector<double>>(mine, "degraded_worth", {});
-    const auto calls = valueOr<std::vector<bool>>(mine, "class_calls", {});
-    for (const Json& entry : list(all, "classes")) {
-        RequestClass profile;
-        const std::size_t at = terms.requestClasses.size();
-        profile.idempotency = choice<Idempotency>(entry, "repeat",
-                                                  {{"free", Idempotency::Idempotent},
-                                                   {"guarded", Idempotency::WithKey},
-                                                   {"single_shot", Idempotency::None}},
-                                                  Idempotency::None);
-        profile.latencyObjective = microsOr(entry, "aim_us", 0);
-        profile.timeout = microsOr(entry, "deadline_us", 0);
-        profile.latencyObjectiveWorkFactor = valueOr(entry, "aim_stretch", 0.0);
-        profile.idempotencyWindow = microsOr(entry, "window_us", 0);
-        profile.priorityWeight = valueOr(entry, "worth", 1.0);
-        profile.lateValueFraction = valueOr(entry, "late_value", 0.0);
-        profile.degradedValueFraction = at < poorer.size() ? poorer[at] : 0.0;
-        profile.callsDependency = at < calls.size() && calls[at];
-        names.requestClasses.emplace(nameOf(entry), static_cast<int>(at));
-        terms.requestClasses.push_back(profile);
-    }
-    for (const Json& entry : list(all, "tenants")) {
-        names.tenants.emplace(nameOf(entry), static_cast<int>(terms.tenants.size()));
-        terms.tenants.push_back({valueOr(entry, "quota_per_s", 0.0)});
-    }
-    if (terms.requestClasses.empty()) throw ConfigError("settings: classes: at least one was expected");
-    terms.overQuotaValueFraction = valueOr(all, "over_share_worth", 1.0);
-    terms.valueCountsWork = valueOr<std::string>(all, "value_by", "request") == "work";
-    terms.goalTotalValue = valueOr(goal, "whole", 1.0);
-    terms.goalWorstClass = valueOr(goal, "worst_class", 0.0);
-    terms.peerCount = valueOr(all, "peers_total", 1);
-    terms.cores = valueOr(mine, "cores", 1);
-    terms.startsCold = valueOr(mine, "cold", false);
-    terms.coldCapacityFraction = valueOr(obligations, "start_capacity", 1.0);
-    terms.warmUpTime = microsOr(obligations, "ramp_time_us", 0);
-    terms.memoryLimitKb = valueOr(mine, "heap_kb", 0.0);
-    terms.idempotencyKeyKb = valueOr(mine, "key_kb", 0.0);
-    terms.runMemoryFactor = valueOr(mine, "run_factor", 1.0);
-    terms.runCancellation = choice<RunCancellation>(mine, "halt",
-                                                    {{"off", RunCancellation::Unsupported},
-                                                     {"abort", RunCancellation::Abort},
-                                                     {"suspend", RunCancellation::Suspend}},
-                                                    RunCancellation::Unsupported);
-    terms.loadSignal = choice<LoadSignal>(mine, "signal",
-                                          {{"off", LoadSignal::None},
-                                           {"threshold", LoadSignal::Threshold},
-                                           {"window", LoadSignal::Window},
-                                           {"share_of", LoadSignal::Share}},
-                                          LoadSignal::None);
-    terms.dependency = choice<DependencyKind>(
-        mine, "below",
-        {{"off", DependencyKind::None}, {"shared", DependencyKind::Shared}, {"tier", DependencyKind::Tier}},
-        DependencyKind::None);
-    terms.dependencyQuota = valueOr(mine, "dep_share", 0.0);
-    terms.dependencyQuotaWindow = microsOr(mine, "calls_over_us", 0);
-    terms.abandonedCallTime = microsOr(mine, "linger_us", 0);
-    terms.maxConnectionIdle = microsOr(mine, "idle_us", 0);
-    terms.clientCount = valueOr(mine, "senders", 0);
-    terms.drainGrace = microsOr(obligations, "drain_grace_us", 0);
-    terms.overloadFactor = valueOr(obligations, "fall_multiple", 1.0);
-    terms.overloadWindow = microsOr(obligations, "overload_for_us", 0);
-    terms.retryAfterAllowed = valueOr(permissions, "retry_after", false);
-    terms.maxRetryAfter = microsOr(permissions, "max_retry_after_us", 0);
-    return terms;
+ControllerConfig readControllerConfig(const nlohmann::json& settings, std::uint64_t seed, NameTables& names) {
+    const JsonReader reader(settings, keys::kSettings);
+    ControllerConfig controller;
+    controller.seed = seed;
+    readRequestClasses(reader, controller, names);
+    readTenants(reader, controller, names);
+    if (controller.requestClasses.empty())
+        throw ConfigError(reader.pathOf(keys::kRequestClasses), "at least one class");
+    readValueOfRequests(reader, controller);
+    controller.peerCount = reader.valueOr(keys::kPeerCount, 1);
+    readInstance(reader.objectOrEmpty(keys::kInstance), controller);
+    readObligations(reader.objectOrEmpty(keys::kObligations), controller);
+    readPermissions(reader.objectOrEmpty(keys::kPermissions), controller);
+    return controller;
 }
 
 }  // namespace cottonwing::config
--- a/src/config/process_config.cpp
+++ b/src/config/process_config.cpp
@@ -1,9 +1,11 @@
 #include "config/process_config.h"
 
-#include <charconv>
 #include <fstream>
 #include <nlohmann/json.hpp>
-#include <optional>
+
+#include "config/json_reader.h"
+#include "config/keys.h"
+#include "config/parse.h"
 
 namespace cottonwing::config {
 
@@ -12,155 +14,187 @@
 using Json = nlohmann::json;
 using namespace std::chrono_literals;
 
-[[noreturn]] void complain(const std::string& key, const std::string& expected) {
-    throw ConfigError(key + ": " + expected);
+constexpr double kNanosecondsPerMillisecond = 1e6;
+constexpr double kBytesPerMegabyte = 1 << 20;
+constexpr double kMinMemoryMb = 16;
+constexpr double kMinSockets = 64;
+
+// Clients open connections up to half of the descriptors, and others come beside them; a sixteenth of the
+// descriptors is left for the other links and what the system opens.
+constexpr double kThriftConnectionsFraction = 11.0 / 16;
+constexpr double kDependencyConnectionsFraction = 1.0 / 4;
+
+// A quarter of the memory is left for the program itself.
+constexpr double kThriftMemoryFraction = 1.0 / 4;
+constexpr double kDependencyMemoryFraction = 1.0 / 8;
+constexpr double kRequestMemoryFraction = 1.0 / 8;
+constexpr double kWorkerPoolMemoryFraction = 1.0 / 8;
+constexpr double kIdempotencyKeyMemoryFraction = 1.0 / 8;
+
+std::string quoted(const std::string& text) { return "'" + text + "'"; }
+
+std::string readVariable(const Environment& environment, const char* name) {
+    const char* const value = environment(name);
+    if (value == nullptr || *value == '\0') throw ConfigError(name, "a variable that is set");
+    return value;
 }
 
-net::Address readAddress(const std::string& key, const std::string& text) {
-    const std::size_t colon = text.rfind(':');
-    net::Address address{text.substr(0, colon), 0};
-    sockaddr_in parsed{};
-    if (colon != text.npos) {
-        const char* const last = text.data() + text.size();
-        const auto [end, error] = std::from_chars(text.data() + colon + 1, last, address.port);
-        if (error == std::errc() && end == last && address.port >= 0 && address.port < 65536 &&
-            uv_ip4_addr(address.host.c_str(), address.port, &parsed) == 0)
-            return address;
-    }
-    complain(key, "an address such as 127.0.0.1:8080 was expected, not '" + text + "'");
+net::Address readAddress(const std::string& path, const std::string& text) {
+    const std::optional<net::Address> address = parseAddress(text);
+    if (!address) throw ConfigError(path, "an address such as 127.0.0.1:8080", quoted(text));
+    return *address;
 }
 
-const Json& need(const Json& object, const std::string& path, const char* key) {
-    const auto found = object.find(key);
-    if (found == object.end()) complain(path + key, "is missing");
-    return *found;
+net::Address readAddress(const JsonReader& file, const char* key) {
+    return readAddress(file.pathOf(key), file.requiredText(key));
 }
 
-std::string text(const Json& all, const char* key) {
-    const Json& value = need(all, "", key);
-    if (!value.is_string() || value.get<std::string>().empty()) complain(key, "a text was expected");
-    return value.get<std::string>();
+telemetry::Level readLogLevel(const Environment& environment) {
+    static const std::map<std::string, telemetry::Level> kLevels = {{"error", telemetry::Level::Error},
+                                                                    {"warn", telemetry::Level::Warn},
+                                                                    {"info", telemetry::Level::Info},
+                                                                    {"debug", telemetry::Level::Debug}};
+    const char* const level = environment(keys::kLogLevelVariable);
+    if (level == nullptr) return telemetry::Level::Info;
+    const auto found = kLevels.find(level);
+    if (found == kLevels.end())
+        throw ConfigError(keys::kLogLevelVariable, "error, warn, info or debug", quoted(level));
+    return found->second;
 }
 
-double positive(const Json& object, const std::string& path, const char* key) {
-    const Json& value = need(object, path, key);
-    if (!value.is_number() || !(value.get<double>() > 0))
-        complain(path + key, "a number above 0 was expected");
-    return value.get<double>();
+Json readFile(const std::string& path) {
+    std::ifstream file(path);
+    if (!file) throw ConfigError(keys::kFileVariable, "a file that can be opened", quoted(path));
+    Json document = Json::parse(file, nullptr, false);
+    if (!document.is_object())
+        throw ConfigError(keys::kFileVariable, "a file with a JSON object", quoted(path));
+    return document;
 }
 
-const Json& object(const Json& all, const std::string& path, const char* key) {
-    const Json& value = need(all, path, key);
-    if (!value.is_object()) complain(path + key, "an object was expected");
-    return value;
+// The file repeats what the environment says: a file that is meant for another instance is refused.
+void validateSameAsVariable(const JsonReader& file, const char* key, const std::string& value,
+                            const char* variable) {
+    const std::string text = file.requiredText(key);
+    if (text != value)
+        throw ConfigError(file.pathOf(key), quoted(value) + " as in " + variable, quoted(text));
 }
 
-std::uint64_t readSeed(const std::string& seed) {
-    std::uint64_t value = 0;
-    const char* const last = seed.data() + seed.size();
-    const auto [end, error] = std::from_chars(seed.data(), last, value, 16);
-    if (error != std::errc() || end != last) complain("seed", "up to 16 hex digits were expected");
-    return value;
+std::map<std::string, std::string> readRestartOnlyKeys(const JsonReader& file) {
+    std::map<std::string, std::string> values;
+    for (const char* key : {keys::kShutdownTimeoutMs, keys::kLimits, keys::kSettings, keys::kSeed})
+        values[key] = file.required(key).dump();
+    return values;
+}
+
+Duration readShutdownTimeout(const JsonReader& file) {
+    const double milliseconds = file.requiredPositive(keys::kShutdownTimeoutMs);
+    return Duration(static_cast<std::int64_t>(milliseconds * kNanosecondsPerMillisecond));
 }
 
-// What contradicts itself, or lacks what a backend can't do without.
-void refuseContradictions(const ControllerConfig& terms) {
-    for (const RequestClass& profile : terms.requestClasses) {
-        if (profile.idempotency == Idempotency::WithKey && profile.idempotencyWindow <= 0ns)
-            complain("settings.classes[].window_us", "a time above 0 was expected, as the class is guarded");
-        if (profile.timeout <= 0ns) complain("settings.classes[].deadline_us", "a time above 0 was expected");
-        if (profile.latencyObjective <= 0ns)
-            complain("settings.classes[].aim_us", "a time above 0 was expected");
-        if (profile.callsDependency && terms.dependency == DependencyKind::None)
-            complain("settings.family_info.below", "'shared' or 'tier' was expected, as profiles call");
+// What the operating system gives the process.
+struct ProcessLimits {
+    double memoryMb = 0;
+    double sockets = 0;
+};
+
+ResourceLimits divide(const ProcessLimits& limits) {
+    const auto connections = [&](double fraction) {
+        return static_cast<std::size_t>(limits.sockets * fraction);
+    };
+    const auto bytes = [&](double fraction) {
+        return static_cast<std::size_t>(limits.memoryMb * fraction * kBytesPerMegabyte);
+    };
+    return {.thriftConnections = connections(kThriftConnectionsFraction),
+            .dependencyConnections = connections(kDependencyConnectionsFraction),
+            .thriftBytes = bytes(kThriftMemoryFraction),
+            .dependencyBytes = bytes(kDependencyMemoryFraction),
+            .requestBytes = bytes(kRequestMemoryFraction),
+            .workerPoolBytes = bytes(kWorkerPoolMemoryFraction),
+            .idempotencyKeyBytes = bytes(kIdempotencyKeyMemoryFraction)};
+}
+
+std::string describe(double number) { return Json(number).dump(); }
+
+ResourceLimits readLimits(const JsonReader& file) {
+    const JsonReader limits = file.requiredObject(keys::kLimits);
+    limits.requiredPositive(keys::kLimitCores);
+    const double memoryMb = limits.requiredPositive(keys::kLimitMemoryMb);
+    const double sockets = limits.requiredPositive(keys::kLimitSockets);
+    if (memoryMb < kMinMemoryMb)
+        throw ConfigError(limits.pathOf(keys::kLimitMemoryMb), "at least 16", describe(memoryMb));
+    if (sockets < kMinSockets)
+        throw ConfigError(limits.pathOf(keys::kLimitSockets), "at least 64", describe(sockets));
+    return divide({.memoryMb = memoryMb, .sockets = sockets});
+}
+
+std::uint64_t readSeed(const JsonReader& file) {
+    const std::string text = file.requiredText(keys::kSeed);
+    const std::optional<std::uint64_t> seed = parseSeed(text);
+    if (!seed) throw ConfigError(file.pathOf(keys::kSeed), "up to 16 hex digits", quoted(text));
+    return *seed;
+}
+
+// The controller's configuration as the server needs it: the simulator lets a class without a time limit or
+// calls without a dependency pass, but here both would leave requests without an end.
+void validateRequestClasses(const ControllerConfig& controller) {
+    const std::string entry = std::string(keys::kSettings) + "." + keys::kRequestClasses + "[].";
+    const std::string instance = std::string(keys::kSettings) + "." + keys::kInstance + ".";
+    for (const RequestClass& requestClass : controller.requestClasses) {
+        if (requestClass.idempotency == Idempotency::WithKey && requestClass.idempotencyWindow <= 0ns)
+            throw ConfigError(entry + keys::kIdempotencyWindowUs, "a time above 0 as the class is guarded");
+        if (requestClass.timeout <= 0ns) throw ConfigError(entry + keys::kTimeoutUs, "a time above 0");
+        if (requestClass.latencyObjective <= 0ns)
+            throw ConfigError(entry + keys::kLatencyObjectiveUs, "a time above 0");
+        if (requestClass.callsDependency && controller.dependency == DependencyKind::None)
+            throw ConfigError(instance + keys::kDependencyKind, "'shared' or 'tier' as a class calls below");
     }
 }
 
-// Sidecars open connections up to half of the descriptors, and others come beside them; a sixteenth of the
-// descriptors is left for the other links and what the system opens.
-ResourceLimits sharesOf(double megabytes, double sockets) {
-    const auto bytes = [&](double share) { return static_cast<std::size_t>(megabytes * share * (1 << 20)); };
-    return {static_cast<std::size_t>(sockets * 11 / 16),
-            static_cast<std::size_t>(sockets / 4),
-            bytes(0.25),
-            bytes(0.125),
-            bytes(0.125),
-            bytes(0.125),
-            bytes(0.125)};
+ControllerConfig readController(const JsonReader& file, NameTables& names) {
+    const JsonReader settings = file.requiredObject(keys::kSettings);
+    ControllerConfig controller = readControllerConfig(file.required(keys::kSettings), readSeed(file), names);
+    validateRequestClasses(controller);
+    // The simulator books idempotency keys in the memory of requests; here they lie in memory of our own,
+    // under a limit of its own.
+    controller.idempotencyKeyKb = 0;
+    return controller;
+}
+
+// An instance of the last tier calls nothing, and is given no address for it.
+std::optional<net::Address> readDependency(const JsonReader& file, DependencyKind kind) {
+    if (kind == DependencyKind::None && !file.has(keys::kDependencyAddress)) return std::nullopt;
+    return readAddress(file, keys::kDependencyAddress);
 }
 
 }  // namespace
 
 ProcessConfig readProcessConfig(const Environment& environment) {
-    const auto variable = [&](const char* key) {
-        const char* value = environment(key);
-        if (value == nullptr || *value == '\0') complain(key, "is not set");
-        return std::string(value);
-    };
-    ProcessConfig start;
-    start.name = variable("GW_NAME");
-    const std::string listen = variable("GW_LISTEN"), path = variable("GW_CONFIG");
-    start.listen = readAddress("GW_LISTEN", listen);
-    if (const char* level = environment("GW_LOG")) {
-        static const std::map<std::string, telemetry::Level> kLevels = {{"error", telemetry::Level::Error},
-                                                                        {"warn", telemetry::Level::Warn},
-                                                                        {"info", telemetry::Level::Info},
-                                                                        {"debug", telemetry::Level::Debug}};
-        const auto found = kLevels.find(level);
-        if (found == kLevels.end()) complain("GW_LOG", "error, warn, info or debug was expected");
-        start.level = found->second;
-    }
-    std::ifstream file(path);
-    if (!file) complain("GW_CONFIG", "'" + path + "' can't be opened");
-    const Json all = Json::parse(file, nullptr, false);
-    if (!all.is_object()) complain("GW_CONFIG", "'" + path + "' holds no JSON object");
-
-    if (text(all, "name") != start.name) complain("name", "'" + start.name + "' was expected, as in GW_NAME");
-    if (text(all, "listen") != listen) complain("listen", "'" + listen + "' was expected, as in GW_LISTEN");
-    start.workerPool = readAddress("pool", text(all, "pool"));
-    start.registry = readAddress("registry", text(all, "registry"));
-    for (const char* key : {"stop_ms", "limits", "settings", "seed"})
-        start.restartOnlyKeys[key] = need(all, "", key).dump();
-    start.shutdownTimeout = Duration(static_cast<std::int64_t>(positive(all, "", "stop_ms") * 1e6));
-    const Json& limits = object(all, "", "limits");
-    positive(limits, "limits.", "cores");
-    const double megabytes = positive(limits, "limits.", "memory_mb"),
-                 sockets = positive(limits, "limits.", "sockets");
-    if (megabytes < 16) complain("limits.memory_mb", "at least 16 were expected");
-    if (sockets < 64) complain("limits.sockets", "at least 64 were expected");
-    start.limits = sharesOf(megabytes, sockets);
-
-    const Json& settings = object(all, "", "settings");
-    start.controller = readControllerConfig(settings, readSeed(text(all, "seed")), start.nameTables);
-    refuseContradictions(start.controller);
-    // The simulator books entries in the memory of commands; here keys lie in our own, under a share of it.
-    start.controller.idempotencyKeyKb = 0;
-    const Json& mine = object(settings, "settings.", "family_info");
-    // A backend of the last tier calls nothing, and is told of no address for it.
-    if (start.controller.dependency != DependencyKind::None || all.contains("records"))
-        start.dependency = readAddress("records", text(all, "records"));
-    positive(mine, "settings.family_info.", "cores");
-    positive(mine, "settings.family_info.", "heap_kb");
-    const auto gauges = mine.find("own_stats");
-    if (gauges != mine.end()) {
-        if (!gauges->is_array()) complain("settings.family_info.own_stats", "a list of names was expected");
-        for (const Json& gauge : *gauges) {
-            if (!gauge.is_string()) complain("settings.family_info.own_stats", "names were expected");
-            start.gaugeNames.push_back(gauge.get<std::string>());
-        }
-    }
-    const auto follows = mine.find("readiness");
-    if (follows != mine.end()) {
-        if (!follows->is_boolean()) complain("settings.family_info.readiness", "true or false was expected");
-        start.deregisterWhenUnhealthy = follows->get<bool>();
-    }
-    const auto told = mine.find("passes_deadline");
-    if (told != mine.end()) {
-        if (!told->is_boolean())
-            complain("settings.family_info.passes_deadline", "true or false was expected");
-        start.clientsSendTimeout = told->get<bool>();
-    }
-    return start;
+    ProcessConfig process;
+    process.name = readVariable(environment, keys::kNameVariable);
+    const std::string listen = readVariable(environment, keys::kListenVariable);
+    const std::string path = readVariable(environment, keys::kFileVariable);
+    process.listen = readAddress(keys::kListenVariable, listen);
+    process.level = readLogLevel(environment);
+
+    const Json document = readFile(path);
+    const JsonReader file(document, "");
+    validateSameAsVariable(file, keys::kName, process.name, keys::kNameVariable);
+    validateSameAsVariable(file, keys::kListen, listen, keys::kListenVariable);
+    process.workerPool = readAddress(file, keys::kWorkerPool);
+    process.registry = readAddress(file, keys::kRegistry);
+    process.restartOnlyKeys = readRestartOnlyKeys(file);
+    process.shutdownTimeout = readShutdownTimeout(file);
+    process.limits = readLimits(file);
+    process.controller = readController(file, process.nameTables);
+
+    const JsonReader instance = file.requiredObject(keys::kSettings).requiredObject(keys::kInstance);
+    process.dependency = readDependency(file, process.controller.dependency);
+    instance.requiredPositive(keys::kCores);
+    instance.requiredPositive(keys::kMemoryLimitKb);
+    process.gaugeNames = instance.textsOrEmpty(keys::kGaugeNames);
+    process.deregisterWhenUnhealthy = instance.flagOr(keys::kDeregisterWhenUnhealthy, false);
+    process.clientsSendTimeout = instance.flagOr(keys::kClientsSendTimeout, false);
+    return process;
 }
 
 }  // namespace cottonwing::config
--- a/tests/customers_test.cpp
+++ b/tests/config/deployment_variants_test.cpp
@@ -1,5 +1,5 @@
-// Other customers' settings: nothing is refused at start, and nothing is asked of a command, that only one
-// deployment has.
+// Settings that differ between deployments: nothing is refused at start, and nothing is required of a
+// request, that only one deployment has.
 #include "helpers.h"
 
 namespace cottonwing {
@@ -21,18 +21,18 @@
     return all;
 }
 
-// The last tier is told of no records service; asking for its address refused the start on every day.
-TEST(Customers, ABackendWithNothingBelowNeedsNoRecordsService) {
+// The last tier is given no dependency address; requiring one once refused the start of every such instance.
+TEST(DeploymentVariants, AnInstanceWithoutDependencyNeedsNoAddressForIt) {
     EXPECT_FALSE(testing::startOf(lastTier()).dependency.has_value());
     Json all = testing::plainStart();
     all.erase("records");
-    EXPECT_THROW(testing::startOf(all), config::ConfigError);  // where something is below, it does
+    EXPECT_THROW(testing::startOf(all), config::ConfigError);  // with a dependency, it does
     all = lastTier();
     all["records"] = "nowhere";
     EXPECT_THROW(testing::startOf(all), config::ConfigError);
 }
 
-TEST(Customers, ACallWithNothingBelowIsUnreachable) {
+TEST(DeploymentVariants, ACallWithoutDependencyIsUnreachable) {
     net::Loop loop;
     std::ostringstream lines;
     telemetry::Log log(lines, telemetry::Level::Debug);
@@ -46,7 +46,7 @@
     EXPECT_EQ(records.callsInFlight(), 0U);
 }
 
-TEST(Customers, CallsToATierAreServedAsThoseToASharedService) {
+TEST(DeploymentVariants, CallsToATierAreServedAsThoseToASharedDependency) {
     Json all = testing::plainStart();
     all["settings"]["family_info"]["below"] = "tier";
     all["settings"]["family_info"]["dep_share"] = 0;
@@ -60,18 +60,18 @@
     EXPECT_EQ(on.pool.supplied.at(Sidecar::trace(1)), "re:call");
 }
 
-// Where the settings do not say that callers tell how long they wait, the field is absent.
-TEST(Customers, PatienceIsAskedForOnlyWhereItIsTold) {
+// Where the settings do not say that clients send how long they wait, the field is absent.
+TEST(DeploymentVariants, ATimeoutIsRequiredOnlyWhereClientsSendIt) {
     testing::Reply fields = Sidecar::fields(1);
     fields.erase("patience");
-    for (const bool told : {true, false}) {
+    for (const bool clientsSendTimeout : {true, false}) {
         Json all = testing::plainStart();
-        all["settings"]["family_info"]["passes_deadline"] = told;
+        all["settings"]["family_info"]["passes_deadline"] = clientsSendTimeout;
         Stage on(all);
         on.bound();
         Sidecar sidecar(on.loop, on.port());
         sidecar.say(frames::serve(1, fields, "body"));
-        if (told) {
+        if (clientsSendTimeout) {
             on.wait([&] { return sidecar.answers.contains(1); });
             EXPECT_EQ(sidecar.answers[1].kind, "refusal");
             continue;
