--- a/src/thrift/binary_protocol.h
+++ b/src/thrift/binary_protocol.h
@@ -1,7 +1,9 @@
-// Thrift's strict binary protocol in frames, its bytes alone: what both a server's and a client's side are
-// made of. Pure.
+/// @file
+/// Thrift's strict binary protocol in framed transport, its bytes alone: what the server's side and a
+/// client's side are both made of. Pure. All numbers are in network byte order.
 #pragma once
 
+#include <cstddef>
 #include <cstdint>
 #include <map>
 #include <optional>
@@ -11,10 +13,12 @@
 
 namespace cottonwing::thrift {
 
+/// A map of texts, as all structs of the service carry their fields.
 using Fields = std::map<std::string, std::string, std::less<>>;
 
+/// The types of values, with their codes on the wire.
 enum Type : std::uint8_t {
-    kStop = 0,
+    kStop = 0,  ///< The end of a struct.
     kBool = 2,
     kByte = 3,
     kDouble = 4,
@@ -27,17 +31,32 @@
     kSet = 14,
     kList = 15
 };
+
+/// The kinds of messages, with their codes on the wire.
 enum Kind : std::uint8_t { kCall = 1, kReply = 2, kException = 3, kOneway = 4 };
+
+/// The upper 24 bits of a message's first word; the kind is in the lower 8.
 inline constexpr std::uint32_t kVersion = 0x80010000U;
-inline constexpr int kDeepest = 16;
+inline constexpr std::uint32_t kVersionMask = 0xffffff00U;
+inline constexpr std::uint32_t kKindMask = 0xffU;
+
+/// Values nested deeper than this are malformed, so that no message exhausts the stack.
+inline constexpr int kMaxDepth = 16;
 
-// Reads on until something is wrong, then reads zeros.
+/// Bytes of the length in front of each frame.
+inline constexpr std::size_t kFrameHeaderBytes = 4;
+
+/// Reads values from the content of one frame. After the first error it reads zeros and empty texts, so that
+/// callers check good() once, at the end. The bytes have to outlive the reader and the texts it returns.
 class Reader {
 public:
     explicit Reader(std::string_view bytes) : rest_(bytes) {}
     bool good() const { return good_; }
     bool atEnd() const { return rest_.empty(); }
-    void fail() { good_ = false, rest_ = {}; }
+    void fail() {
+        good_ = false;
+        rest_ = {};
+    }
 
     std::string_view bytes(std::size_t count) {
         if (count > rest_.size()) {
@@ -48,18 +67,22 @@
         rest_.remove_prefix(count);
         return result;
     }
+
+    /// An unsigned number of so many bytes, 8 at most.
     std::uint64_t number(std::size_t width) {
         std::uint64_t value = 0;
         for (const char byte : bytes(width)) value = value << 8 | static_cast<std::uint8_t>(byte);
         return value;
     }
     std::uint8_t byte() { return static_cast<std::uint8_t>(number(1)); }
-    std::int32_t i32() { return static_cast<std::int32_t>(static_cast<std::uint32_t>(number(4))); }
-    // A length that goes below zero or past the end fails like one that was cut.
-    std::string_view string() { return bytes(static_cast<std::uint32_t>(number(4))); }
+    std::int32_t i32() { return static_cast<std::int32_t>(length()); }
+
+    /// A text with its length in front. A length that is negative or goes past the end is an error.
+    std::string_view string() { return bytes(length()); }
 
+    /// Passes over a value of a type.
     void skip(std::uint8_t type, int depth = 0) {
-        if (depth > kDeepest) return fail();
+        if (depth > kMaxDepth) return fail();
         switch (type) {
             case kBool:
             case kByte:
@@ -79,33 +102,22 @@
                 string();
                 break;
             case kStruct:
-                while (const std::uint8_t field = byte()) {
-                    bytes(2);
-                    skip(field, depth + 1);
-                }
+                skipStruct(depth);
                 break;
-            case kMap: {
-                const std::uint8_t key = byte(), value = byte();
-                // Every entry is at least a byte long, so a huge count ends at the end of the frame.
-                for (std::uint32_t left = static_cast<std::uint32_t>(number(4)); good_ && left > 0; --left) {
-                    skip(key, depth + 1);
-                    skip(value, depth + 1);
-                }
+            case kMap:
+                skipMap(depth);
                 break;
-            }
             case kSet:
-            case kList: {
-                const std::uint8_t element = byte();
-                for (std::uint32_t left = static_cast<std::uint32_t>(number(4)); good_ && left > 0; --left)
-                    skip(element, depth + 1);
+            case kList:
+                skipList(depth);
                 break;
-            }
             default:
                 fail();
         }
     }
 
-    // Calls take(id, type) for each field of a struct; what it does not take is skipped.
+    /// Calls take(id, type) for each field of a struct. It returns whether it has read the value; a value
+    /// that it has not read is skipped.
     template <typename Take>
     void fields(Take&& take) {
         while (const std::uint8_t type = byte()) {
@@ -115,37 +127,64 @@
         }
     }
 
+    /// A map of texts; nothing when it is malformed or has entries of other types, which are skipped.
     std::optional<Fields> map() {
-        const std::uint8_t key = byte(), value = byte();
-        const auto count = static_cast<std::uint32_t>(number(4));
-        const bool ours = key == kString && value == kString;
+        const std::uint8_t keyType = byte();
+        const std::uint8_t valueType = byte();
+        const std::uint32_t count = length();
+        const bool holdsTexts = keyType == kString && valueType == kString;
         Fields result;
         for (std::uint32_t i = 0; good_ && i < count; ++i) {
-            if (!ours) {
-                skip(key, 2);
-                skip(value, 2);
+            if (!holdsTexts) {
+                skip(keyType, 2);
+                skip(valueType, 2);
                 continue;
             }
-            const std::string_view name = string(), text = string();
+            const std::string_view name = string();
+            const std::string_view text = string();
             if (good_) result.insert_or_assign(std::string(name), std::string(text));
         }
-        if (!good_ || (!ours && count > 0)) return std::nullopt;
+        if (!good_ || (!holdsTexts && count > 0)) return std::nullopt;
         return result;
     }
 
 private:
+    std::uint32_t length() { return static_cast<std::uint32_t>(number(4)); }
+
+    void skipStruct(int depth) {
+        while (const std::uint8_t type = byte()) {
+            bytes(2);
+            skip(type, depth + 1);
+        }
+    }
+    // Every entry of a map or list is at least a byte long, so a huge count ends at the end of the frame.
+    void skipMap(int depth) {
+        const std::uint8_t keyType = byte();
+        const std::uint8_t valueType = byte();
+        for (std::uint32_t left = length(); good_ && left > 0; --left) {
+            skip(keyType, depth + 1);
+            skip(valueType, depth + 1);
+        }
+    }
+    void skipList(int depth) {
+        const std::uint8_t elementType = byte();
+        for (std::uint32_t left = length(); good_ && left > 0; --left) skip(elementType, depth + 1);
+    }
+
     std::string_view rest_;
     bool good_ = true;
 };
 
+/// Writes one message as a whole frame.
 class Writer {
 public:
-    Writer(Kind kind, std::string_view name, std::int32_t sequence) {
-        number(0, 4);  // the frame's length, known at the end
+    Writer(Kind kind, std::string_view method, std::int32_t sequence) {
+        number(0, kFrameHeaderBytes);  // the frame's length, known at the end
         number(kVersion | kind, 4);
-        string(name);
+        string(method);
         number(static_cast<std::uint32_t>(sequence), 4);
     }
+    /// The lower bytes of a number, so many.
     void number(std::uint64_t value, int width) {
         for (int shift = 8 * (width - 1); shift >= 0; shift -= 8)
             bytes_.push_back(static_cast<char>(value >> shift & 0xff));
@@ -154,6 +193,7 @@
         number(text.size(), 4);
         bytes_.append(text);
     }
+    /// The head of a struct's field; its value follows.
     void field(Type type, std::uint16_t id) {
         number(type, 1);
         number(id, 2);
@@ -167,10 +207,14 @@
             string(text);
         }
     }
+    /// The end of a struct.
     void stop() { number(kStop, 1); }
+
+    /// The frame, with its length in front. The writer is used up.
     std::string take() {
-        const std::size_t length = bytes_.size() - 4;
-        for (std::size_t i = 0; i < 4; ++i) bytes_[i] = static_cast<char>(length >> (24 - 8 * i) & 0xff);
+        const std::size_t length = bytes_.size() - kFrameHeaderBytes;
+        for (std::size_t i = 0; i < kFrameHeaderBytes; ++i)
+            bytes_[i] = static_cast<char>(length >> (24 - 8 * i) & 0xff);
         return std::move(bytes_);
     }
 
--- a/src/thrift/codec.cpp
+++ b/src/thrift/codec.cpp
@@ -1,16 +1,67 @@
 #include "thrift/codec.h"
 
+#include "thrift/wire_names.h"
+
 namespace cottonwing::thrift {
 
 namespace {
 
-using namespace thrift;
+// Ids of the fields of the service's structs.
+constexpr std::int16_t kRequestFields = 1;
+constexpr std::int16_t kRequestBody = 2;
+constexpr std::int16_t kCancelledSequence = 1;
+constexpr std::int16_t kDeepHealthCheck = 1;
+constexpr std::uint16_t kAnswerBody = 1;
+constexpr std::uint16_t kAnswerFields = 2;
+constexpr std::uint16_t kAnswerGood = 3;
+constexpr std::uint16_t kExceptionFields = 1;
+constexpr std::uint16_t kApplicationExceptionText = 1;
+constexpr std::uint16_t kApplicationExceptionCode = 2;
+
+// The fields of a result: exactly one of them is set.
+constexpr std::uint16_t kResultAnswer = 0;
+constexpr std::uint16_t kResultBusy = 1;
+constexpr std::uint16_t kResultFailed = 2;
+
+Method methodNamed(std::string_view name) {
+    if (name == wire::kServeMethod) return Method::Serve;
+    if (name == wire::kCancelMethod) return Method::Forget;
+    if (name == wire::kHealthCheckMethod) return Method::IsWell;
+    return Method::Unknown;
+}
+
+// Reads one argument of a method; false when it is none that the method has.
+bool readArgument(Reader& in, std::int16_t id, std::uint8_t type, Message& message) {
+    switch (message.method) {
+        case Method::Serve:
+            if (id == kRequestFields && type == kMap) {
+                message.fields = in.map();
+                return true;
+            }
+            if (id == kRequestBody && type == kString) {
+                message.body = in.string();
+                return true;
+            }
+            return false;
+        case Method::Forget:
+            if (id != kCancelledSequence || type != kI32) return false;
+            message.cancelledSequence = in.i32();
+            return true;
+        case Method::IsWell:
+            if (id != kDeepHealthCheck || type != kBool) return false;
+            message.deepHealthCheck = in.byte() != 0;
+            return true;
+        case Method::Unknown:
+            return false;
+    }
+    return false;
+}
 
 // A reply that holds one exception of the service: its field in the result, and the map in it.
-std::string writeThrown(std::int32_t sequence, std::uint16_t field, const Fields& fields) {
-    Writer out(kReply, "serve", sequence);
-    out.field(kStruct, field);
-    out.field(kMap, 1);
+std::string writeException(std::int32_t sequence, std::uint16_t resultField, const Fields& fields) {
+    Writer out(kReply, wire::kServeMethod, sequence);
+    out.field(kStruct, resultField);
+    out.field(kMap, kExceptionFields);
     out.map(fields);
     out.stop();
     out.stop();
@@ -20,40 +71,26 @@
 }  // namespace
 
 FrameState lookForFrame(const net::Ring& ring, std::size_t& length) {
-    if (ring.size() < 4) return FrameState::Partial;
+    if (ring.size() < kFrameHeaderBytes) return FrameState::Partial;
     std::string scratch;
     length = 0;
-    for (const char byte : ring.peek(4, scratch)) length = length << 8 | static_cast<std::uint8_t>(byte);
+    for (const char byte : ring.peek(kFrameHeaderBytes, scratch))
+        length = length << 8 | static_cast<std::uint8_t>(byte);
     if (length > kLongestFrame) return FrameState::TooLong;
-    return ring.size() < 4 + length ? FrameState::Partial : FrameState::Whole;
+    return ring.size() < kFrameHeaderBytes + length ? FrameState::Partial : FrameState::Whole;
 }
 
 std::optional<Message> readMessage(std::string_view frame) {
     Reader in(frame);
     Message message;
     const std::uint64_t head = in.number(4);
-    const auto kind = static_cast<std::uint8_t>(head & 0xff);
-    if ((head & 0xffffff00U) != kVersion || (kind != kCall && kind != kOneway)) return std::nullopt;
+    const auto kind = static_cast<std::uint8_t>(head & kKindMask);
+    if ((head & kVersionMask) != kVersion || (kind != kCall && kind != kOneway)) return std::nullopt;
     message.oneway = kind == kOneway;
     message.name = in.string();
     message.sequence = in.i32();
-    if (message.name == "serve") message.method = Method::Serve;
-    if (message.name == "forget") message.method = Method::Forget;
-    if (message.name == "isWell") message.method = Method::IsWell;
-    in.fields([&](std::int16_t id, std::uint8_t type) {
-        if (message.method == Method::Serve && id == 1 && type == kMap) {
-            message.fields = in.map();
-        } else if (message.method == Method::Serve && id == 2 && type == kString) {
-            message.body = in.string();
-        } else if (message.method == Method::Forget && id == 1 && type == kI32) {
-            message.forgotten = in.i32();
-        } else if (message.method == Method::IsWell && id == 1 && type == kBool) {
-            message.thorough = in.byte() != 0;
-        } else {
-            return false;
-        }
-        return true;
-    });
+    message.method = methodNamed(message.name);
+    in.fields([&](std::int16_t id, std::uint8_t type) { return readArgument(in, id, type, message); });
     if (!in.good() || !in.atEnd()) return std::nullopt;
     return message;
 }
@@ -61,12 +98,12 @@
 std::string writeAnswer(std::string_view method, std::int32_t sequence, std::string_view body,
                         const Fields& fields, bool good) {
     Writer out(kReply, method, sequence);
-    out.field(kStruct, 0);
-    out.field(kString, 1);
+    out.field(kStruct, kResultAnswer);
+    out.field(kString, kAnswerBody);
     out.string(body);
-    out.field(kMap, 2);
+    out.field(kMap, kAnswerFields);
     out.map(fields);
-    out.field(kBool, 3);
+    out.field(kBool, kAnswerGood);
     out.number(good ? 1 : 0, 1);
     out.stop();
     out.stop();
@@ -74,25 +111,25 @@
 }
 
 std::string writeBusy(std::int32_t sequence, const Fields& fields) {
-    return writeThrown(sequence, 1, fields);
+    return writeException(sequence, kResultBusy, fields);
 }
 std::string writeFailed(std::int32_t sequence, const Fields& fields) {
-    return writeThrown(sequence, 2, fields);
+    return writeException(sequence, kResultFailed, fields);
 }
 
-std::string writeRefusal(std::string_view method, std::int32_t sequence, Refusal kind,
-                         std::string_view text) {
+std::string writeApplicationException(std::string_view method, std::int32_t sequence, ApplicationError error,
+                                      std::string_view text) {
     Writer out(kException, method, sequence);
-    out.field(kString, 1);
+    out.field(kString, kApplicationExceptionText);
     out.string(text);
-    out.field(kI32, 2);
-    out.number(static_cast<std::uint32_t>(kind), 4);
+    out.field(kI32, kApplicationExceptionCode);
+    out.number(static_cast<std::uint32_t>(error), 4);
     out.stop();
     return out.take();
 }
 
 std::string writeGoaway() {
-    Writer out(kOneway, "goaway", 0);
+    Writer out(kOneway, wire::kGoawayMethod, 0);
     out.stop();
     return out.take();
 }
--- a/src/thrift/codec.h
+++ b/src/thrift/codec.h
@@ -1,4 +1,6 @@
-// Thrift's strict binary protocol in frames, as far as sidecars speak it. Pure: bytes in, values out.
+/// @file
+/// The messages of the Thrift service between clients and the server. Pure: bytes in, values out. What the
+/// fields of a request mean is up to request_decoder.h.
 #pragma once
 
 #include <cstdint>
@@ -11,39 +13,54 @@
 
 namespace cottonwing::thrift {
 
-using thrift::Fields;
-
+/// The longest content of a frame, in bytes; a longer one is refused by its length, before it is stored.
 inline constexpr std::size_t kLongestFrame = 16384;
 
-enum class Method { Serve, Forget, IsWell, Unknown };
+/// The methods of the service, as wire_names.h names them.
+enum class Method {
+    Serve,   ///< A request to run.
+    Forget,  ///< The client stopped waiting for a request.
+    IsWell,  ///< A health check.
+    Unknown
+};
 
-// One message of a sidecar; what was absent or of another type is left empty.
+/// One message of a client; what was absent or of another type is left empty.
 struct Message {
     Method method = Method::Unknown;
-    std::string name;
+    std::string name;  ///< Of the method, as it came.
     bool oneway = false;
     std::int32_t sequence = 0;
-    std::optional<Fields> fields;           // serve
-    std::optional<std::string> body;        // serve
-    std::optional<std::int32_t> forgotten;  // forget
-    bool thorough = false;                  // isWell
+    std::optional<Fields> fields;                   ///< Of a request.
+    std::optional<std::string> body;                ///< Of a request.
+    std::optional<std::int32_t> cancelledSequence;  ///< The request that the client stopped waiting for.
+    bool deepHealthCheck = false;                   ///< The health check wants work done for its answer.
 };
 
+/// What stands at the front of the input.
 enum class FrameState { Partial, Whole, TooLong };
-// Whether a whole frame stands at the front of the ring; length is that of its content.
+
+/// Looks whether a whole frame stands at the front of the ring.
+/// @param length  receives the length of its content in bytes, once the four bytes of it are in
 FrameState lookForFrame(const net::Ring& ring, std::size_t& length);
 
-// The content of one frame; nothing when it is malformed.
+/// Reads the content of one frame; nothing when it is malformed.
 std::optional<Message> readMessage(std::string_view frame);
 
-enum class Refusal : std::int32_t { UnknownMethod = 1, Internal = 6, Protocol = 7 };
+/// The codes of application exceptions that Thrift defines, as far as they are used here.
+enum class ApplicationError : std::int32_t { UnknownMethod = 1, Internal = 6, Protocol = 7 };
 
-// Whole frames.
+/// The reply to a request that was served, or to a health check; `good` tells whether the instance is
+/// healthy. This and the following write one whole frame each.
 std::string writeAnswer(std::string_view method, std::int32_t sequence, std::string_view body,
                         const Fields& fields, bool good);
+/// The reply to a request that was rejected and never ran.
 std::string writeBusy(std::int32_t sequence, const Fields& fields);
+/// The reply to a request that failed.
 std::string writeFailed(std::int32_t sequence, const Fields& fields);
-std::string writeRefusal(std::string_view method, std::int32_t sequence, Refusal kind, std::string_view text);
+/// The reply to a message that could not be understood.
+std::string writeApplicationException(std::string_view method, std::int32_t sequence, ApplicationError error,
+                                      std::string_view text);
+/// The notice that no new request should be sent on this connection.
 std::string writeGoaway();
 
 }  // namespace cottonwing::thrift
--- /dev/null
+++ b/src/thrift/request_decoder.cpp
@@ -0,0 +1,252 @@
+#include "thrift/request_decoder.h"
+
+#include <algorithm>
+#include <charconv>
+#include <cmath>
+#include <cstdint>
+#include <optional>
+#include <string_view>
+#include <utility>
+
+#include "thrift/wire_names.h"
+
+namespace cottonwing::thrift {
+
+namespace {
+
+using namespace std::chrono_literals;
+
+constexpr std::size_t kMaxBodyBytes = 2048;
+constexpr std::size_t kMaxIdempotencyKeyBytes = 64;
+constexpr double kMaxMemoryKb = 2000;  // exclusive
+constexpr double kNanosecondsPerMillisecond = 1e6;
+// Later times would overflow once they are counted in nanoseconds.
+constexpr std::int64_t kMaxArrivalTimeMs = INT64_MAX / 4000000;
+// The clocks of a client and of this machine may differ by this much: a request may have arrived so far in
+// the future, or be due so far in the past.
+constexpr Duration kMaxClockDifference = 1s;
+
+using Result = std::optional<RequestError>;
+
+// One message on its way to a request: each step reads one field, and returns what is wrong with it.
+class Decoding {
+public:
+    Decoding(const Message& message, const config::NameTables& names,
+             const std::vector<RequestClass>& requestClasses, bool timeoutRequired, Timestamp now)
+        : message_(message),
+          names_(names),
+          requestClasses_(requestClasses),
+          timeoutRequired_(timeoutRequired),
+          now_(now) {}
+
+    Result readParts() {
+        if (!message_.fields || !message_.body) return RequestError::MissingPart;
+        if (message_.body->size() > kMaxBodyBytes) return RequestError::BodyTooLong;
+        incoming_.body = *message_.body;
+        return std::nullopt;
+    }
+
+    Result readRequestClass() {
+        const auto found = names_.requestClasses.find(text(wire::kRequestClass));
+        if (found == names_.requestClasses.end()) return RequestError::UnknownRequestClass;
+        incoming_.request.requestClass = found->second;
+        requestClass_ = &requestClasses_[static_cast<std::size_t>(found->second)];
+        return std::nullopt;
+    }
+
+    Result readTenant() {
+        const std::string_view name = text(wire::kTenant);
+        if (name.empty()) return std::nullopt;
+        const auto found = names_.tenants.find(name);
+        if (found == names_.tenants.end()) return RequestError::UnknownTenant;
+        incoming_.request.tenant = found->second;
+        return std::nullopt;
+    }
+
+    Result readRequestId() {
+        const std::string_view digits = text(wire::kRequestId);
+        const auto id = request::parseRequestId(digits);
+        if (!id) return RequestError::MalformedRequestId;
+        incoming_.request.id = *id;
+        incoming_.externalId = digits;
+        return std::nullopt;
+    }
+
+    Result readArrivalTime() {
+        const auto arrivalMs = number<std::int64_t>(wire::kArrivalTimeMs);
+        if (!arrivalMs || *arrivalMs <= 0 || *arrivalMs > kMaxArrivalTimeMs)
+            return RequestError::MalformedArrivalTime;
+        arrivedAt_ = 1ms * *arrivalMs;
+        return std::nullopt;
+    }
+
+    // No client waits for longer than the timeout of the class, nor for another time where it does not say
+    // so. A request beyond that says nothing about overload, and its figures would distort the means of the
+    // controller.
+    Result readTimeout() {
+        const auto timeoutMs = number<std::int64_t>(wire::kTimeoutMs);
+        const Duration longest = requestClass_->timeout;
+        if ((timeoutRequired_ || has(wire::kTimeoutMs)) &&
+            (!timeoutMs || *timeoutMs < 0 || 1ms * *timeoutMs > longest))
+            return RequestError::MalformedTimeout;
+        const Timestamp deadline = arrivedAt_ + (timeoutMs ? 1ms * *timeoutMs : longest);
+        if (arrivedAt_ > now_ + kMaxClockDifference || deadline < now_ - kMaxClockDifference)
+            return RequestError::ArrivalTimeNotNear;
+        incoming_.request.deadline = deadline;
+        incoming_.request.queuedBeforeRead = std::max(Duration(0ns), now_ - arrivedAt_);
+        return std::nullopt;
+    }
+
+    Result readMemory() {
+        const auto memoryKb = number<double>(wire::kMemoryKb);
+        if (!memoryKb || *memoryKb <= 0 || *memoryKb >= kMaxMemoryKb) return RequestError::MalformedMemory;
+        incoming_.request.memoryKb = *memoryKb;
+        return std::nullopt;
+    }
+
+    // A rough figure that no bound is set for: more than fits before the timeout counts as much as that.
+    Result readExpectedWork() {
+        if (text(wire::kExpectedWorkMs).empty()) return std::nullopt;
+        const auto workMs = number<double>(wire::kExpectedWorkMs);
+        if (!workMs || *workMs < 0) return RequestError::MalformedExpectedWork;
+        const double longest = static_cast<double>(requestClass_->timeout.count());
+        incoming_.request.expectedWork =
+            Duration(static_cast<std::int64_t>(std::min(*workMs * kNanosecondsPerMillisecond, longest)));
+        return std::nullopt;
+    }
+
+    Result readRank() {
+        if (text(wire::kRank).empty()) return std::nullopt;
+        const auto rank = number<double>(wire::kRank);
+        if (!rank || *rank < 0 || *rank >= 1) return RequestError::MalformedRank;
+        incoming_.request.rank = *rank;
+        return std::nullopt;
+    }
+
+    // Checked only: nothing depends on the number.
+    Result readClientNumber() {
+        if (text(wire::kClientNumber).empty()) return std::nullopt;
+        const auto client = number<std::int64_t>(wire::kClientNumber);
+        if (!client || *client < 0) return RequestError::MalformedClientNumber;
+        return std::nullopt;
+    }
+
+    Result readRetryMark() {
+        if (!has(wire::kRetryMark)) return std::nullopt;
+        if (text(wire::kRetryMark) != wire::kRetryMarkValue) return RequestError::MalformedRetryMark;
+        incoming_.request.isRetry = true;
+        return std::nullopt;
+    }
+
+    // One tenant's key is not another's, and a key belongs to one class: both go in front of it.
+    Result readIdempotencyKey() {
+        if (requestClass_->idempotency != Idempotency::WithKey) return std::nullopt;
+        const std::string_view key = text(wire::kIdempotencyKey);
+        if (key.empty() || key.size() > kMaxIdempotencyKeyBytes) return RequestError::MalformedIdempotencyKey;
+        const Request& request = incoming_.request;
+        incoming_.idempotencyKey =
+            std::to_string(request.requestClass) + "/" + std::to_string(request.tenant) + "/";
+        incoming_.idempotencyKey.append(key);
+        return std::nullopt;
+    }
+
+    request::IncomingRequest take() { return std::move(incoming_); }
+
+private:
+    bool has(std::string_view name) const { return message_.fields->contains(name); }
+
+    // Empty when the field is absent.
+    std::string_view text(std::string_view name) const {
+        const auto found = message_.fields->find(name);
+        return found == message_.fields->end() ? std::string_view() : std::string_view(found->second);
+    }
+
+    // Nothing when the field is absent, or is no finite number from its first byte to its last.
+    template <typename T>
+    std::optional<T> number(std::string_view name) const {
+        const std::string_view digits = text(name);
+        T value{};
+        const char* const last = digits.data() + digits.size();
+        const auto [end, error] = std::from_chars(digits.data(), last, value);
+        if (error != std::errc() || end != last) return std::nullopt;
+        if constexpr (std::is_floating_point_v<T>) {
+            if (!std::isfinite(value)) return std::nullopt;
+        }
+        return value;
+    }
+
+    const Message& message_;
+    const config::NameTables& names_;
+    const std::vector<RequestClass>& requestClasses_;
+    const bool timeoutRequired_;
+    const Timestamp now_;
+    const RequestClass* requestClass_ = nullptr;
+    Timestamp arrivedAt_{0};
+    request::IncomingRequest incoming_;
+};
+
+// In the order in which errors are reported; each step may rest on those before it.
+using Step = Result (Decoding::*)();
+constexpr Step kSteps[] = {
+    &Decoding::readParts,        &Decoding::readRequestClass, &Decoding::readTenant,
+    &Decoding::readRequestId,    &Decoding::readArrivalTime,  &Decoding::readTimeout,
+    &Decoding::readMemory,       &Decoding::readExpectedWork, &Decoding::readRank,
+    &Decoding::readClientNumber, &Decoding::readRetryMark,    &Decoding::readIdempotencyKey,
+};
+
+std::string fieldError(const char* field, const char* problem) { return std::string(field) + ": " + problem; }
+
+}  // namespace
+
+std::string textOf(RequestError error) {
+    switch (error) {
+        case RequestError::MissingPart:
+            return "fields and body are needed";
+        case RequestError::BodyTooLong:
+            return "the body is longer than 2048 bytes";
+        case RequestError::UnknownRequestClass:
+            return fieldError(wire::kRequestClass, "not a profile");
+        case RequestError::UnknownTenant:
+            return fieldError(wire::kTenant, "not a customer");
+        case RequestError::MalformedRequestId:
+            return fieldError(wire::kRequestId, "16 hex digits were expected");
+        case RequestError::MalformedArrivalTime:
+            return fieldError(wire::kArrivalTimeMs, "Unix milliseconds were expected");
+        case RequestError::ArrivalTimeNotNear:
+            return fieldError(wire::kArrivalTimeMs, "a time near the present was expected");
+        case RequestError::MalformedTimeout:
+            return fieldError(wire::kTimeoutMs, "milliseconds were expected");
+        case RequestError::MalformedMemory:
+            return fieldError(wire::kMemoryKb, "kilobytes were expected");
+        case RequestError::MalformedExpectedWork:
+            return fieldError(wire::kExpectedWorkMs, "milliseconds were expected");
+        case RequestError::MalformedRank:
+            return fieldError(wire::kRank, "a number from 0 to under 1 was expected");
+        case RequestError::MalformedClientNumber:
+            return fieldError(wire::kClientNumber, "a number of 0 or more was expected");
+        case RequestError::MalformedRetryMark:
+            return fieldError(wire::kRetryMark, "1 was expected");
+        case RequestError::MalformedIdempotencyKey:
+            return fieldError(wire::kIdempotencyKey, "an idempotency key was expected");
+        case RequestError::RequestInProgress:
+            return fieldError(wire::kRequestId, "in hand already");
+    }
+    return {};
+}
+
+RequestDecoder::RequestDecoder(config::NameTables names, std::vector<RequestClass> requestClasses,
+                               bool timeoutRequired)
+    : names_(std::move(names)),
+      requestClasses_(std::move(requestClasses)),
+      timeoutRequired_(timeoutRequired) {}
+
+std::variant<request::IncomingRequest, RequestError> RequestDecoder::decode(const Message& message,
+                                                                            Timestamp now) const {
+    Decoding decoding(message, names_, requestClasses_, timeoutRequired_, now);
+    for (const Step step : kSteps) {
+        if (const Result error = (decoding.*step)()) return *error;
+    }
+    return decoding.take();
+}
+
+}  // namespace cottonwing::thrift
--- a/src/thrift/thrift_server.cpp
+++ b/src/thrift/thrift_server.cpp
@@ -11,7 +11,6 @@
 using telemetry::Count;
 
 constexpr std::size_t kMostOpen = 32;  // commands on one connection
-constexpr std::size_t kLongestBody = 2048, kLongestKey = 64;
 constexpr std::size_t kInput = 32 << 10, kOutput = 256 << 10;
 constexpr int kMessagesATurn = 64;  // of one connection; the rest waits for its next turn
 constexpr int kMostStrikes = 8;     // messages of one connection that are refused before it is closed
@@ -20,102 +19,15 @@
 constexpr Duration kWrites = 2s;   // output that nobody takes ends its connection
 constexpr Duration kDrained = 1s;  // after goaway, before an idle connection is closed
 constexpr Duration kTend = 100ms;
-constexpr Duration kAhead =
-    1s;  // a command may be born so far ahead of our clock, or be due so far behind it
 constexpr std::size_t kUnidentified =
     4;  // of the places, one in so many is for those that never said anything whole
 
-template <typename T>
-std::optional<T> number(const Fields& fields, std::string_view key) {
-    const auto found = fields.find(key);
-    if (found == fields.end()) return std::nullopt;
-    T value{};
-    const std::string& text = found->second;
-    const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
-    if (error != std::errc() || end != text.data() + text.size()) return std::nullopt;
-    if constexpr (std::is_floating_point_v<T>)
-        if (!std::isfinite(value)) return std::nullopt;
-    return value;
-}
-
 std::string text(double value) {
     char digits[32];
     const auto end = std::to_chars(digits, digits + sizeof digits, value, std::chars_format::fixed, 4).ptr;
     return {digits, end};
 }
 
-// What a command lacks, or nothing when it is whole.
-std::string readCommand(const Message& message, const config::NameTables& names,
-                        const std::vector<RequestClass>& profiles, bool patienceTold,
-                        request::IncomingRequest& arrival) {
-    if (!message.fields || !message.body) return "fields and body are needed";
-    if (message.body->size() > kLongestBody) return "the body is longer than 2048 bytes";
-    const Fields& fields = *message.fields;
-    const auto given = [&](std::string_view key) {
-        const auto found = fields.find(key);
-        return found == fields.end() ? std::string_view() : std::string_view(found->second);
-    };
-    Request& command = arrival.request;
-    const auto profile = names.requestClasses.find(given("route"));
-    if (profile == names.requestClasses.end()) return "route: not a profile";
-    command.requestClass = profile->second;
-    const RequestClass& terms = profiles[static_cast<std::size_t>(profile->second)];
-    const Duration hardStop = terms.timeout;
-    if (!given("customer").empty()) {
-        const auto customer = names.tenants.find(given("customer"));
-        if (customer == names.tenants.end()) return "customer: not a customer";
-        command.tenant = customer->second;
-    }
-    const auto id = request::parseRequestId(given("trace"));
-    if (!id) return "trace: 16 hex digits were expected";
-    const auto born = number<std::int64_t>(fields, "born"),
-               patience = number<std::int64_t>(fields, "patience");
-    constexpr std::int64_t kLatest = INT64_MAX / 4000000;
-    if (!born || *born <= 0 || *born > kLatest) return "born: Unix milliseconds were expected";
-    // Nobody waits for longer than the profile's hard stop, nor for another time where it is not told. What
-    // is past all this tells of no jam, and its figures would stand in the module's means.
-    if ((patienceTold || fields.contains("patience")) &&
-        (!patience || *patience < 0 || 1ms * *patience > hardStop))
-        return "patience: milliseconds were expected";
-    const Duration now = net::unixNow(), bornAt = 1ms * *born,
-                   due = bornAt + (patience ? 1ms * *patience : hardStop);
-    if (bornAt > now + kAhead || due < now - kAhead) return "born: a time near the present was expected";
-    const auto size = number<double>(fields, "size");
-    if (!size || *size <= 0 || *size >= 2000) return "size: kilobytes were expected";
-    if (!given("weight").empty()) {
-        const auto weight = number<double>(fields, "weight");
-        if (!weight || *weight < 0) return "weight: milliseconds were expected";
-        // Rough, and no bound is set for it: more than fits before the hard stop is as much as that.
-        command.expectedWork =
-            Duration(static_cast<std::int64_t>(std::min(*weight * 1e6, 1.0 * hardStop.count())));
-    }
-    if (!given("order").empty()) {
-        const auto order = number<double>(fields, "order");
-        if (!order || *order < 0 || *order >= 1) return "order: a number from 0 to under 1 was expected";
-        command.rank = *order;
-    }
-    if (!given("client").empty())
-        if (const auto client = number<std::int64_t>(fields, "client"); !client || *client < 0)
-            return "client: a number of 0 or more was expected";
-    if (fields.contains("redo") && given("redo") != "1") return "redo: 1 was expected";
-    if (terms.idempotency == Idempotency::WithKey) {
-        const std::string_view key = given("nonce");
-        if (key.empty() || key.size() > kLongestKey) return "nonce: an idempotency key was expected";
-        // One customer's key is not another's, and a key belongs to one profile.
-        arrival.idempotencyKey =
-            std::to_string(command.requestClass) + "/" + std::to_string(command.tenant) + "/";
-        arrival.idempotencyKey.append(key);
-    }
-    command.id = *id;
-    command.deadline = due;
-    command.queuedBeforeRead = std::max(0ns, now - bornAt);
-    command.memoryKb = *size;
-    command.isRetry = given("redo") == "1";
-    arrival.externalId = given("trace");
-    arrival.body = *message.body;
-    return {};
-}
-
 }  // namespace
 
 struct ThriftServer::Line : private net::Owner {
@@ -146,9 +58,7 @@
     : loop_(loop),
       most_(shares.thriftConnections),
       total_(std::make_shared<net::Total>(net::Total{shares.thriftBytes})),
-      names_(std::move(names)),
-      profiles_(profiles),
-      patienceTold_(patienceTold),
+      decoder_(std::move(names), profiles, patienceTold),
       backend_(backend),
       log_(log),
       counters_(counters),
@@ -257,7 +167,7 @@
             return true;
         case Method::Forget: {
             counters_.add(Count::CancelMessages);
-            const auto open = line.open.find(message.forgotten.value_or(0));
+            const auto open = line.open.find(message.cancelledSequence.value_or(0));
             if (open == line.open.end()) return true;  // answered already
             const RequestId id = open->second;
             line.open.erase(open);
@@ -267,7 +177,7 @@
         }
         case Method::IsWell:
             counters_.add(Count::HealthChecks);
-            if (message.oneway || !message.thorough) {
+            if (message.oneway || !message.deepHealthCheck) {
                 if (!message.oneway) tellHealth(line, message.sequence, backend_.healthy());
                 return true;
             }
@@ -278,26 +188,29 @@
                 });
             return true;
         case Method::Unknown:
-            if (!message.oneway) refuse(line, message, Refusal::UnknownMethod, "no such method");
+            if (!message.oneway) refuse(line, message, ApplicationError::UnknownMethod, "no such method");
             return true;
     }
     return false;
 }
 
 void ThriftServer::takeCommand(Line& line, const Message& message) {
-    request::IncomingRequest arrival;
-    std::string why = readCommand(message, names_, profiles_, patienceTold_, arrival);
-    if (why.empty() && backend_.contains(arrival.request.id)) why = "trace: in hand already";
-    if (!why.empty()) return refuse(line, message, Refusal::Internal, why);
-    line.open.emplace(message.sequence, arrival.request.id);
-    inFlight_[arrival.request.id] = {&line, message.sequence};
-    backend_.accept(std::move(arrival));
+    auto decoded = decoder_.decode(message, net::unixNow());
+    if (const auto* const error = std::get_if<RequestError>(&decoded))
+        return refuse(line, message, ApplicationError::Internal, textOf(*error));
+    auto& incoming = std::get<request::IncomingRequest>(decoded);
+    const RequestId id = incoming.request.id;
+    if (backend_.contains(id))
+        return refuse(line, message, ApplicationError::Internal, textOf(RequestError::RequestInProgress));
+    line.open.emplace(message.sequence, id);
+    inFlight_[id] = {&line, message.sequence};
+    backend_.accept(std::move(incoming));
 }
 
-void ThriftServer::refuse(Line& line, const Message& message, Refusal kind, const std::string& why) {
+void ThriftServer::refuse(Line& line, const Message& message, ApplicationError kind, const std::string& why) {
     counters_.add(Count::MalformedRequests);
     log_.warn("sidecar", message.name.substr(0, 40) + " refused: " + why);
-    write(line, writeRefusal(message.name, message.sequence, kind, why));
+    write(line, writeApplicationException(message.name, message.sequence, kind, why));
     ++line.strikes;
 }
 
--- a/src/thrift/thrift_server.h
+++ b/src/thrift/thrift_server.h
@@ -12,6 +12,7 @@
 #include "net/connection.h"
 #include "request/request_manager.h"
 #include "thrift/codec.h"
+#include "thrift/request_decoder.h"
 
 namespace cottonwing::thrift {
 
@@ -47,7 +48,7 @@
     void read(Line& line);
     bool take(Line& line, const Message& message);
     void takeCommand(Line& line, const Message& message);
-    void refuse(Line& line, const Message& message, Refusal kind, const std::string& why);
+    void refuse(Line& line, const Message& message, ApplicationError kind, const std::string& why);
     void answer(RequestId id, const std::function<std::string(std::int32_t)>& frame);
     void write(Line& line, const std::string& frame);
     void touch(Line& line);
@@ -69,9 +70,7 @@
     net::Loop& loop_;
     const std::size_t most_;
     const std::shared_ptr<net::Total> total_;
-    const config::NameTables names_;
-    const std::vector<RequestClass> profiles_;
-    const bool patienceTold_;  // each command has to say how long its caller waits
+    const RequestDecoder decoder_;
     request::RequestManager& backend_;
     telemetry::Log& log_;
     telemetry::Counters& counters_;
