--- /dev/null
+++ b/tests/support/controller_harness.h
@@ -0,0 +1,105 @@
+/// @file
+/// Drives one overload controller on a clock of its own, records its decisions and checks them.
+#pragma once
+
+#include <algorithm>
+#include <chrono>
+#include <memory>
+#include <optional>
+#include <string>
+#include <string_view>
+#include <vector>
+
+#include "overload/overload_controller.h"
+#include "reference_model.h"
+#include "request_generator.h"
+
+namespace cottonwing::testing {
+
+/// A controller and its surroundings. A test passes batches of events and reads what was decided; the
+/// reference model checks the four rules on the way.
+class ControllerHarness : public ReferenceModel {
+public:
+    explicit ControllerHarness(const ControllerConfig& config)
+        : ReferenceModel(config), controller(makeOverloadController(config)) {}
+
+    std::unique_ptr<OverloadController> controller;
+    std::optional<double> asking;  ///< Core demand that the gauges show; default: the runs on the cores.
+
+    // How often each decision was made.
+    int starts = 0;
+    int halts = 0;
+    int bounces = 0;
+    int scraps = 0;
+    int calls = 0;
+    int leftOut = 0;
+
+    // The last value of each decision that carries one.
+    Duration patience{0};    ///< Attempt timeout of the last call.
+    Duration retryAfter{0};  ///< Of the last rejection.
+    Duration idle{-1};       ///< Idle time after which client connections are closed.
+    bool good = false;       ///< Health.
+    std::vector<std::string> logs;
+
+    /// @return a first attempt that arrives in the next batch.
+    Request command(RequestId id, int requestClass = 0, Duration timeLeft = 5s) const {
+        return makeRequest(id, requestClass, now, timeLeft);
+    }
+
+    /// Lets time pass, delivers the batch (with gauges, if a control tick is due) and checks what was
+    /// decided.
+    void step(EventBatch batch, Duration passed = 20ms) {
+        now += passed;
+        batch.now = now;
+        if (nextTickAt_ >= 0ns && now >= nextTickAt_ && !batch.gauges) {
+            batch.gauges = Gauges{0.5, asking.value_or(on(At::Cores)), 0.1, 3.0};
+            nextTickAt_ = -1ns;
+        }
+        observe(batch);
+        controller->decide(batch, *this);
+        judge();
+    }
+    void step(Duration passed = 20ms) { step(EventBatch{}, passed); }
+
+    /// @return whether a log line holds this text.
+    bool logged(std::string_view text) const {
+        return std::any_of(logs.begin(), logs.end(),
+                           [&](const std::string& line) { return line.find(text) != line.npos; });
+    }
+
+    void startRun(RequestId id) override {
+        ++starts;
+        ReferenceModel::startRun(id);
+    }
+    void reject(RequestId id, const Pushback& pushback) override {
+        ++bounces;
+        retryAfter = pushback.retryAfter;
+        ReferenceModel::reject(id, pushback);
+    }
+    void fail(RequestId id) override {
+        ++scraps;
+        ReferenceModel::fail(id);
+    }
+    void cancelRun(RequestId id) override {
+        ++halts;
+        ReferenceModel::cancelRun(id);
+    }
+    void callDependency(RequestId id, Duration timeout) override {
+        ++calls;
+        patience = timeout;
+        ReferenceModel::callDependency(id, timeout);
+    }
+    void skipDependencyCall(RequestId id) override {
+        ++leftOut;
+        ReferenceModel::skipDependencyCall(id);
+    }
+    void setHealth(bool healthy) override { good = healthy; }
+    void closeIdleConnections(Duration unusedFor) override { idle = unusedFor; }
+    void scheduleTick(Duration delay) override { nextTickAt_ = now + delay; }
+    void log(std::string_view line) override { logs.emplace_back(line); }
+
+private:
+    Timestamp nextTickAt_{-1};
+};
+
+}  // namespace cottonwing::testing
--- /dev/null
+++ b/tests/support/fake_http_server.h
@@ -0,0 +1,57 @@
+/// @file
+/// An HTTP/1.1 server: the dependency, or the registry.
+#pragma once
+
+#include <functional>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "fake_server.h"
+#include "net/connection.h"
+#include "net/loop.h"
+
+namespace cottonwing::testing {
+
+/// Answers each request by a function; an empty answer holds the response back.
+class FakeHttpServer {
+public:
+    using Answer =
+        std::function<std::string(net::Connection&, const std::string& head, const std::string& body)>;
+    FakeHttpServer(net::Loop& loop, Answer answerWith, int port = 0)
+        : answer(std::move(answerWith)),
+          server(
+              loop,
+              [this](net::Connection& on, std::string& text) {
+                  const std::size_t end = text.find("\r\n\r\n");
+                  if (end == text.npos) return;
+                  const std::size_t length = std::stoul(text.substr(text.find("Content-Length: ") + 16));
+                  if (text.size() < end + 4 + length) return;
+                  const std::string head = text.substr(0, end + 2), body = text.substr(end + 4, length);
+                  text.clear();
+                  heads.push_back(head);
+                  bodies.push_back(body);
+                  const std::string reply = answer(on, head, body);
+                  if (!reply.empty()) on.send(reply);
+              },
+              port) {}
+    /// @return a response with this status, body and further header lines.
+    static std::string reply(int status, const std::string& body = "", const std::string& headers = "") {
+        return "HTTP/1.1 " + std::to_string(status) + " X\r\n" + headers +
+               (status == 204 ? "" : "Content-Length: " + std::to_string(body.size()) + "\r\n") + "\r\n" +
+               body;
+    }
+    /// @return the value of a header; empty without it.
+    static std::string header(const std::string& head, const std::string& name) {
+        const std::size_t at = head.find("\r\n" + name + ": ");
+        if (at == head.npos) return "";
+        const std::size_t from = at + name.size() + 4;
+        return head.substr(from, head.find("\r\n", from) - from);
+    }
+
+    Answer answer;
+    std::vector<std::string> heads, bodies;
+    FakeServer server;
+};
+
+}  // namespace cottonwing::testing
--- /dev/null
+++ b/tests/support/server_fixture.h
@@ -0,0 +1,81 @@
+/// @file
+/// The server under test between its fake peers: worker pool, dependency and registry.
+#pragma once
+
+#include <gtest/gtest.h>
+
+#include <cstdint>
+#include <memory>
+#include <sstream>
+#include <string>
+
+#include "event_loop_helpers.h"
+#include "fake_http_server.h"
+#include "fake_worker_pool.h"
+#include "plain_config.h"
+#include "server.h"
+
+namespace cottonwing::testing {
+
+/// A server and all its peers on one event loop.
+class ServerFixture {
+public:
+    explicit ServerFixture(const Json& configFile = plainConfigFile())
+        : pool(loop),
+          records(loop, [](net::Connection&, const std::string&,
+                           const std::string& body) { return FakeHttpServer::reply(200, "re:" + body); }),
+          registry(loop, [](net::Connection&, const std::string&,
+                            const std::string&) { return FakeHttpServer::reply(204); }),
+          log(lines, telemetry::Level::Debug),
+          server([&]() -> config::ProcessConfig {
+              config::ProcessConfig processConfig = processConfigFrom(configFile);
+              processConfig.workerPool = pool.server.address();
+              processConfig.dependency = records.server.address();
+              processConfig.registry = registry.server.address();
+              return processConfig;
+          }()) {
+        loop.onTrouble([](const std::string& what) { ADD_FAILURE() << what; });
+        program = std::make_unique<Server>(loop, server, log, counters);
+    }
+    /// Waits until the worker pool is connected and the server healthy.
+    void bound() {
+        runUntil(loop, [&] { return program->backend().healthy(); });
+    }
+    template <typename Condition>
+    void wait(Condition&& condition) {
+        runUntil(loop, condition);
+    }
+    /// Replaces the configuration file and has the program read it again.
+    void readAgain(const Json& file) {
+        withConfigFile(file, [&](const auto& environment) { program->readAgain(environment); });
+    }
+    int port() const { return program->sidecars().port(); }
+    std::uint64_t count(telemetry::Count kind) const { return counters.of(kind); }
+    std::uint64_t count(net::ConnectionEnd end) const { return counters.of(end); }
+    /// Every request has exactly one kind of end and every dependency call one outcome; nothing is tracked
+    /// any more.
+    void expectBooksClosed() const {
+        using telemetry::Count;
+        EXPECT_EQ(count(Count::RequestsRead), count(Count::Completed) + count(Count::Rejected) +
+                                                  count(Count::Failed) + count(Count::ClientCancellations));
+        EXPECT_EQ(count(Count::CallsStarted),
+                  count(Count::CallsOk) + count(Count::CallsError) + count(Count::CallsResourceExhausted) +
+                      count(Count::CallsTimedOut) + count(Count::CallsUnreachable) +
+                      count(Count::CallsConnectionLost) + count(Count::CallsSuperseded) +
+                      count(Count::CallsAbandoned) + count(Count::CallsLocalLimit) +
+                      count(Count::CallsMalformedResponse));
+        EXPECT_EQ(program->backend().trackedCount(), 0U);
+        EXPECT_EQ(program->records().callsInFlight(), 0U);
+    }
+
+    net::Loop loop;
+    FakeWorkerPool pool;
+    FakeHttpServer records, registry;
+    std::ostringstream lines;
+    telemetry::Log log;
+    telemetry::Counters counters;
+    config::ProcessConfig server;
+    std::unique_ptr<Server> program;
+};
+
+}  // namespace cottonwing::testing
