--- a/src/overload/admission_queue.h
+++ b/src/overload/admission_queue.h
@@ -2,7 +2,6 @@
 /// The admission queue: which of the queued requests to shed so that the others complete in time.
 #pragma once
 
-#include <compare>
 #include <span>
 #include <vector>
 
@@ -27,8 +26,6 @@
 struct UpcomingCalls {
     Timestamp deadline{0};  ///< Of the run.
     double count = 0;
-
-    auto operator<=>(const UpcomingCalls&) const = default;
 };
 
 /// The load in front of the admission queue.
--- a/src/overload/control_tick.cpp
+++ b/src/overload/control_tick.cpp
@@ -2,6 +2,7 @@
 
 #include <algorithm>
 #include <chrono>
+#include <tuple>
 
 #include "overload/units.h"
 
@@ -11,6 +12,10 @@
 
 constexpr Duration kAdvicePeriod = std::chrono::milliseconds(200);
 
+bool isDueEarlier(const UpcomingCalls& left, const UpcomingCalls& right) {
+    return std::tie(left.deadline, left.count) < std::tie(right.deadline, right.count);
+}
+
 IdleConnections::Config idleConfig(const ControllerConfig& config) {
     IdleConnections::Config idle;
     idle.maxIdle = config.maxConnectionIdle;
@@ -73,7 +78,7 @@
         const double count = waits ? 1 : further;
         if (count > 0) context_.upcomingCalls.push_back({request.deadline, count});
     }
-    std::sort(context_.upcomingCalls.begin(), context_.upcomingCalls.end());
+    std::sort(context_.upcomingCalls.begin(), context_.upcomingCalls.end(), isDueEarlier);
 }
 
 void ControlTick::adviseClients() {
