--- a/tests/config/config_test.cpp
+++ b/tests/config/config_test.cpp
@@ -3,6 +3,7 @@
 
 #include "config/json_reader.h"
 #include "config/parse.h"
+#include "net/address.h"
 
 namespace cottonwing::config {
 namespace {
