--- a/src/lab/main.cpp
+++ b/src/lab/main.cpp
@@ -14,6 +14,7 @@
 #include "lab/emulate/scgi_server.h"
 #include "lab/experiment.h"
 #include "lab/report.h"
+#include "net/signal.h"
 
 namespace {
 
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,9 +1,14 @@
-// One backend on sockets: reads what it is told, then turns the loop until it has left.
+/// @file
+/// The program: reads the command line and the configuration, then serves on the loop until it has shut down.
 #include <CLI/CLI.hpp>
 #include <csignal>
 #include <cstdlib>
 #include <iostream>
+#include <map>
+#include <optional>
+#include <string>
 
+#include "net/signal.h"
 #include "serve/gateway.h"
 #include "server.h"
 
@@ -11,112 +16,162 @@
 
 using namespace cottonwing;
 
-// Turns the loop until it has left; what is served is told of the signals, and prints its counters at the
-// end.
-template <typename Served, typename Again, typename Print>
-int turn(net::Loop& loop, Served& served, Again&& again, Print&& print) {
+// Exit codes of the program.
+constexpr int kExitOk = 0;
+constexpr int kExitFailed = 1;
+constexpr int kExitBadInput = 2;  // the command line, the environment or a file is wrong
+
+/// What the program was told on its command line.
+struct CommandLine {
+    enum class Action {
+        RunBackend,  ///< one backend, as the environment says
+        RunGateway,  ///< a gateway in front of other servers, as a file says
+        CheckFile    ///< read such a file and report what is wrong with it
+    };
+    Action action = Action::RunBackend;
+    std::string file;                                    // of RunGateway and CheckFile
+    telemetry::Level logLevel = telemetry::Level::Info;  // of RunGateway; a backend reads GW_LOG
+    telemetry::LogFormat logFormat = telemetry::LogFormat::Text;
+};
+
+/// The command line, or the exit code when there is nothing more to do: help and version were printed, or
+/// what is wrong was.
+struct ParsedCommandLine {
+    CommandLine commandLine;
+    std::optional<int> exitCode;
+};
+
+ParsedCommandLine parseCommandLine(int argc, char** argv) {
+    static const std::map<std::string, telemetry::LogFormat> kFormats = {
+        {"text", telemetry::LogFormat::Text}, {"json", telemetry::LogFormat::Json}};
+    static const std::map<std::string, telemetry::Level> kLevels = {{"error", telemetry::Level::Error},
+                                                                    {"warn", telemetry::Level::Warn},
+                                                                    {"info", telemetry::Level::Info},
+                                                                    {"debug", telemetry::Level::Debug}};
+    ParsedCommandLine result;
+    CommandLine& commandLine = result.commandLine;
+    CLI::App app(
+        "cottonwing: an overload controller that runs in each server of a fleet.\n\n"
+        "Without a subcommand it runs one backend. GW_NAME is its name, GW_LISTEN the address to listen on,\n"
+        "GW_CONFIG a JSON file with its configuration, GW_LOG the log level (error, warn, info or debug).\n"
+        "SIGHUP reads the file again, SIGUSR1 prints the counters, SIGTERM starts the graceful shutdown.",
+        "cottonwing");
+    app.set_version_flag("--version", "cottonwing " COTTONWING_VERSION);
+    app.add_option("--log", commandLine.logFormat, "log format: text, or json with one object per line")
+        ->transform(CLI::CheckedTransformer(kFormats))
+        ->option_text("text|json");
+    app.footer(
+        "Example:\n  GW_NAME=n3 GW_LISTEN=127.0.0.1:8080 GW_CONFIG=start.json cottonwing --log json\n\n"
+        "Exit codes: 0 graceful shutdown, 1 failure, 2 wrong command line, environment or file.");
+
+    CLI::App* const serve = app.add_subcommand("serve", "run a gateway in front of other servers");
+    serve->add_option("FILE", commandLine.file, "the gateway's configuration, in KDL")->required();
+    serve->add_option("--level", commandLine.logLevel, "log level")
+        ->transform(CLI::CheckedTransformer(kLevels))
+        ->option_text("error|warn|info|debug");
+    serve->footer(
+        "Example:\n  cottonwing serve deploy/kiosks.kdl\n\nSIGHUP reads the file again and takes over the "
+        "servers of its groups.");
+
+    CLI::App* const check =
+        app.add_subcommand("check", "read a configuration file of serve and report what is wrong with it");
+    check->add_option("FILE", commandLine.file, "the file")->required();
+
+    try {
+        app.parse(argc, argv);
+    } catch (const CLI::ParseError& error) {
+        const bool isHelp = app.exit(error) == 0;  // prints the help, the version or the error
+        result.exitCode = isHelp ? kExitOk : kExitBadInput;
+        return result;
+    }
+    if (serve->parsed()) commandLine.action = CommandLine::Action::RunGateway;
+    if (check->parsed()) commandLine.action = CommandLine::Action::CheckFile;
+    return result;
+}
+
+/// Runs the loop until it is stopped, and passes the signals on meanwhile: SIGTERM to service.leave(), SIGHUP
+/// to reload, SIGUSR1 to printCounters, which is also called at the end.
+template <typename Service, typename Reload, typename PrintCounters>
+void runUntilShutDown(net::Loop& loop, Service& service, Reload&& reload, PrintCounters&& printCounters) {
     {
-        net::Signal term(loop, SIGTERM, [&] { served.leave(); });
-        net::Signal hup(loop, SIGHUP, again);
-        net::Signal usr1(loop, SIGUSR1, print);
+        const net::Signal onTerm(loop, SIGTERM, [&] { service.leave(); });
+        const net::Signal onHup(loop, SIGHUP, reload);
+        const net::Signal onUsr1(loop, SIGUSR1, printCounters);
         loop.run();
-        // The handlers go with this scope, and what the system would do instead is to end the program.
-        sigset_t late;
-        sigemptyset(&late);
-        for (const int signal : {SIGHUP, SIGUSR1, SIGTERM}) sigaddset(&late, signal);
-        sigprocmask(SIG_BLOCK, &late, nullptr);
+        // The handlers end with this scope. Without them a signal that arrives late would end the program by
+        // the system's default action, with another exit code.
+        sigset_t lateSignals;
+        sigemptyset(&lateSignals);
+        for (const int signal : {SIGHUP, SIGUSR1, SIGTERM}) sigaddset(&lateSignals, signal);
+        sigprocmask(SIG_BLOCK, &lateSignals, nullptr);
     }
-    print();
-    return 0;
+    printCounters();
 }
 
-int asThePlatformStartsIt(telemetry::Form form) {
-    const config::ProcessConfig start = config::readProcessConfig(std::getenv);
-    telemetry::Log log(std::cout, start.level, form);
+void runBackend(telemetry::LogFormat logFormat) {
+    const config::ProcessConfig config = config::readProcessConfig(std::getenv);
+    telemetry::Log log(std::cout, config.level, logFormat);
     telemetry::Counters counters;
     net::Loop loop;
     loop.onTrouble([&](const std::string& what) { log.error("trouble", what); });
-    Server server(loop, start, log, counters);
-    return turn(
+    Server server(loop, config, log, counters);
+    runUntilShutDown(
         loop, server, [&] { server.readAgain(std::getenv); }, [&] { counters.print(std::cout); });
 }
 
-int asAFileSays(const std::string& path, telemetry::Level level, telemetry::Form form) {
-    const serve::ServeTerms terms = serve::readServe(path);
-    telemetry::Log log(std::cout, level, form);
+void runGateway(const CommandLine& commandLine) {
+    const serve::ServeTerms config = serve::readServe(commandLine.file);
+    telemetry::Log log(std::cout, commandLine.logLevel, commandLine.logFormat);
     telemetry::Counters counters;
     net::Loop loop;
     loop.onTrouble([&](const std::string& what) { log.error("trouble", what); });
-    serve::Gateway gateway(loop, terms, log, counters);
-    return turn(
-        loop, gateway, [&] { gateway.readAgain(path); }, [&] { gateway.print(std::cout); });
+    serve::Gateway gateway(loop, config, log, counters);
+    runUntilShutDown(
+        loop, gateway, [&] { gateway.readAgain(commandLine.file); }, [&] { gateway.print(std::cout); });
 }
 
-}  // namespace
+void checkFile(const std::string& file) {
+    serve::readServe(file);
+    std::cout << file << ": all is well" << std::endl;
+}
 
-int main(int argc, char** argv) {
-    std::signal(SIGHUP, SIG_IGN);  // until there is something that can read the file again
-    telemetry::Form form = telemetry::Form::Text;
-    telemetry::Level level = telemetry::Level::Info;
-    std::string file;
-    bool serves = false, checks = false;
-    {
-        // Gone before the service starts: it rests on no more memory than it needs.
-        CLI::App app(
-            "cottonwing: an overload controller inside each server of a fleet.\n\n"
-            "Without a sub-command it serves: it takes its name from GW_NAME, the address to listen on from\n"
-            "GW_LISTEN and a JSON file from GW_CONFIG, and logs at the level in GW_LOG (error, warn, info,\n"
-            "debug). SIGHUP reads the file again, SIGUSR1 prints the counters, SIGTERM is the notice to "
-            "leave.",
-            "cottonwing");
-        app.set_version_flag("--version", "cottonwing " COTTONWING_VERSION);
-        app.add_option("--log", form, "form of the log: text, or json with one object a line")
-            ->transform(CLI::CheckedTransformer(std::map<std::string, telemetry::Form>{
-                {"text", telemetry::Form::Text}, {"json", telemetry::Form::Json}}))
-            ->option_text("text|json");
-        CLI::App* const serving =
-            app.add_subcommand("serve", "stand before other servers, as a file in KDL says");
-        serving->add_option("FILE", file, "the file")->required();
-        serving->add_option("--level", level, "of the log")
-            ->transform(CLI::CheckedTransformer(
-                std::map<std::string, telemetry::Level>{{"error", telemetry::Level::Error},
-                                                        {"warn", telemetry::Level::Warn},
-                                                        {"info", telemetry::Level::Info},
-                                                        {"debug", telemetry::Level::Debug}}))
-            ->option_text("error|warn|info|debug");
-        serving->footer(
-            "Example:\n  cottonwing serve deploy/kiosks.kdl\n\nSIGHUP reads the servers of its groups "
-            "again.");
-        CLI::App* const checking =
-            app.add_subcommand("check", "read a file of serve, and say what is wrong with it");
-        checking->add_option("FILE", file, "the file")->required();
-        app.footer(
-            "Example:\n  GW_NAME=n3 GW_LISTEN=127.0.0.1:8080 GW_CONFIG=start.json cottonwing --log json\n\n"
-            "Exit codes: 0 it has left in order, 1 it failed, 2 it was told something wrong.");
-        try {
-            app.parse(argc, argv);
-            serves = serving->parsed();
-            checks = checking->parsed();
-        } catch (const CLI::ParseError& error) {
-            return app.exit(error) == 0 ? 0 : 2;
-        }
+void perform(const CommandLine& commandLine) {
+    switch (commandLine.action) {
+        case CommandLine::Action::RunBackend:
+            return runBackend(commandLine.logFormat);
+        case CommandLine::Action::RunGateway:
+            return runGateway(commandLine);
+        case CommandLine::Action::CheckFile:
+            return checkFile(commandLine.file);
     }
+}
+
+/// Reads the command line and performs what it asks for.
+/// @return the exit code; what is wrong has been printed.
+int run(int argc, char** argv) {
     try {
-        if (checks) {
-            serve::readServe(file);
-            std::cout << file << ": all is well" << std::endl;
-            return 0;
-        }
-        return serves ? asAFileSays(file, level, form) : asThePlatformStartsIt(form);
+        // The parser's memory is released before the service starts, which has little.
+        const ParsedCommandLine parsed = parseCommandLine(argc, argv);
+        if (parsed.exitCode) return *parsed.exitCode;
+        perform(parsed.commandLine);
+        return kExitOk;
     } catch (const kdl::Problem& problem) {
         std::cerr << problem.what() << std::endl;
-        return 2;
+        return kExitBadInput;
     } catch (const config::ConfigError& error) {
         std::cerr << "cottonwing: " << error.what() << " (cottonwing --help tells what it needs)"
                   << std::endl;
-        return 2;
+        return kExitBadInput;
     } catch (const std::exception& error) {
         std::cerr << "cottonwing: " << error.what() << std::endl;
-        return 1;
+        return kExitFailed;
     }
 }
+
+}  // namespace
+
+int main(int argc, char** argv) {
+    // Ignored until there is a service that can read its file again: a reload must not end the program.
+    std::signal(SIGHUP, SIG_IGN);
+    return run(argc, argv);
+}
--- /dev/null
+++ b/src/net/channel.cpp
@@ -0,0 +1,272 @@
+#include "net/channel.h"
+
+#include <sys/socket.h>
+
+#include <stdexcept>
+#include <string>
+#include <utility>
+
+#include "net/listener_handle.h"
+#include "net/uv_support.h"
+
+namespace cottonwing::net {
+
+namespace {
+
+// A peer ends its side as soon as it reads that we ended ours; one that does not is not waited for any
+// longer.
+constexpr Duration kFinishTimeout = std::chrono::seconds(1);
+
+}  // namespace
+
+Channel::Channel(Loop& loop, Connection* connection, const BufferLimits& limits)
+    : loop_(loop),
+      connection_(connection),
+      input_(limits.inputBytes, limits.budget),
+      output_(limits.outputBytes, limits.budget) {
+    uv_tcp_init(loop_.raw(), &tcp_);
+    tcp_.data = this;
+    connectRequest_.data = this;
+    writeRequest_.data = this;
+    shutdownRequest_.data = this;
+}
+
+void Channel::connect(const Address& address) {
+    const sockaddr_in peer = socketAddress(address);
+    uv_tcp_nodelay(&tcp_, 1);
+    const int error = uv_tcp_connect(&connectRequest_, &tcp_, reinterpret_cast<const sockaddr*>(&peer),
+                                     [](uv_connect_t* request, int status) {
+                                         auto* self = static_cast<Channel*>(request->data);
+                                         self->loop_.guarded([self, status] { self->onConnected(status); });
+                                     });
+    if (error == 0) return;
+    // For example without a descriptor left. Reported at the end of the turn: the caller is still in its
+    // constructor.
+    pendingEnd_ = ConnectionEnd::ConnectRefused;
+    requestFlush();
+}
+
+void Channel::accept(ListenerHandle& listener) {
+    const int error = uv_accept(asStream(listener.tcp), asStream(tcp_));
+    if (error != 0) {
+        close();
+        throw std::runtime_error(std::string("accept: ") + uv_strerror(error));
+    }
+    uv_tcp_nodelay(&tcp_, 1);
+    state_ = State::Open;
+    connected_ = true;
+    resumeReading();
+}
+
+void Channel::onConnected(int status) {
+    if (state_ != State::Connecting) return;
+    if (status != 0) return fail(ConnectionEnd::ConnectRefused);
+    state_ = State::Open;
+    connected_ = true;
+    resumeReading();
+    if (!output_.empty()) requestFlush();
+}
+
+// A peer that does not read its answers is not read from either: see outputHalfFull().
+void Channel::resumeReading() {
+    if (reading_ || !connected_ || state_ == State::Closed) return;
+    const bool finishing = state_ == State::Finishing;
+    if (finishing && peerEnded_) return;
+    if (!finishing && (inputStopped_ || readDeferred_ || outputHalfFull())) return;
+    reading_ = true;
+    uv_read_start(
+        asStream(tcp_),
+        [](uv_handle_t* handle, std::size_t /*suggestedBytes*/, uv_buf_t* buffer) {
+            const auto space = static_cast<Channel*>(handle->data)->input_.space();
+            *buffer = uv_buf_init(space.data(), static_cast<unsigned>(space.size()));
+        },
+        [](uv_stream_t* stream, ssize_t count, const uv_buf_t* /*buffer*/) {
+            auto* self = static_cast<Channel*>(stream->data);
+            self->loop_.guarded([self, count] { self->onRead(count); });
+        });
+}
+
+void Channel::pauseReading() {
+    if (!reading_) return;
+    reading_ = false;
+    uv_read_stop(asStream(tcp_));
+}
+
+void Channel::onRead(ssize_t count) {
+    if (count == 0) return;  // libuv: nothing to read now
+    if (state_ == State::Finishing) return dropInput(count);
+    if (count == UV_EOF) return fail(ConnectionEnd::PeerClosed);
+    if (count == UV_ENOBUFS) return fail(ConnectionEnd::TooLong);  // the input buffer has no space
+    if (count < 0) return fail(ConnectionEnd::Reset);
+    input_.commit(static_cast<std::size_t>(count));
+    if (connection_ != nullptr) connection_->handler_.arrived(*connection_);
+}
+
+// While finishing: a request that is read now could not be answered any more.
+void Channel::dropInput(ssize_t count) {
+    if (count > 0) {
+        input_.commit(static_cast<std::size_t>(count));
+        return input_.drop(input_.size());
+    }
+    if (count != UV_EOF) return close();
+    pauseReading();
+    peerEnded_ = true;
+    if (endSent_) close();
+}
+
+// A peer that never stops sending does not hold up the others: its turn ends here, and it is read on after
+// theirs.
+void Channel::deferRead() {
+    if (readDeferred_ || state_ == State::Closed) return;
+    pauseReading();
+    readDeferred_ = true;
+    inReadQueue_ = true;
+    loop_.readInNextTurn(this);
+}
+
+void Channel::resumeDeferredRead() {
+    inReadQueue_ = false;
+    if (outputHalfFull()) return;  // flush() puts it into the queue again when the output is written
+    readDeferred_ = false;
+    resumeReading();
+    if (connection_ != nullptr) connection_->handler_.arrived(*connection_);
+}
+
+void Channel::stopInput() {
+    inputStopped_ = true;
+    pauseReading();
+}
+
+bool Channel::hasUnreadBytes() const {
+    uv_os_fd_t descriptor = -1;
+    if (uv_fileno(reinterpret_cast<const uv_handle_t*>(&tcp_), &descriptor) != 0) return false;
+    char byte = 0;
+    return recv(descriptor, &byte, 1, MSG_PEEK | MSG_DONTWAIT) > 0;
+}
+
+void Channel::send(std::string_view bytes) {
+    const bool fits = output_.write(bytes);
+    if (!fits && !pendingEnd_) pendingEnd_ = ConnectionEnd::TooLong;
+    if (outputHalfFull()) pauseReading();
+    requestFlush();
+}
+
+void Channel::requestFlush() {
+    if (inFlushQueue_) return;
+    inFlushQueue_ = true;
+    loop_.flushAtEndOfTurn(this);
+}
+
+// Offers the first piece of the output, which may lie in two, to the system. Returns how many bytes it took,
+// or an error of libuv.
+int Channel::tryWrite() {
+    const uv_buf_t buffer = bufferOf(output_.front());
+    const int taken = uv_try_write(asStream(tcp_), &buffer, 1);
+    if (taken > 0) output_.drop(static_cast<std::size_t>(taken));
+    return taken;
+}
+
+void Channel::writeWhatFits() {
+    if (!connected_ || state_ == State::Closed || writePending_ || pendingEnd_) return;
+    while (!output_.empty())
+        if (tryWrite() <= 0) return;
+}
+
+void Channel::flush() {
+    inFlushQueue_ = false;
+    if (pendingEnd_) return fail(*pendingEnd_);
+    if (!connected_ || state_ == State::Closed || writePending_) return;
+    while (!output_.empty()) {
+        const int taken = tryWrite();
+        if (taken > 0) continue;
+        if (taken != UV_EAGAIN) return fail(ConnectionEnd::Reset);
+        return startWrite();
+    }
+    outputWritten();
+}
+
+// The system takes nothing more now: libuv writes the first piece when it does.
+void Channel::startWrite() {
+    const std::string_view piece = output_.front();
+    const uv_buf_t buffer = bufferOf(piece);
+    pendingStorage_ = output_.pin();
+    pendingBytes_ = piece.size();
+    writePending_ = true;
+    uv_write(&writeRequest_, asStream(tcp_), &buffer, 1, [](uv_write_t* request, int status) {
+        auto* self = static_cast<Channel*>(request->data);
+        self->loop_.guarded([self, status] { self->onWritten(status); });
+    });
+}
+
+void Channel::onWritten(int status) {
+    writePending_ = false;
+    pendingStorage_.reset();
+    if (state_ == State::Closed) return;
+    if (status != 0) return fail(ConnectionEnd::Reset);
+    output_.drop(pendingBytes_);
+    flush();
+    resumeReading();
+}
+
+void Channel::outputWritten() {
+    if (state_ == State::Finishing) return sendEnd();
+    if (readDeferred_ && !inReadQueue_) {
+        inReadQueue_ = true;
+        loop_.readInNextTurn(this);
+    }
+    resumeReading();
+}
+
+void Channel::finish(std::function<void()> onClosed) {
+    onClosed_ = std::move(onClosed);
+    connection_ = nullptr;
+    state_ = State::Finishing;
+    readDeferred_ = false;
+    finishTimer_ = std::make_unique<Timer>(loop_, [this] { close(); });
+    // One that never opened has nothing to write; it is closed by the timer too, never from within this call.
+    finishTimer_->start(connected_ ? kFinishTimeout : Duration(0));
+    loop_.ownWhileFinishing(this);
+    input_.drop(input_.size());
+    resumeReading();
+    requestFlush();
+}
+
+void Channel::sendEnd() {
+    if (std::exchange(endRequested_, true)) return;
+    const int error = uv_shutdown(&shutdownRequest_, asStream(tcp_), [](uv_shutdown_t* request, int status) {
+        static_cast<Channel*>(request->data)->onEndSent(status);
+    });
+    if (error != 0) finishTimer_->start(Duration(0));
+}
+
+void Channel::onEndSent(int status) {
+    endSent_ = true;
+    const bool waitsForPeer = status == 0 && !peerEnded_;
+    if (state_ == State::Closed || waitsForPeer) return;
+    loop_.guarded([this] { close(); });
+}
+
+void Channel::close() {
+    if (state_ == State::Closed) return;
+    const bool loopRefersToIt = inFlushQueue_ || inReadQueue_ || state_ == State::Finishing;
+    state_ = State::Closed;
+    connection_ = nullptr;
+    finishTimer_.reset();
+    if (loopRefersToIt) loop_.forget(this);
+    uv_close(asHandle(tcp_), [](uv_handle_t* closed) {
+        auto* self = static_cast<Channel*>(closed->data);
+        const auto onClosed = std::move(self->onClosed_);
+        Loop& loop = self->loop_;
+        delete self;
+        if (onClosed) loop.guarded(onClosed);
+    });
+}
+
+void Channel::fail(ConnectionEnd end) {
+    if (state_ == State::Finishing) return close();
+    if (connection_ == nullptr) return;
+    Connection& connection = *connection_;
+    connection.handler_.ended(connection, end);
+}
+
+}  // namespace cottonwing::net
--- a/src/net/connection.h
+++ b/src/net/connection.h
@@ -1,96 +1,108 @@
-// A connection with one ring a direction, and the listener that accepts them.
+/// @file
+/// A TCP connection with one buffer for each direction.
 #pragma once
 
 #include <functional>
 #include <memory>
-#include <string>
 #include <string_view>
 
 #include "net/address.h"
+#include "net/byte_ring.h"
 #include "net/connection_end.h"
+#include "net/listener.h"
 #include "net/loop.h"
-#include "net/ring.h"
+#include "net/memory_budget.h"
+#include "net/timer.h"
 
 namespace cottonwing::net {
 
-struct Bounds {
-    std::size_t in, out;
-    std::shared_ptr<Total> total = nullptr;
-};
-
+class Channel;
 class Connection;
-struct Channel;
-struct ListenerHandle;
-
-/// A connection that waits at a listener. Valid only during the listener's callback, where it is passed to
-/// the constructor of exactly one Connection; one that is not taken stays in the system's queue.
-class AcceptedSocket {
-private:
-    friend class Connection;
-    friend struct ListenerHandle;
-    explicit AcceptedSocket(ListenerHandle& listener) : listener_(&listener) {}
 
-    ListenerHandle* listener_;
+/// What the buffers of a connection may hold.
+struct BufferLimits {
+    std::size_t inputBytes;
+    std::size_t outputBytes;
+    std::shared_ptr<MemoryBudget> budget = nullptr;  ///< shared with other connections; none: no common limit
 };
 
-// Who owns a connection hears of it here; each may destroy it.
-class Owner {
+/// Hears of the events of a connection. Each function is called from the loop and may destroy the connection.
+/// One handler may serve several connections.
+class ConnectionHandler {
 public:
-    virtual ~Owner() = default;
-    virtual void arrived(Connection& connection) = 0;                   // bytes were added to its input
-    virtual void ended(Connection& connection, ConnectionEnd end) = 0;  // once, and never by its own end()
+    virtual ~ConnectionHandler() = default;
+
+    /// Bytes were added to the connection's input, or readOnLater() asked for this call. What the handler
+    /// does not drop from the input stays there.
+    virtual void arrived(Connection& connection) = 0;
+
+    /// The connection has ended by itself; the handler destroys it. Called once, and never because the owner
+    /// destroyed or finished the connection.
+    virtual void ended(Connection& connection, ConnectionEnd end) = 0;
 };
 
+/// A connection that its owner ends by destroying it or by finish().
 class Connection {
 public:
-    // Begins to connect; a failure is told by ended(), never from in here.
-    Connection(Loop& loop, const Address& to, Owner& owner, const Bounds& bounds);
-    // Accepts what waits at a listener.
-    Connection(Loop& loop, AcceptedSocket socket, Owner& owner, const Bounds& bounds);
-    ~Connection();  // closes; the owner hears nothing
+    /// Begins to connect. A failure is reported by ended(), never from within the constructor. Bytes may be
+    /// sent at once; they are written when the connection has opened.
+    /// @param handler has to outlive the connection.
+    Connection(Loop& loop, const Address& to, ConnectionHandler& handler, const BufferLimits& limits);
+
+    /// Accepts a connection that waits at a listener.
+    /// @throws std::runtime_error when the system refuses.
+    Connection(Loop& loop, AcceptedSocket socket, ConnectionHandler& handler, const BufferLimits& limits);
+
+    /// Closes at once; the handler hears nothing. Output that is not written yet is lost. Over bytes that
+    /// were not read the system resets the connection, which takes what the peer has yet to read with it.
+    ~Connection();
     Connection(const Connection&) = delete;
     Connection& operator=(const Connection&) = delete;
 
-    Ring& input();
-    const Ring& input() const;
-    // Written at the end of the turn. Without room for all of it the connection ends there instead.
+    /// Bytes that have been read and not dropped yet. The connection reads on while there is space.
+    ByteRing& input();
+    const ByteRing& input() const;
+    /// Bytes that wait to be written.
+    const ByteRing& output() const;
+
+    /// Appends to the output, which is written at the end of the turn. When it does not fit into the output
+    /// buffer, the connection ends there instead, with ConnectionEnd::TooLong.
     void send(std::string_view bytes);
-    // Enough for this turn: arrived() is called again in the next one, also if nothing more comes.
+
+    /// Ends this connection's share of the turn: arrived() is called again in the next turn, also if nothing
+    /// more arrives, after other connections have had theirs.
     void readOnLater();
-    // Nothing more is taken in; what is out of a command's answer still goes.
+
+    /// Nothing more is read, for good. Output is still written.
     void stopReading();
-    // Whether bytes wait in the system that no turn has read yet. A close over them resets the connection,
-    // and takes with it what the other side has yet to read.
+
+    /// Whether bytes wait in the system that no turn has read yet.
     bool hasUnread() const;
-    // Ends the connection in order, the last that is done with it: the rest of the output goes, then the end
-    // of our side, and what comes in meanwhile is dropped until the other side has ended too, a second at
-    // most. done is called when its descriptor is free again, from the loop.
-    void finish(std::function<void()> done);
-    // Before the connection is destroyed: what the system takes of its output at once still goes.
+
+    /// Writes what the system takes at once, for use just before the connection is destroyed.
     void writeLast();
+
+    /// Ends the connection in order. It is the last call: the object is only to be destroyed after it. The
+    /// rest of the output is written, then our side is closed; input is dropped until the peer closes its
+    /// side too, for 1 second at most.
+    /// @param done runs from the loop when the descriptor is free again.
+    void finish(std::function<void()> done);
+
+    /// Whether more of the output buffer is used than free. Until that changes nothing is read.
     bool halfFull() const;
+
+    /// Whether it has opened.
     bool isOpen() const;
-    const Ring& output() const;
 
 private:
-    friend struct Channel;
-    Channel* channel_;
-    Owner& owner_;
+    friend class Channel;
+    Channel* channel_;  // deletes itself once it is closed; none after finish()
+    ConnectionHandler& handler_;
 };
 
-class Listener {
-public:
-    // Throws when the address can't be had. full() says whether to wait before accepting more.
-    Listener(Loop& loop, const Address& at, std::function<void(AcceptedSocket)> accepts,
-             std::function<bool()> full);
-    ~Listener();
-    Listener(const Listener&) = delete;
-    Listener& operator=(const Listener&) = delete;
-    void resume();  // there may be room again
-    int port() const;
-
-private:
-    ListenerHandle* handle_;
-};
+// The earlier names.
+using Owner = ConnectionHandler;
+using Bounds = BufferLimits;
+using Total = MemoryBudget;
 
 }  // namespace cottonwing::net
--- a/src/net/connection_end.cpp
+++ b/src/net/connection_end.cpp
@@ -3,10 +3,27 @@
 namespace cottonwing::net {
 
 const char* nameOf(ConnectionEnd end) {
-    static constexpr const char* kNames[kConnectionEnds] = {
-        "peer-closed", "reset",    "connect-refused", "connect-timed-out", "timed-out", "abandoned",
-        "malformed",   "too-long", "unused"};
-    return kNames[static_cast<int>(end)];
+    switch (end) {
+        case ConnectionEnd::PeerClosed:
+            return "peer-closed";
+        case ConnectionEnd::Reset:
+            return "reset";
+        case ConnectionEnd::ConnectRefused:
+            return "connect-refused";
+        case ConnectionEnd::ConnectTimedOut:
+            return "connect-timed-out";
+        case ConnectionEnd::TimedOut:
+            return "timed-out";
+        case ConnectionEnd::Abandoned:
+            return "abandoned";
+        case ConnectionEnd::Malformed:
+            return "malformed";
+        case ConnectionEnd::TooLong:
+            return "too-long";
+        case ConnectionEnd::Unused:
+            break;
+    }
+    return "unused";
 }
 
 Outcome outcomeOf(ConnectionEnd end) {
@@ -26,7 +43,7 @@
         case ConnectionEnd::Unused:
             break;
     }
-    return Outcome::ConnectionLost;  // it may have had its effect
+    return Outcome::ConnectionLost;  // the call may have had its effect
 }
 
 }  // namespace cottonwing::net
--- /dev/null
+++ b/src/net/listener.cpp
@@ -0,0 +1,56 @@
+#include "net/listener.h"
+
+#include <stdexcept>
+#include <utility>
+
+#include "net/listener_handle.h"
+#include "net/uv_support.h"
+
+namespace cottonwing::net {
+
+namespace {
+
+constexpr int kBacklogConnections = 511;  // that the system holds for us
+
+}  // namespace
+
+void ListenerHandle::acceptUnlessFull() {
+    connectionWaits = isFull();
+    // A connection that is not accepted stays in the system's queue, and libuv does not ask the system for
+    // more until it is.
+    if (!connectionWaits) onConnection(AcceptedSocket(*this));
+}
+
+Listener::Listener(Loop& loop, const Address& address, std::function<void(AcceptedSocket)> onConnection,
+                   std::function<bool()> isFull)
+    : handle_(new ListenerHandle{{}, std::move(onConnection), std::move(isFull)}) {
+    uv_tcp_init(loop.raw(), &handle_->tcp);
+    handle_->tcp.data = handle_;
+    const sockaddr_in bindTo = socketAddress(address);
+    int error = uv_tcp_bind(&handle_->tcp, reinterpret_cast<const sockaddr*>(&bindTo), 0);
+    if (error == 0) {
+        error = uv_listen(asStream(handle_->tcp), kBacklogConnections, [](uv_stream_t* stream, int status) {
+            if (status != 0) return;  // out of descriptors: libuv has dropped the connection that waited
+            auto* handle = static_cast<ListenerHandle*>(stream->data);
+            Loop::of(stream->loop).guarded([handle] { handle->acceptUnlessFull(); });
+        });
+    }
+    if (error == 0) return;
+    closeThenDelete<ListenerHandle>(asHandle(handle_->tcp));
+    throw std::runtime_error(std::string("can't listen: ") + uv_strerror(error));
+}
+
+Listener::~Listener() { closeThenDelete<ListenerHandle>(asHandle(handle_->tcp)); }
+
+void Listener::resume() {
+    if (std::exchange(handle_->connectionWaits, false)) handle_->acceptUnlessFull();
+}
+
+int Listener::port() const {
+    sockaddr_in address{};
+    int length = sizeof address;
+    uv_tcp_getsockname(&handle_->tcp, reinterpret_cast<sockaddr*>(&address), &length);
+    return ntohs(address.sin_port);
+}
+
+}  // namespace cottonwing::net
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -1,54 +1,60 @@
-// The loop and its timers. A turn: what came in is read, the turn's function runs once, then every
-// connection with output is written once.
+/// @file
+/// The event loop. One turn: timers fire and sockets are read; then the turn's callback runs once; then each
+/// connection with output is written once; then the loop waits for the next event. There is one thread: every
+/// callback runs on the loop, and none may block.
 #pragma once
 
-#include <chrono>
 #include <exception>
 #include <functional>
 #include <memory>
 #include <string>
+#include <utility>
 #include <vector>
 
-#include "overload/types.h"
+#include "net/clock.h"
+#include "net/timer.h"  // for those that name timers and include only this
 
 struct uv_loop_s;  // of libuv
 
 namespace cottonwing::net {
 
-struct Channel;
-
-// The Unix clock, which all due times refer to.
-Duration unixNow();
+class Channel;
 
+/// An event loop. Everything that refers to it (timers, listeners, connections) has to be destroyed first;
+/// connections that are still finishing are closed by the destructor.
 class Loop {
 public:
+    /// @throws std::runtime_error when the system has no descriptors left for it.
     Loop();
     ~Loop();
     Loop(const Loop&) = delete;
     Loop& operator=(const Loop&) = delete;
 
+    /// Sets the callback that runs once a turn, after the events of the turn have been read.
     void onTurn(std::function<void()> turn) { turn_ = std::move(turn); }
-    // Told of what a handler threw: nothing may pass through the C library.
+
+    /// Sets the callback that hears what() of each exception that a callback threw. No exception may pass
+    /// through libuv, which is a C library; the loop goes on.
     void onTrouble(std::function<void(const std::string&)> trouble) { trouble_ = std::move(trouble); }
+
     /// Turns until stop() is called or nothing is left to wait for.
     void run();
-    /// One turn, which waits for something to happen.
+
+    /// One turn, which waits for something to happen. Without a timer, listener or connection to wait for it
+    /// does nothing.
     void turnOnce();
-    /// One turn that waits for nothing.
+
+    /// The same without waiting.
     void turnWithoutWaiting();
-    void stop();
-    /// The handle of libuv, for the few that bring handles of their own to the loop.
-    uv_loop_s* raw();
-    static Loop& of(const uv_loop_s* raw);
 
-    // Once, when the sockets have next been looked at: whatever lay there before this call has been handled.
-    void afterPoll(std::function<void()> then);
+    /// Ends run() after the present turn. May be called from any callback.
+    void stop();
 
-    void wantsFlush(Channel* channel) { toFlush_.push_back(channel); }
-    void readsLater(Channel* channel);
-    void finishes(Channel* channel) { finishing_.push_back(channel); }
-    void forgets(Channel* channel);
+    /// Calls next once, after the sockets have next been looked at: whatever had arrived in the system before
+    /// this call has been handled by then. May be called from any callback, from next too.
+    void afterPoll(std::function<void()> next);
 
+    /// Runs work and passes on what it throws to the callback of onTrouble().
     template <typename Work>
     void guarded(Work&& work) noexcept {
         try {
@@ -58,50 +64,32 @@
         }
     }
 
-private:
-    void turn();
-    void readOn();
-
-    struct Handles;  // of libuv
-    std::unique_ptr<Handles> handles_;
-    std::function<void()> turn_;
-    std::vector<std::function<void()>> afterPoll_;  // emptied by the next poll
-    std::function<void(const std::string&)> trouble_;
-    std::vector<Channel*> toFlush_;    // with output; emptied at the end of each turn
-    std::vector<Channel*> finishing_;  // that nobody owns any more; emptied by the other side or a second
-    std::vector<Channel*> toRead_;     // with more to read than a turn takes; emptied by the next one
-};
+    /// The loop of libuv, for the few classes outside net that bring handles of their own to it.
+    uv_loop_s* raw();
 
-// Rings once, at or after the time asked for: whole milliseconds, counted from fresh time and rounded up.
-// Where that is late, the process stood still: the sockets are looked at first, as what lies there came in
-// time.
-class Timer {
-public:
-    Timer(Loop& loop, std::function<void()> rings);
-    ~Timer();
-    Timer(const Timer&) = delete;
-    Timer& operator=(const Timer&) = delete;
-    void start(Duration wait);
-    void stop();
+    /// The loop that owns the given loop of libuv.
+    static Loop& of(const uv_loop_s* raw);
 
 private:
-    struct Handle;
-    static void arm(Handle& handle, std::uint64_t millis);
-    static constexpr std::uint64_t kLate = 10;  // milliseconds
-    Handle* handle_;
-};
+    friend class Channel;
+    struct Handles;  // of libuv
 
-// A signal of the system.
-class Signal {
-public:
-    Signal(Loop& loop, int number, std::function<void()> comes);
-    ~Signal();
-    Signal(const Signal&) = delete;
-    Signal& operator=(const Signal&) = delete;
+    void endTurn();
+    void resumeDeferredReads();
 
-private:
-    struct Handle;
-    Handle* handle_;
+    // For channels only.
+    void flushAtEndOfTurn(Channel* channel) { toFlush_.push_back(channel); }
+    void readInNextTurn(Channel* channel);
+    void ownWhileFinishing(Channel* channel) { finishing_.push_back(channel); }
+    void forget(Channel* channel);
+
+    std::unique_ptr<Handles> handles_;
+    std::function<void()> turn_;
+    std::function<void(const std::string&)> trouble_;
+    std::vector<std::function<void()>> afterPoll_;  // emptied by the next poll
+    std::vector<Channel*> toFlush_;                 // with output; emptied at the end of each turn
+    std::vector<Channel*> toRead_;     // with more input than one turn may read; emptied by the next turn
+    std::vector<Channel*> finishing_;  // without an owner; emptied when the peer ends or the timeout passes
 };
 
 }  // namespace cottonwing::net
--- /dev/null
+++ b/src/net/timer.cpp
@@ -0,0 +1,62 @@
+#include "net/timer.h"
+
+#include <algorithm>
+#include <chrono>
+#include <utility>
+
+#include "net/loop.h"
+#include "net/uv_support.h"
+
+namespace cottonwing::net {
+
+namespace {
+
+constexpr std::uint64_t kLateMillis = 10;  // beyond this the process has stood still
+constexpr std::uint64_t kRetryMillis = 1;  // how soon to look again when it must not fire yet
+
+}  // namespace
+
+struct Timer::Handle {
+    uv_timer_t timer;
+    std::function<void()> onFire;
+    std::uint64_t dueMillis = 0;  // on the loop's clock; 0 once the sockets were read after a stand-still
+    std::chrono::steady_clock::time_point notBefore{};
+};
+
+Timer::Timer(Loop& loop, std::function<void()> onFire) : handle_(new Handle{{}, std::move(onFire), 0, {}}) {
+    uv_timer_init(loop.raw(), &handle_->timer);
+    handle_->timer.data = handle_;
+}
+
+Timer::~Timer() { closeThenDelete<Handle>(asHandle(handle_->timer)); }
+
+void Timer::start(Duration wait) {
+    const Duration remaining = std::max(wait, Duration(0));
+    const auto roundedUp = std::chrono::ceil<std::chrono::milliseconds>(remaining);
+    const auto millis = static_cast<std::uint64_t>(roundedUp.count());
+    uv_update_time(handle_->timer.loop);
+    handle_->notBefore = std::chrono::steady_clock::now() + remaining;
+    handle_->dueMillis = uv_now(handle_->timer.loop) + millis;
+    arm(*handle_, millis);
+}
+
+void Timer::arm(Handle& handle, std::uint64_t millis) {
+    uv_timer_start(
+        &handle.timer, [](uv_timer_t* timer) { fire(*static_cast<Handle*>(timer->data)); }, millis, 0);
+}
+
+void Timer::fire(Handle& handle) {
+    // The loop's clock is cut to whole milliseconds: counted from its present value, some waits are too
+    // short.
+    if (std::chrono::steady_clock::now() < handle.notBefore) return arm(handle, kRetryMillis);
+    const std::uint64_t dueMillis = std::exchange(handle.dueMillis, 0);
+    if (dueMillis > 0 && uv_now(handle.timer.loop) > dueMillis + kLateMillis)
+        return arm(handle, kRetryMillis);
+    // A copy, because the callback may destroy the timer.
+    const auto onFire = handle.onFire;
+    Loop::of(handle.timer.loop).guarded(onFire);
+}
+
+void Timer::stop() { uv_timer_stop(&handle_->timer); }
+
+}  // namespace cottonwing::net
--- a/src/telemetry/counters.cpp
+++ b/src/telemetry/counters.cpp
@@ -1,21 +1,36 @@
 #include "telemetry/counters.h"
 
+#include <array>
+
 namespace cottonwing::telemetry {
 
+namespace {
+
+struct Description {
+    const char* name;
+    const char* meaning;
+};
+
+constexpr std::array kDescriptions = {
+#define COTTONWING_DESCRIPTION(id, name, meaning) Description{name, meaning},
+    COTTONWING_COUNTERS(COTTONWING_DESCRIPTION)
+#undef COTTONWING_DESCRIPTION
+};
+static_assert(kDescriptions.size() == kCounters);
+
+const Description& descriptionOf(Count count) { return kDescriptions.at(static_cast<std::size_t>(count)); }
+
+}  // namespace
+
+const char* nameOf(Count count) { return descriptionOf(count).name; }
+
+const char* meaningOf(Count count) { return descriptionOf(count).meaning; }
+
 void Counters::print(std::ostream& out) const {
-    static constexpr const char* kNames[] = {
-        "rounds",         "sidecars-opened", "commands-read",   "sidecars-evicted",  "commands-refused",
-        "bad-frames",     "forgotten",       "health-checks",   "handled",           "bounced",
-        "scrapped",       "no-memory",       "key-repeats",     "key-conflicts",     "callers-left",
-        "runs-started",   "runs-halted",     "runs-ended",      "calls-begun",       "calls-ok",
-        "calls-error",    "calls-full",      "calls-timed-out", "calls-unreachable", "calls-broken",
-        "calls-spoilt",   "calls-moot",      "calls-given-up",  "calls-no-room",     "pool-links",
-        "pool-unknown",   "pool-unreadable", "reports-sent",    "reports-failed",    "reloads",
-        "reloads-refused"};
-    static_assert(std::size(kNames) == static_cast<std::size_t>(Count::kLast));
     out << "counters:";
-    for (std::size_t i = 0; i < counts_.size(); ++i) out << ' ' << kNames[i] << '=' << counts_[i];
-    for (int i = 0; i < net::kConnectionEnds; ++i)
+    for (std::size_t i = 0; i < counts_.size(); ++i)
+        out << ' ' << nameOf(static_cast<Count>(i)) << '=' << counts_[i];
+    for (std::size_t i = 0; i < ends_.size(); ++i)
         out << " end-" << net::nameOf(static_cast<net::ConnectionEnd>(i)) << '=' << ends_[i];
     out << std::endl;
 }
--- a/src/telemetry/log.cpp
+++ b/src/telemetry/log.cpp
@@ -4,55 +4,86 @@
 #include <spdlog/sinks/ostream_sink.h>
 
 #include <nlohmann/json.hpp>
+#include <string>
 
 namespace cottonwing::telemetry {
 
 namespace {
 
-constexpr const char* kNames[] = {"error", "warn", "info", "debug"};
-constexpr spdlog::level::level_enum kLevels[] = {spdlog::level::err, spdlog::level::warn, spdlog::level::info,
-                                                 spdlog::level::debug};
+constexpr std::chrono::seconds kSuppressionInterval{1};
+constexpr int kLinesPerInterval = 10;
 
-// Bytes that are no UTF-8 (a peer's words may stand in a line) are replaced, so that each line is JSON.
+const char* nameOf(Level level) {
+    switch (level) {
+        case Level::Error:
+            return "error";
+        case Level::Warn:
+            return "warn";
+        case Level::Info:
+            return "info";
+        case Level::Debug:
+            break;
+    }
+    return "debug";
+}
+
+spdlog::level::level_enum spdlogLevelOf(Level level) {
+    switch (level) {
+        case Level::Error:
+            return spdlog::level::err;
+        case Level::Warn:
+            return spdlog::level::warn;
+        case Level::Info:
+            return spdlog::level::info;
+        case Level::Debug:
+            break;
+    }
+    return spdlog::level::debug;
+}
+
+// A JSON string. Bytes that are not UTF-8 (a peer's words may stand in a line) are replaced, so that each
+// line is valid JSON.
 std::string quoted(std::string_view text) {
     return nlohmann::json(text).dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
 }  // namespace
 
-Log::Log(std::ostream& out, Level level, Form form) : level_(level), form_(form) {
-    logger_ = std::make_unique<spdlog::logger>(
-        "cottonwing", std::make_shared<spdlog::sinks::ostream_sink_st>(out, /*force_flush=*/true));
-    logger_->set_level(spdlog::level::trace);
-    logger_->set_pattern(form == Form::Text ? "%E.%e %v" : R"({"time":%E.%e,%v})",
+Log::Log(std::ostream& out, Level level, LogFormat format) : level_(level), format_(format) {
+    auto sink = std::make_shared<spdlog::sinks::ostream_sink_st>(out, /*force_flush=*/true);
+    logger_ = std::make_unique<spdlog::logger>("cottonwing", std::move(sink));
+    logger_->set_level(spdlog::level::trace);  // isEnabled() has filtered before
+    logger_->set_pattern(format == LogFormat::Text ? "%E.%e %v" : R"({"time":%E.%e,%v})",
                          spdlog::pattern_time_type::utc);
 }
 
 Log::~Log() = default;
 
-void Log::write(Level level, std::string_view kind, std::string_view text) {
-    const int at = static_cast<int>(level);
-    if (form_ == Form::Text)
-        logger_->log(kLevels[at], "{} {}: {}", kNames[at], kind, text);
-    else
-        logger_->log(kLevels[at], R"("level":"{}","kind":{},"text":{})", kNames[at], quoted(kind),
-                     quoted(text));
+void Log::line(Level level, const char* kind, std::string_view text) {
+    if (isEnabled(level) && !isSuppressed(kind)) write(level, kind, text);
 }
 
-void Log::line(Level level, const char* kind, std::string_view text) {
-    if (!takes(level)) return;
+bool Log::isSuppressed(const char* kind) {
     const auto now = std::chrono::steady_clock::now();
-    Storm& storm = storms_[kind];
-    if (now - storm.since >= std::chrono::seconds(1)) {
-        if (storm.dropped > 0)
-            write(Level::Info, kind, std::to_string(storm.dropped) + " more lines left out");
-        storm = {now, 0, 0};
+    Interval& interval = intervals_[kind];
+    if (now - interval.begin >= kSuppressionInterval) {
+        if (interval.suppressed > 0)
+            write(Level::Info, kind, std::to_string(interval.suppressed) + " more lines left out");
+        interval = {now, 0, 0};
     }
-    if (++storm.lines > kLinesASecond) {
-        ++storm.dropped;
-        return;
-    }
-    write(level, kind, text);
+    ++interval.lines;
+    if (interval.lines <= kLinesPerInterval) return false;
+    ++interval.suppressed;
+    return true;
+}
+
+void Log::write(Level level, std::string_view kind, std::string_view text) {
+    const spdlog::level::level_enum spdlogLevel = spdlogLevelOf(level);
+    const char* const name = nameOf(level);
+    if (format_ == LogFormat::Text)
+        logger_->log(spdlogLevel, "{} {}: {}", name, kind, text);
+    else
+        logger_->log(spdlogLevel, R"("level":"{}","kind":{},"text":{})", name, quoted(kind), quoted(text));
 }
 
 }  // namespace cottonwing::telemetry
--- /dev/null
+++ b/tests/net/connection_test.cpp
@@ -0,0 +1,181 @@
+/// @file
+/// Connections and listeners on loopback. How connections end in order is in crossings_test.cpp too.
+#include "net/connection.h"
+
+#include <gtest/gtest.h>
+
+#include <memory>
+#include <optional>
+#include <stdexcept>
+#include <string>
+
+#include "../helpers.h"
+
+namespace cottonwing::net {
+namespace {
+
+constexpr std::size_t kPlentyBytes = 1 << 20;
+
+// Keeps what a connection reports.
+struct Recorder : ConnectionHandler {
+    void arrived(Connection& connection) override {
+        ++arrivals;
+        std::string scratch;
+        text += connection.input().peek(connection.input().size(), scratch);
+        connection.input().drop(connection.input().size());
+    }
+    void ended(Connection& connection, ConnectionEnd how) override {
+        end = how;
+        if (owned.get() == &connection) owned.reset();
+    }
+
+    std::unique_ptr<Connection> owned;
+    int arrivals = 0;
+    std::string text;
+    std::optional<ConnectionEnd> end;
+};
+
+// A listener on a port that the system chose, which accepts one connection.
+struct Server : Recorder {
+    explicit Server(Loop& loop)
+        : listener(
+              loop, {"127.0.0.1", 0},
+              [this, &loop](AcceptedSocket socket) {
+                  owned = std::make_unique<Connection>(loop, socket, *this,
+                                                       BufferLimits{kPlentyBytes, kPlentyBytes});
+              },
+              [this] { return full; }) {}
+    Address address() const { return {"127.0.0.1", listener.port()}; }
+
+    bool full = false;
+    Listener listener;
+};
+
+// A client of the server, which connects at once.
+struct Client : Recorder {
+    Client(Loop& loop, const Server& server, std::size_t outputBytes = kPlentyBytes) {
+        owned = std::make_unique<Connection>(loop, server.address(), *this,
+                                             BufferLimits{kPlentyBytes, outputBytes});
+    }
+};
+
+TEST(Connection, WritesWhatWasSentBeforeItOpened) {
+    Loop loop;
+    Server server(loop);
+    Client client(loop, server);
+    EXPECT_FALSE(client.owned->isOpen());
+    client.owned->send("early");
+    testing::until(loop, [&] { return server.text == "early"; });
+    EXPECT_EQ(server.text, "early");
+    EXPECT_TRUE(client.owned->isOpen());
+    server.owned->send("answer");
+    testing::until(loop, [&] { return client.text == "answer"; });
+    EXPECT_EQ(client.text, "answer");
+}
+
+TEST(Connection, ReportsThatThePeerClosed) {
+    Loop loop;
+    Server server(loop);
+    Client client(loop, server);
+    testing::until(loop, [&] { return server.owned != nullptr; });
+    client.owned.reset();
+    testing::until(loop, [&] { return server.end.has_value(); });
+    EXPECT_EQ(server.end, ConnectionEnd::PeerClosed);
+    EXPECT_FALSE(client.end.has_value()) << "its owner hears nothing of an end of its own";
+}
+
+TEST(Connection, ReportsARefusalFromTheLoop) {
+    Loop loop;
+    Address nobody;
+    {
+        const Server gone(loop);
+        nobody = gone.address();
+    }
+    loop.turnWithoutWaiting();  // closes the listener
+    Recorder client;
+    client.owned =
+        std::make_unique<Connection>(loop, nobody, client, BufferLimits{kPlentyBytes, kPlentyBytes});
+    EXPECT_FALSE(client.end.has_value());
+    testing::until(loop, [&] { return client.end.has_value(); });
+    EXPECT_EQ(client.end, ConnectionEnd::ConnectRefused);
+}
+
+TEST(Connection, EndsWhenItsOutputDoesNotFit) {
+    Loop loop;
+    Server server(loop);
+    Client client(loop, server, 100);
+    client.owned->send(std::string(101, 'x'));
+    EXPECT_FALSE(client.end.has_value()) << "reported from the loop";
+    testing::until(loop, [&] { return client.end.has_value(); });
+    EXPECT_EQ(client.end, ConnectionEnd::TooLong);
+    EXPECT_EQ(server.text, "");
+}
+
+TEST(Connection, ReadOnLaterCallsAgainInTheNextTurnWithoutNewBytes) {
+    Loop loop;
+    Server server(loop);
+    Client client(loop, server);
+    client.owned->send("once");
+    testing::until(loop, [&] { return server.text == "once"; });
+    const int arrivals = server.arrivals;
+    server.owned->readOnLater();
+    testing::until(loop, [&] { return server.arrivals > arrivals; });
+    EXPECT_EQ(server.arrivals, arrivals + 1);
+    EXPECT_EQ(server.text, "once");
+}
+
+TEST(Connection, ReadsNothingAfterStopReadingButStillWrites) {
+    Loop loop;
+    Server server(loop);
+    Client client(loop, server);
+    testing::until(loop, [&] { return server.owned != nullptr; });
+    server.owned->stopReading();
+    client.owned->send("unheard");
+    server.owned->send("still written");
+    testing::until(loop, [&] { return client.text == "still written" && server.owned->hasUnread(); });
+    EXPECT_EQ(client.text, "still written");
+    EXPECT_TRUE(server.owned->hasUnread());
+    EXPECT_EQ(server.text, "");
+}
+
+TEST(Connection, FinishWritesTheRestBeforeItsEnd) {
+    Loop loop;
+    Server server(loop);
+    Client client(loop, server);
+    testing::until(loop, [&] { return server.owned != nullptr; });
+    const std::string rest(500000, 'r');
+    bool closed = false;
+    server.owned->send(rest);
+    server.owned->finish([&] { closed = true; });
+    server.owned.reset();
+    testing::until(loop, [&] { return client.end.has_value(); });
+    EXPECT_EQ(client.end, ConnectionEnd::PeerClosed);
+    EXPECT_EQ(client.text, rest);
+    testing::until(loop, [&] { return closed; });
+    EXPECT_TRUE(closed);
+}
+
+TEST(Listener, LeavesAConnectionWaitingWhileItIsFull) {
+    Loop loop;
+    Server server(loop);
+    server.full = true;
+    Client client(loop, server);
+    testing::until(loop, [&] { return client.owned->isOpen(); });  // as the system accepts it
+    for (int turn = 0; turn < 3; ++turn) loop.turnWithoutWaiting();
+    EXPECT_EQ(server.owned, nullptr);
+    server.full = false;
+    server.listener.resume();
+    testing::until(loop, [&] { return server.owned != nullptr; });
+    EXPECT_NE(server.owned, nullptr);
+}
+
+TEST(Listener, ThrowsWhenItsAddressCannotBeBound) {
+    Loop loop;
+    const Server server(loop);
+    EXPECT_THROW(Listener(
+                     loop, server.address(), [](AcceptedSocket) {}, [] { return false; }),
+                 std::runtime_error);
+}
+
+}  // namespace
+}  // namespace cottonwing::net
