--- a/src/dependency/http_dependency_client.cpp
+++ b/src/dependency/http_dependency_client.cpp
@@ -1,5 +1,9 @@
 #include "dependency/http_dependency_client.h"
 
+#include <utility>
+
+#include "dependency/call_format.h"
+
 namespace cottonwing::dependency {
 
 namespace {
@@ -7,21 +11,14 @@
 using namespace std::chrono_literals;
 using telemetry::Count;
 
-constexpr std::size_t kInput = 128 << 10, kOutput = 32 << 10;
-constexpr Duration kUnused = 4s;  // the other side closes after 10 s: never a call onto a closing connection
-// A second copy of a reply that comes in pieces must not be taken for that of the next call.
-constexpr Duration kSettles = 5ms;
-
-Outcome outcomeOf(const net::HttpReplies::Reply& reply) {
-    const bool notBegun = reply.has("op-not-begun", "1");
-    if (reply.status == 200) return Outcome::Ok;
-    if (reply.status == 503 && notBegun) return Outcome::ResourceExhausted;
-    if (reply.status == 409 && notBegun) return Outcome::Superseded;
-    if (reply.status == 504) return Outcome::TimedOut;
-    return Outcome::Error;
-}
+constexpr std::size_t kInputBufferBytes = 128 << 10;
+constexpr std::size_t kOutputBufferBytes = 32 << 10;
+// The other side closes connections after 10 s without use: no call is to be sent on one that is closing.
+constexpr Duration kMaxIdleTime = 4s;
+// A duplicate of a reply may follow it in pieces; it must not be taken for the reply to the next call.
+constexpr Duration kSettleTime = 5ms;
 
-Count countOf(Outcome outcome) {
+Count counterOf(Outcome outcome) {
     switch (outcome) {
         case Outcome::Ok:
             return Count::CallsOk;
@@ -49,173 +46,211 @@
 
 }  // namespace
 
-struct HttpDependencyClient::Line : private net::Owner {
-    explicit Line(HttpDependencyClient& theRecords)
-        : records(theRecords),
-          patience(theRecords.loop_,
-                   [this] {
-                       records.ended(*this, connection.isOpen() ? net::ConnectionEnd::TimedOut
-                                                                : net::ConnectionEnd::ConnectTimedOut);
-                   }),
-          replies([this](net::HttpReplies::Reply&& reply) { records.replied(*this, std::move(reply)); }),
-          connection(theRecords.loop_, *theRecords.at_, *this, {kInput, kOutput, theRecords.total_}) {}
+struct HttpDependencyClient::Call {
+    RequestId id = 0;
+    Timestamp startedAt{0};
+    Timestamp deadline{0};  ///< Of this attempt; unchanged when the call is sent again.
+};
+
+struct HttpDependencyClient::PooledConnection : private net::Owner {
+    enum class Use {
+        Busy,
+        Idle,
+        Discarded  ///< To be closed in the next turn of the loop.
+    };
+
+    explicit PooledConnection(HttpDependencyClient& owner)
+        : client(owner),
+          timeoutTimer(owner.loop_, [this] { timedOut(); }),
+          replies([this](net::HttpReplies::Reply&& reply) { client.handleReply(*this, std::move(reply)); }),
+          connection(owner.loop_, *owner.address_, *this,
+                     {kInputBufferBytes, kOutputBufferBytes, owner.bufferBytes_}) {}
+
+    void timedOut() {
+        client.handleEnd(
+            *this, connection.isOpen() ? net::ConnectionEnd::TimedOut : net::ConnectionEnd::ConnectTimedOut);
+    }
 
     void arrived(net::Connection& from) override {
         net::Ring& input = from.input();
         while (!input.empty()) {
             const std::string piece(input.front());
             input.drop(piece.size());
-            if (!busy || !replies.read(piece)) return records.ended(*this, net::ConnectionEnd::Malformed);
+            if (use != Use::Busy || !replies.read(piece))
+                return client.handleEnd(*this, net::ConnectionEnd::Malformed);
         }
     }
-    void ended(net::Connection&, net::ConnectionEnd end) override { records.ended(*this, end); }
 
-    HttpDependencyClient& records;
-    net::Timer patience;
+    void ended(net::Connection& /*from*/, net::ConnectionEnd end) override { client.handleEnd(*this, end); }
+
+    HttpDependencyClient& client;
+    net::Timer timeoutTimer;
     net::HttpReplies replies;
     net::Connection connection;
-    bool busy = false, old = false;  // old: to an address that is no longer ours
-    RequestId id = 0;
-    Duration since{0}, until{0};  // of the call; since also of being unused
-    std::size_t size = 0;         // of the call's bytes
-    bool reused = false;          // the call was put on a kept connection
-    Lines::iterator place;
+    ConnectionList::iterator position;
+    Use use = Use::Busy;
+    Timestamp idleSince{0};
+    bool addressOutdated = false;  // connected to an address that is no longer configured
+    Call call;                     // the last one
+    std::size_t callBytes = 0;     // size of the call as it is sent
+    bool reusedForCall = false;    // the call was sent on a connection that had been idle
 };
 
-HttpDependencyClient::HttpDependencyClient(net::Loop& loop, std::optional<net::Address> at,
-                                           const config::ResourceLimits& shares,
-                                           request::RequestManager& backend, telemetry::Counters& counters)
+HttpDependencyClient::HttpDependencyClient(net::Loop& loop, std::optional<net::Address> address,
+                                           const config::ResourceLimits& limits,
+                                           request::RequestManager& requests, telemetry::Counters& counters)
     : loop_(loop),
-      at_(std::move(at)),
-      most_(shares.dependencyConnections),
-      total_(std::make_shared<net::Total>(net::Total{shares.dependencyBytes})),
-      backend_(backend),
+      address_(std::move(address)),
+      maxConnections_(limits.dependencyConnections),
+      bufferBytes_(std::make_shared<net::Total>(net::Total{limits.dependencyBytes})),
+      requests_(requests),
       counters_(counters),
-      sweep_(loop, [this] { closeUnused(); }) {}
+      closeUnusedTimer_(loop, [this] { closeUnused(); }) {}
 
 HttpDependencyClient::~HttpDependencyClient() = default;
 
-void HttpDependencyClient::startCall(RequestId id, const std::string& name, Duration patience,
+// ---- Calls ----------------------------------------------------------------------------------------------
+
+void HttpDependencyClient::startCall(RequestId id, const std::string& externalId, Duration timeout,
                                      std::string_view body) {
     abandonCall(id);
     counters_.add(Count::CallsStarted);
-    if (!at_) return report(id, Outcome::Unreachable, 0ns, {});
-    const auto idle = idleLine();
-    const bool reused = idle != kept_.end();
-    if (!reused && busy_.size() + kept_.size() >= most_) {
-        if (kept_.empty()) return report(id, Outcome::LocalLimit, 0ns, {});
-        kept_.pop_front();
+    if (!address_) return report(id, Outcome::Unreachable, 0ns, {});
+    const ConnectionList::iterator reusable = findReusable();
+    const bool reused = reusable != idle_.end();
+    if (!reused && isAtConnectionLimit()) {
+        if (idle_.empty()) return report(id, Outcome::LocalLimit, 0ns, {});
+        idle_.pop_front();  // not reusable yet, or to be closed
     }
-    const auto millis = std::max<std::int64_t>(1, patience / 1ms);
-    std::string request = "POST /records/op HTTP/1.1\r\nOp-Of: " + name +
-                          "\r\nOp-Wait-Ms: " + std::to_string(millis) +
-                          "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n";
-    request.append(body);
-    if (reused)
-        busy_.splice(busy_.end(), kept_, idle);
-    else
-        busy_.push_back(std::make_unique<Line>(*this));
-    put(std::prev(busy_.end()), id, net::unixNow(), net::unixNow() + patience, std::move(request), reused);
+    const std::string request = formatCall(externalId, timeout, body);
+    if (reused) busy_.splice(busy_.end(), idle_, reusable);
+    const ConnectionList::iterator position = reused ? std::prev(busy_.end()) : openConnection();
+    (*position)->reusedForCall = reused;
+    const Timestamp now = net::unixNow();
+    send(position, {id, now, now + timeout}, request);
 }
 
-// The one used last, past the moment in which something may still follow its reply.
-HttpDependencyClient::Lines::iterator HttpDependencyClient::idleLine() {
-    const Duration now = net::unixNow();
-    for (auto line = kept_.end(); line != kept_.begin();)
-        if (now - (*--line)->since >= kSettles) return (*line)->since > 0ns ? line : kept_.end();
-    return kept_.end();
+// The connection used last of those past the time in which something may still follow their replies.
+HttpDependencyClient::ConnectionList::iterator HttpDependencyClient::findReusable() {
+    const Timestamp now = net::unixNow();
+    for (auto position = idle_.end(); position != idle_.begin();) {
+        --position;
+        const PooledConnection& connection = **position;
+        // Those in front of it are to be closed as well.
+        if (connection.use == PooledConnection::Use::Discarded) return idle_.end();
+        if (now - connection.idleSince >= kSettleTime) return position;
+    }
+    return idle_.end();
+}
+
+bool HttpDependencyClient::isAtConnectionLimit() const {
+    return busy_.size() + idle_.size() >= maxConnections_;
 }
 
-void HttpDependencyClient::moveTo(std::optional<net::Address> at) {
-    if (!at) return;  // what is out, and may be written again, still needs one
-    at_ = std::move(at);
-    kept_.clear();
-    for (const auto& line : busy_) line->old = true;
+HttpDependencyClient::ConnectionList::iterator HttpDependencyClient::openConnection() {
+    busy_.push_back(std::make_unique<PooledConnection>(*this));
+    return std::prev(busy_.end());
 }
 
-void HttpDependencyClient::put(Lines::iterator place, RequestId id, Duration since, Duration until,
-                               std::string request, bool reused) {
-    Line& line = **place;
-    line.place = place;
-    line.busy = true;
-    line.id = id;
-    line.since = since;
-    line.until = until;
-    line.size = request.size();
-    line.reused = reused;
-    out_[id] = place;
-    line.patience.start(until - net::unixNow());
-    line.connection.send(request);
+void HttpDependencyClient::send(ConnectionList::iterator position, const Call& call,
+                                const std::string& request) {
+    PooledConnection& connection = **position;
+    connection.position = position;
+    connection.use = PooledConnection::Use::Busy;
+    connection.call = call;
+    connection.callBytes = request.size();
+    callsInFlight_[call.id] = position;
+    connection.timeoutTimer.start(call.deadline - net::unixNow());
+    connection.connection.send(request);
 }
 
 void HttpDependencyClient::abandonCall(RequestId id) {
-    const auto found = out_.find(id);
-    if (found == out_.end()) return;
-    const auto place = found->second;
+    const auto found = callsInFlight_.find(id);
+    if (found == callsInFlight_.end()) return;
+    const ConnectionList::iterator position = found->second;
     counters_.add(Count::CallsAbandoned);
     counters_.addEnd(net::ConnectionEnd::Abandoned);
-    out_.erase(found);
-    busy_.erase(place);
+    callsInFlight_.erase(found);
+    busy_.erase(position);
 }
 
-void HttpDependencyClient::replied(Line& line, net::HttpReplies::Reply&& reply) {
-    const RequestId id = line.id;
-    const Duration took = net::unixNow() - line.since;
-    line.patience.stop();
-    line.busy = false;
-    out_.erase(id);
-    if (reply.keepsOpen && !line.old) {
-        line.since = net::unixNow();
-        if (kept_.empty()) sweep_.start(kUnused);
-        kept_.splice(kept_.end(), busy_, line.place);
+void HttpDependencyClient::handleReply(PooledConnection& connection, net::HttpReplies::Reply&& reply) {
+    const Call call = connection.call;
+    const Duration elapsed = net::unixNow() - call.startedAt;
+    connection.timeoutTimer.stop();
+    callsInFlight_.erase(call.id);
+    if (reply.keepsOpen && !connection.addressOutdated) {
+        connection.use = PooledConnection::Use::Idle;
+        connection.idleSince = net::unixNow();
+        if (idle_.empty()) closeUnusedTimer_.start(kMaxIdleTime);
+        idle_.splice(idle_.end(), busy_, connection.position);
     } else {
-        // Not from under the connection that is speaking: it ends with its next turn of the loop.
-        line.since = Duration(0);
-        sweep_.start(0ns);
-        kept_.splice(kept_.begin(), busy_, line.place);
+        // Not destroyed here, as it is the caller of this function: it is closed in its next turn of the
+        // loop.
+        connection.use = PooledConnection::Use::Discarded;
+        closeUnusedTimer_.start(0ns);
+        idle_.splice(idle_.begin(), busy_, connection.position);
     }
-    report(id, outcomeOf(reply), took, reply.body);
+    report(call.id, outcomeOf(reply), elapsed, reply.body);
 }
 
-void HttpDependencyClient::ended(Line& line, net::ConnectionEnd end) {
+void HttpDependencyClient::report(RequestId id, Outcome outcome, Duration elapsed, std::string_view reply) {
+    counters_.add(counterOf(outcome));
+    requests_.dependencyCallCompleted(id, outcome, elapsed, reply);
+}
+
+// ---- Connections ----------------------------------------------------------------------------------------
+
+void HttpDependencyClient::handleEnd(PooledConnection& connection, net::ConnectionEnd end) {
     counters_.addEnd(end);
-    const bool wasBusy = line.busy;
-    const RequestId id = line.id;
-    const Duration took = net::unixNow() - line.since;
-    if (!wasBusy) {
-        kept_.erase(line.place);
+    if (connection.use != PooledConnection::Use::Busy) {
+        idle_.erase(connection.position);
         return;
     }
-    // A kept connection that was gone before a byte of the call was written, or one that an address no longer
-    // ours refused: the call has yet to begin.
-    const net::Ring& output = line.connection.output();
-    const bool gone =
-        line.reused && (end == net::ConnectionEnd::Reset || end == net::ConnectionEnd::PeerClosed);
-    const bool moved = line.old && end == net::ConnectionEnd::ConnectRefused;
-    if (output.size() == line.size && (gone || moved)) {
-        std::string scratch, request(output.peek(line.size, scratch));
-        const Duration since = line.since, until = line.until;
-        busy_.erase(line.place);
-        busy_.push_back(std::make_unique<Line>(*this));
-        return put(std::prev(busy_.end()), id, since, until, std::move(request), false);
-    }
-    out_.erase(id);
-    busy_.erase(line.place);
-    report(id, net::outcomeOf(end), took, {});
+    if (maySendAgain(connection, end)) return sendAgain(connection);
+    const Call call = connection.call;
+    const Duration elapsed = net::unixNow() - call.startedAt;
+    callsInFlight_.erase(call.id);
+    busy_.erase(connection.position);
+    report(call.id, net::outcomeOf(end), elapsed, {});
+}
+
+// A reused connection that was gone before a byte of the call was written, or one that was refused by an
+// address that is no longer configured: the call has not begun.
+bool HttpDependencyClient::maySendAgain(const PooledConnection& connection, net::ConnectionEnd end) {
+    const bool nothingWritten = connection.connection.output().size() == connection.callBytes;
+    const bool closedWhileIdle = connection.reusedForCall &&
+                                 (end == net::ConnectionEnd::Reset || end == net::ConnectionEnd::PeerClosed);
+    const bool refusedByOldAddress = connection.addressOutdated && end == net::ConnectionEnd::ConnectRefused;
+    return nothingWritten && (closedWhileIdle || refusedByOldAddress);
+}
+
+void HttpDependencyClient::sendAgain(PooledConnection& connection) {
+    std::string scratch;
+    const std::string request(connection.connection.output().peek(connection.callBytes, scratch));
+    const Call call = connection.call;
+    busy_.erase(connection.position);
+    send(openConnection(), call, request);
 }
 
-void HttpDependencyClient::report(RequestId id, Outcome outcome, Duration took, std::string_view body) {
-    counters_.add(countOf(outcome));
-    backend_.dependencyCallCompleted(id, outcome, took, body);
+void HttpDependencyClient::moveTo(std::optional<net::Address> address) {
+    if (!address) return;
+    address_ = std::move(address);
+    idle_.clear();
+    for (const auto& connection : busy_) connection->addressOutdated = true;
 }
 
 void HttpDependencyClient::closeUnused() {
-    const Duration now = net::unixNow();
-    while (!kept_.empty() && now - kept_.front()->since >= kUnused) {
+    const Timestamp now = net::unixNow();
+    const auto isUnused = [now](const PooledConnection& connection) {
+        return connection.use == PooledConnection::Use::Discarded ||
+               now - connection.idleSince >= kMaxIdleTime;
+    };
+    while (!idle_.empty() && isUnused(*idle_.front())) {
         counters_.addEnd(net::ConnectionEnd::Unused);
-        kept_.pop_front();
+        idle_.pop_front();
     }
-    if (!kept_.empty()) sweep_.start(kept_.front()->since + kUnused - now);
+    if (!idle_.empty()) closeUnusedTimer_.start(idle_.front()->idleSince + kMaxIdleTime - now);
 }
 
 }  // namespace cottonwing::dependency
--- a/src/dependency/http_dependency_client.h
+++ b/src/dependency/http_dependency_client.h
@@ -1,4 +1,5 @@
-// Calls of commands to the records service: one call at a time on a connection, connections kept for a while.
+/// @file
+/// The HTTP client of the dependency: one call at a time on a connection, connections kept for reuse.
 #pragma once
 
 #include <list>
@@ -14,43 +15,59 @@
 
 namespace cottonwing::dependency {
 
+/// Carries out dependency calls. Each call that is started ends in exactly one report to
+/// RequestManager::dependencyCallCompleted, unless it is abandoned. A call that fails before any of it was
+/// sent on a reused connection is sent once more on a new one; no other call is repeated here. Not
+/// thread-safe.
 class HttpDependencyClient : public request::DependencyClient {
 public:
-    // Without an address nothing lies below, and each call is told as unreachable.
-    HttpDependencyClient(net::Loop& loop, std::optional<net::Address> at,
-                         const config::ResourceLimits& shares, request::RequestManager& backend,
+    /// @param address of the dependency; without one each call ends as unreachable.
+    /// @param limits bound the number of connections and the memory of their buffers.
+    /// @param requests receives the reports; must outlive the client, as must loop and counters.
+    HttpDependencyClient(net::Loop& loop, std::optional<net::Address> address,
+                         const config::ResourceLimits& limits, request::RequestManager& requests,
                          telemetry::Counters& counters);
     ~HttpDependencyClient() override;
 
-    void startCall(RequestId id, const std::string& name, Duration patience, std::string_view body) override;
+    void startCall(RequestId id, const std::string& externalId, Duration timeout,
+                   std::string_view body) override;
     void abandonCall(RequestId id) override;
-    // New calls go there; what is out may still end well where it is, kept connections are not used again.
-    void moveTo(std::optional<net::Address> at);
+    /// Sends new calls to another address. Calls in flight may still complete where they are; idle
+    /// connections are closed.
+    /// @param address ignored when absent: calls in flight that may have to be sent again still need one.
+    void moveTo(std::optional<net::Address> address);
 
-    std::size_t callsInFlight() const { return out_.size(); }
-    std::size_t idleConnections() const { return kept_.size(); }
+    std::size_t callsInFlight() const { return callsInFlight_.size(); }
+    std::size_t idleConnections() const { return idle_.size(); }
 
 private:
-    struct Line;  // one connection
-    using Lines = std::list<std::unique_ptr<Line>>;
-
-    void put(Lines::iterator place, RequestId id, Duration since, Duration until, std::string request,
-             bool reused);
-    void replied(Line& line, net::HttpReplies::Reply&& reply);
-    void ended(Line& line, net::ConnectionEnd end);
-    Lines::iterator idleLine();
-    void report(RequestId id, Outcome outcome, Duration took, std::string_view body);
+    struct Call;
+    struct PooledConnection;
+    using ConnectionList = std::list<std::unique_ptr<PooledConnection>>;
+
+    ConnectionList::iterator findReusable();
+    bool isAtConnectionLimit() const;
+    ConnectionList::iterator openConnection();
+    void send(ConnectionList::iterator position, const Call& call, const std::string& request);
+    void handleReply(PooledConnection& connection, net::HttpReplies::Reply&& reply);
+    void handleEnd(PooledConnection& connection, net::ConnectionEnd end);
+    static bool maySendAgain(const PooledConnection& connection, net::ConnectionEnd end);
+    void sendAgain(PooledConnection& connection);
+    void report(RequestId id, Outcome outcome, Duration elapsed, std::string_view reply);
     void closeUnused();
 
     net::Loop& loop_;
-    std::optional<net::Address> at_;
-    const std::size_t most_;
-    const std::shared_ptr<net::Total> total_;
-    request::RequestManager& backend_;
+    std::optional<net::Address> address_;
+    const std::size_t maxConnections_;
+    const std::shared_ptr<net::Total> bufferBytes_;  // shared by the buffers of all connections
+    request::RequestManager& requests_;
     telemetry::Counters& counters_;
-    net::Timer sweep_;
-    std::unordered_map<RequestId, Lines::iterator> out_;  // calls out; emptied by their ends
-    Lines busy_, kept_;  // kept: the longest unused in front; emptied by use, by time and by the other side
+    net::Timer closeUnusedTimer_;
+    std::unordered_map<RequestId, ConnectionList::iterator> callsInFlight_;  // emptied by their ends
+    ConnectionList busy_;
+    // In the order in which they became idle, those to be closed in front; emptied by reuse, by time and by
+    // the other side.
+    ConnectionList idle_;
 };
 
 }  // namespace cottonwing::dependency
--- a/src/registry/registry_client.cpp
+++ b/src/registry/registry_client.cpp
@@ -1,5 +1,7 @@
 #include "registry/registry_client.h"
 
+#include <utility>
+
 namespace cottonwing::registry {
 
 namespace {
@@ -7,69 +9,86 @@
 using namespace std::chrono_literals;
 using telemetry::Count;
 
-constexpr std::size_t kRing = 16 << 10;
-// The list lapses 3 s after a report: three may fail in between. One that gets no answer may still have
-// counted, so only silence for as long as an entry lasts is told as the registry being away.
-constexpr Duration kEvery = 800ms, kPatience = 500ms, kAgain = 100ms, kLapses = 3s;
+constexpr const char* kLogKind = "registry";
+constexpr std::size_t kBufferBytes = 16 << 10;  // in each direction
+// The registry removes an entry 3 s after its last report: three reports may fail in between.
+constexpr Duration kEntryLifetime = 3s;
+constexpr Duration kReportInterval = 800ms;
+constexpr Duration kReportTimeout = 500ms;
+constexpr Duration kRetryDelay = 100ms;
+constexpr int kStatusNoContent = 204;
+// The words of the protocol.
+constexpr const char* kReadyBody = R"({"state":"ready"})";
+constexpr const char* kDrainingBody = R"({"state":"draining"})";
+constexpr const char* kReportMethodAndPath = "PUT /v1/instances/";
+constexpr const char* kReportHead = " HTTP/1.1\r\nContent-Length: ";
+constexpr const char* kHeadEnd = "\r\n\r\n";
 
 }  // namespace
 
-RegistryClient::RegistryClient(net::Loop& loop, net::Address at, std::string name, telemetry::Log& log,
+RegistryClient::RegistryClient(net::Loop& loop, net::Address address, std::string name, telemetry::Log& log,
                                telemetry::Counters& counters)
     : loop_(loop),
-      at_(std::move(at)),
+      address_(std::move(address)),
       name_(std::move(name)),
       log_(log),
       counters_(counters),
-      next_(loop, [this] { send(); }),
-      patience_(loop, [this] { lost(net::ConnectionEnd::TimedOut); }),
-      answered_(net::unixNow()) {
-    send();
+      reportTimer_(loop, [this] { sendReport(); }),
+      timeoutTimer_(loop, [this] { handleConnectionEnd(net::ConnectionEnd::TimedOut); }),
+      lastReplyAt_(net::unixNow()) {
+    sendReport();
 }
 
 void RegistryClient::reportReady(bool ready) {
     if (ready == ready_) return;
     ready_ = ready;
-    if (waiting_) drop();
-    send();
+    if (reportInFlight_) abandonReport();
+    sendReport();
 }
 
-void RegistryClient::moveTo(net::Address at) {
-    at_ = std::move(at);
-    drop();
-    send();
+void RegistryClient::moveTo(net::Address address) {
+    address_ = std::move(address);
+    abandonReport();
+    sendReport();
 }
 
-// A report that is still waiting for its answer holds nothing back: it is given up with its connection.
-void RegistryClient::drop() {
-    if (waiting_) {
+// A report that waits for its reply must not delay the next one: it is abandoned with its connection.
+void RegistryClient::abandonReport() {
+    if (reportInFlight_) {
         counters_.add(Count::RegistryReportsFailed);
         counters_.addEnd(net::ConnectionEnd::Abandoned);
     }
     connection_.reset();
 }
 
-void RegistryClient::send() {
-    next_.stop();  // one report at a time
-    if (!connection_) {
-        replies_ = std::make_unique<net::HttpReplies>([this](net::HttpReplies::Reply&& reply) {
-            waiting_ = false;
-            patience_.stop();
-            if (away_) log_.info("registry", "answers again");
-            away_ = false;
-            if (reply.status != 204)
-                log_.warn("registry", "answered " + std::to_string(reply.status) + " to a report");
-            answered_ = net::unixNow();
-            next_.start(kEvery);
-        });
-        connection_.reset(new net::Connection(loop_, at_, *this, {kRing, kRing}));
-    }
-    const std::string body = ready_ ? R"({"state":"ready"})" : R"({"state":"draining"})";
+void RegistryClient::sendReport() {
+    reportTimer_.stop();  // one report at a time
+    if (!connection_) connect();
+    const std::string body = ready_ ? kReadyBody : kDrainingBody;
     counters_.add(Count::RegistryReportsSent);
-    waiting_ = true;
-    patience_.start(kPatience);
-    connection_->send("PUT /v1/instances/" + name_ +
-                      " HTTP/1.1\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
+    reportInFlight_ = true;
+    timeoutTimer_.start(kReportTimeout);
+    connection_->send(kReportMethodAndPath + name_ + kReportHead + std::to_string(body.size()) + kHeadEnd +
+                      body);
+}
+
+void RegistryClient::connect() {
+    replies_ =
+        std::make_unique<net::HttpReplies>([this](net::HttpReplies::Reply&& reply) { handleReply(reply); });
+    const net::Bounds bounds{kBufferBytes, kBufferBytes};
+    // Not by make_unique, which can't see that this is a net::Owner.
+    connection_.reset(new net::Connection(loop_, address_, *this, bounds));
+}
+
+void RegistryClient::handleReply(const net::HttpReplies::Reply& reply) {
+    reportInFlight_ = false;
+    timeoutTimer_.stop();
+    if (unavailabilityLogged_) log_.info(kLogKind, "registry available again");
+    unavailabilityLogged_ = false;
+    if (reply.status != kStatusNoContent)
+        log_.warn(kLogKind, "registry refused a report: status=" + std::to_string(reply.status));
+    lastReplyAt_ = net::unixNow();
+    reportTimer_.start(kReportInterval);
 }
 
 void RegistryClient::arrived(net::Connection& connection) {
@@ -77,24 +96,30 @@
     while (!input.empty()) {
         const std::string piece(input.front());
         input.drop(piece.size());
-        if (!waiting_ || !replies_->read(piece)) return lost(net::ConnectionEnd::Malformed);
+        if (!reportInFlight_ || !replies_->read(piece))
+            return handleConnectionEnd(net::ConnectionEnd::Malformed);
     }
 }
 
-void RegistryClient::ended(net::Connection&, net::ConnectionEnd end) { lost(end); }
+void RegistryClient::ended(net::Connection& /*connection*/, net::ConnectionEnd end) {
+    handleConnectionEnd(end);
+}
 
-void RegistryClient::lost(net::ConnectionEnd end) {
+void RegistryClient::handleConnectionEnd(net::ConnectionEnd end) {
     counters_.addEnd(end);
     connection_.reset();
-    patience_.stop();
-    if (!waiting_) return;  // a kept connection that was closed: the next report opens another
-    waiting_ = false;
+    timeoutTimer_.stop();
+    if (!reportInFlight_) return;  // an idle connection was closed: the next report opens another
+    reportInFlight_ = false;
     counters_.add(Count::RegistryReportsFailed);
-    if (!away_ && net::unixNow() - answered_ > kLapses) {
-        away_ = true;
-        log_.warn("registry", std::string("no report was answered for 3 s: ") + net::nameOf(end));
+    // A report without a reply may still have counted, so the registry is called unavailable only after it
+    // has been silent for as long as an entry lasts.
+    if (!unavailabilityLogged_ && net::unixNow() - lastReplyAt_ > kEntryLifetime) {
+        unavailabilityLogged_ = true;
+        log_.warn(kLogKind, "registry unavailable: silent_ms=" + std::to_string(kEntryLifetime / 1ms) +
+                                " reason=" + net::nameOf(end));
     }
-    next_.start(kAgain);
+    reportTimer_.start(kRetryDelay);
 }
 
 }  // namespace cottonwing::registry
--- a/src/registry/registry_client.h
+++ b/src/registry/registry_client.h
@@ -1,5 +1,8 @@
-// Reports to the registry: one about every second on a timer and a connection of its own, behind nothing
-// else.
+/// @file
+/// Reports this server's state to the registry, from which clients learn the servers they may use.
+///
+/// About one report a second goes out, on a timer and a connection of its own, so that no other work delays
+/// it: the registry removes a server that has not reported for 3 s.
 #pragma once
 
 #include <memory>
@@ -12,31 +15,43 @@
 
 namespace cottonwing::registry {
 
+/// Keeps the registry informed for as long as it exists; reports that fail are repeated. Not thread-safe.
 class RegistryClient : private net::Owner {
 public:
-    RegistryClient(net::Loop& loop, net::Address at, std::string name, telemetry::Log& log,
+    /// Sends the first report, which says that the server is ready.
+    /// @param name under which the server is registered.
+    /// @param log must outlive the client, as must loop and counters.
+    RegistryClient(net::Loop& loop, net::Address address, std::string name, telemetry::Log& log,
                    telemetry::Counters& counters);
 
-    void reportReady(bool ready);  // a change is reported at once
-    void moveTo(net::Address at);  // told at once
+    /// @param ready whether clients may use this server; false: it is draining. A change is reported at once.
+    void reportReady(bool ready);
+    /// Reports to another address, at once.
+    void moveTo(net::Address address);
 
 private:
     void arrived(net::Connection& connection) override;
     void ended(net::Connection& connection, net::ConnectionEnd end) override;
-    void send();
-    void drop();
-    void lost(net::ConnectionEnd end);
+
+    void sendReport();
+    void connect();
+    void handleReply(const net::HttpReplies::Reply& reply);
+    void abandonReport();
+    void handleConnectionEnd(net::ConnectionEnd end);
 
     net::Loop& loop_;
-    net::Address at_;
+    net::Address address_;
     const std::string name_;
     telemetry::Log& log_;
     telemetry::Counters& counters_;
-    net::Timer next_, patience_;
+    net::Timer reportTimer_;   // until the next report
+    net::Timer timeoutTimer_;  // of the report in flight
     std::unique_ptr<net::Connection> connection_;
-    std::unique_ptr<net::HttpReplies> replies_;
-    Duration answered_;  // the last time, or the start
-    bool ready_ = true, waiting_ = false, away_ = false;
+    std::unique_ptr<net::HttpReplies> replies_;  // of connection_
+    Timestamp lastReplyAt_;                      // or the start, before the first reply
+    bool ready_ = true;
+    bool reportInFlight_ = false;
+    bool unavailabilityLogged_ = false;
 };
 
 }  // namespace cottonwing::registry
--- /dev/null
+++ b/tests/dependency/call_format_test.cpp
@@ -0,0 +1,47 @@
+/// @file
+/// Dependency calls as they are sent, and what replies say about them.
+#include "dependency/call_format.h"
+
+#include <gtest/gtest.h>
+
+namespace cottonwing::dependency {
+namespace {
+
+using namespace std::chrono_literals;
+
+net::HttpReplies::Reply replyOf(int status, const std::string& headers = "") {
+    net::HttpReplies::Reply reply;
+    reply.status = status;
+    reply.headers = headers;
+    return reply;
+}
+
+TEST(CallFormat, ACallIsSentByteForByte) {
+    EXPECT_EQ(formatCall("00000000000000ff", 250ms, "body"),
+              "POST /records/op HTTP/1.1\r\nOp-Of: 00000000000000ff\r\nOp-Wait-Ms: 250\r\n"
+              "Content-Length: 4\r\n\r\nbody");
+}
+
+TEST(CallFormat, TheTimeoutIsCutToMillisecondsButNeverZero) {
+    EXPECT_NE(formatCall("x", 1999us, "").find("Op-Wait-Ms: 1\r\n"), std::string::npos);
+    EXPECT_NE(formatCall("x", 20us, "").find("Op-Wait-Ms: 1\r\n"), std::string::npos);
+}
+
+TEST(CallFormat, EachStatusHasOneOutcome) {
+    EXPECT_EQ(outcomeOf(replyOf(200)), Outcome::Ok);
+    EXPECT_EQ(outcomeOf(replyOf(504)), Outcome::TimedOut);
+    EXPECT_EQ(outcomeOf(replyOf(500)), Outcome::Error);
+    EXPECT_EQ(outcomeOf(replyOf(204)), Outcome::Error);
+}
+
+TEST(CallFormat, AStatusThatDeniesTheBeginningNeedsTheHeaderThatSaysSo) {
+    const std::string notBegun = "\nop-not-begun:1\n";
+    EXPECT_EQ(outcomeOf(replyOf(503, notBegun)), Outcome::ResourceExhausted);
+    EXPECT_EQ(outcomeOf(replyOf(503)), Outcome::Error);
+    EXPECT_EQ(outcomeOf(replyOf(409, notBegun)), Outcome::Superseded);
+    EXPECT_EQ(outcomeOf(replyOf(409)), Outcome::Error);
+    EXPECT_EQ(outcomeOf(replyOf(200, notBegun)), Outcome::Ok);
+}
+
+}  // namespace
+}  // namespace cottonwing::dependency
