--- a/src/request/request_manager.cpp
+++ b/src/request/request_manager.cpp
@@ -9,8 +9,9 @@
 namespace {
 
 using namespace std::chrono_literals;
+using state::KeyClaim;
+using state::KeyOutcome;
 using telemetry::Count;
-using KeyOutcome = state::IdempotencyKeys::Outcome;
 
 // Gauges older than this are left out of a batch rather than presented as current.
 constexpr Duration kGaugesMaxAge = 100ms;
@@ -82,27 +83,26 @@
     const RequestClass& requestClass =
         config_.requestClasses[static_cast<std::size_t>(incoming.request.requestClass)];
     if (requestClass.idempotency != Idempotency::WithKey) return true;
-    using Claim = state::IdempotencyKeys::Claim;
     const Timestamp now = net::unixNow();
     // Seeded, so that no client can construct a different body with the same hash.
     const std::size_t bodyHash = std::hash<std::string>{}(std::to_string(config_.seed) + incoming.body);
     const state::KeyTimes times{requestClass.idempotencyWindow, requestClass.timeout + kClockTolerance};
-    const Claim claim = keys_.claim(incoming.idempotencyKey, incoming.request.id, bodyHash,
-                                    now - incoming.request.queuedBeforeRead, now, times);
+    const KeyClaim claim = keys_.claim(incoming.idempotencyKey, incoming.request.id, bodyHash,
+                                       now - incoming.request.queuedBeforeRead, now, times);
     RequestState& request = entry->second;
     switch (claim) {
-        case Claim::Conflict:
+        case KeyClaim::Conflict:
             counters_.add(Count::KeyConflicts);
             answerUnknownToExecutor(entry);
             return false;
-        case Claim::NoRoom:
+        case KeyClaim::NoCapacity:
             counters_.add(Count::RejectedForMemory);
             answerRejected(entry, {});
             return false;
-        case Claim::First:
+        case KeyClaim::Granted:
             request.idempotencyRole = IdempotencyRole::HoldsKey;
             break;
-        case Claim::Repeat:
+        case KeyClaim::Duplicate:
             counters_.add(Count::DuplicateRequests);
             request.idempotencyRole = IdempotencyRole::Duplicate;
             incoming.request.duplicateOf = keys_.holder(incoming.idempotencyKey);
@@ -454,18 +454,18 @@
     if (outcome == Outcome::Superseded && !startUnconfirmed)
         resolveDuplicates(keys_.release(key, id), {KeyOutcome::NeverRan, {}});
     else if (outcome == Outcome::Ok)
-        resolveDuplicates(keys_.ended(key, id, true, result), {KeyOutcome::Ok, result});
+        resolveDuplicates(keys_.completed(key, id, result), {KeyOutcome::Completed, result});
     else
-        resolveDuplicates(keys_.ended(key, id, false, {}), {KeyOutcome::Failed, {}});
+        resolveDuplicates(keys_.failed(key, id), {KeyOutcome::Failed, {}});
 }
 
-void RequestManager::resolveDuplicates(const std::vector<RequestId>& duplicates, KeyResult result) {
+void RequestManager::resolveDuplicates(const std::vector<RequestId>& duplicates, state::KeyResult result) {
     for (const RequestId id : duplicates) resolveDuplicate(id, result);
 }
 
 // A duplicate is answered with what became of the attempt that holds its key; while that is pending, it
 // waits.
-void RequestManager::resolveDuplicate(RequestId id, KeyResult result) {
+void RequestManager::resolveDuplicate(RequestId id, state::KeyResult result) {
     const Table::iterator entry = findWaiting(id);
     if (entry == table_.end()) return;
     if (result.outcome == KeyOutcome::Pending) {
@@ -473,7 +473,7 @@
         return;
     }
     entry->second.idempotencyRole = IdempotencyRole::Duplicate;
-    if (result.outcome == KeyOutcome::Ok) {
+    if (result.outcome == KeyOutcome::Completed) {
         addRunResult(id, Outcome::Ok, 0ns);
         return answerCompleted(entry, result.result);
     }
--- a/src/request/request_manager.h
+++ b/src/request/request_manager.h
@@ -120,7 +120,6 @@
 
 private:
     using Table = std::unordered_map<RequestId, RequestState>;
-    using KeyResult = state::IdempotencyKeys::Known;
 
     // Steps of accept().
     Table::iterator track(const IncomingRequest& incoming);
@@ -158,8 +157,8 @@
 
     // Idempotency keys.
     void settleKey(Table::iterator entry, Outcome outcome, bool startUnconfirmed, std::string_view result);
-    void resolveDuplicates(const std::vector<RequestId>& duplicates, KeyResult result);
-    void resolveDuplicate(RequestId id, KeyResult result);
+    void resolveDuplicates(const std::vector<RequestId>& duplicates, state::KeyResult result);
+    void resolveDuplicate(RequestId id, state::KeyResult result);
     void addRunResult(RequestId id, Outcome outcome, Duration elapsed);
 
     // Recovery of runs after the executor's connection was lost.
--- a/src/server.cpp
+++ b/src/server.cpp
@@ -1,58 +1,65 @@
 #include "server.h"
 
+#include <algorithm>
+
 namespace cottonwing {
 
 namespace {
 
 using namespace std::chrono_literals;
 
-constexpr Duration kBeforeStop = 60ms;  // before the process is killed, whatever is left
+// The loop stops this long before the process is killed, whatever is left.
+constexpr Duration kStopMargin = 60ms;
 
-std::vector<std::string> inOrder(const std::map<std::string, int, std::less<>>& names) {
-    std::vector<std::string> result(names.size());
-    for (const auto& [name, at] : names) result[static_cast<std::size_t>(at)] = name;
-    return result;
+// The names of a table in the order of their indices.
+std::vector<std::string> namesByIndex(const std::map<std::string, int, std::less<>>& table) {
+    std::vector<std::string> names(table.size());
+    for (const auto& [name, index] : table) names[static_cast<std::size_t>(index)] = name;
+    return names;
 }
 
 }  // namespace
 
-Server::Server(net::Loop& loop, const config::ProcessConfig& start, telemetry::Log& log,
+Server::Server(net::Loop& loop, const config::ProcessConfig& config, telemetry::Log& log,
                telemetry::Counters& counters)
     : loop_(loop),
-      start_(start),
+      config_(config),
       log_(log),
       counters_(counters),
-      stopAfter_(start.shutdownTimeout),
-      grace_(std::min(start.controller.drainGrace, start.shutdownTimeout / 2)),
-      backend_(loop, start.controller, start.limits.requestBytes, start.limits.idempotencyKeyBytes, log,
-               counters),
-      pool_(loop, start.workerPool, start.limits, inOrder(start.nameTables.requestClasses), start.gaugeNames,
-            start.controller.seed, backend_, log, counters),
-      records_(loop, start.dependency, start.limits, backend_, counters),
-      sidecars_(loop, start.listen, start.limits, start.nameTables, start.controller.requestClasses,
-                start.clientsSendTimeout, backend_, log, counters),
-      registry_(loop, start.registry, start.name, log, counters),
-      drainTimer_(loop,
-                  [this] {
-                      draining_ = true;
-                      sidecars_.drain();
-                  }),
+      shutdownTimeout_(config.shutdownTimeout),
+      drainGrace_(std::min(config.controller.drainGrace, config.shutdownTimeout / 2)),
+      requests_(loop, config.controller, config.limits.requestBytes, config.limits.idempotencyKeyBytes, log,
+                counters),
+      workerPoolClient_(loop, config.workerPool, config.limits,
+                        namesByIndex(config.nameTables.requestClasses), config.gaugeNames,
+                        config.controller.seed, requests_, log, counters),
+      dependencyClient_(loop, config.dependency, config.limits, requests_, counters),
+      thriftServer_(loop, config.listen, config.limits, config.nameTables, config.controller.requestClasses,
+                    config.clientsSendTimeout, requests_, log, counters),
+      registryClient_(loop, config.registry, config.name, log, counters),
+      drainTimer_(loop, [this] { beginDraining(); }),
       stopTimer_(loop, [this] { loop_.stop(); }) {
-    backend_.connect(sidecars_, pool_, records_);
-    backend_.onHealthChange([this, follows = start.deregisterWhenUnhealthy](bool good) {
-        registry_.reportReady(!leaving_ && (good || !follows));
+    requests_.connect(thriftServer_, workerPoolClient_, dependencyClient_);
+    requests_.onHealthChange([this, deregister = config.deregisterWhenUnhealthy](bool healthy) {
+        registryClient_.reportReady(!shuttingDown_ && (healthy || !deregister));
     });
-    loop.onTurn([this] { turn(); });
-    log.info("serving", start.name + " on port " + std::to_string(sidecars_.port()));
+    loop.onTurn([this] { turnEnded(); });
+    log.info("serving",
+             "server started: name=" + config.name + " port=" + std::to_string(thriftServer_.port()));
 }
 
 void Server::leave() {
-    if (leaving_) return;
-    leaving_ = true;
-    registry_.reportReady(false);
-    backend_.beginShutdown(net::unixNow() + stopAfter_);
-    drainTimer_.start(grace_);
-    stopTimer_.start(stopAfter_ - kBeforeStop);
+    if (shuttingDown_) return;
+    shuttingDown_ = true;
+    registryClient_.reportReady(false);
+    requests_.beginShutdown(net::unixNow() + shutdownTimeout_);
+    drainTimer_.start(drainGrace_);
+    stopTimer_.start(shutdownTimeout_ - kStopMargin);
+}
+
+void Server::beginDraining() {
+    draining_ = true;
+    thriftServer_.drain();
 }
 
 void Server::readAgain(const config::Environment& environment) {
@@ -61,31 +68,41 @@
         next = config::readProcessConfig(environment);
     } catch (const config::ConfigError& error) {
         counters_.add(telemetry::Count::ReloadsRejected);
-        return log_.error("reload", std::string("refused whole: ") + error.what());
+        return log_.error("reload", std::string("configuration rejected: error=") + error.what());
     }
     counters_.add(telemetry::Count::Reloads);
+    const int moved = moveClients(next);
+    log_.info("reload", "configuration reloaded: changed_addresses=" + std::to_string(moved));
+    for (const auto& [key, value] : next.restartOnlyKeys)
+        if (value != config_.restartOnlyKeys[key])
+            log_.warn("reload", "change ignored until restart: key=" + key);
+}
+
+// Returns the number of clients whose address has changed.
+int Server::moveClients(const config::ProcessConfig& next) {
     int moved = 0;
-    const auto moves = [&](auto& from, const auto& to, auto& link) {
-        if (from == to) return;
-        link.moveTo(from = to);
+    const auto moveIfChanged = [&moved](auto& current, const auto& address, auto& client) {
+        if (current == address) return;
+        current = address;
+        client.moveTo(current);
         ++moved;
     };
-    moves(start_.workerPool, next.workerPool, pool_);
-    moves(start_.dependency, next.dependency, records_);
-    moves(start_.registry, next.registry, registry_);
-    log_.info("reload", std::to_string(moved) + " of 3 addresses are new");
-    for (const auto& [key, value] : next.restartOnlyKeys)
-        if (value != start_.restartOnlyKeys[key])
-            log_.warn("reload", key + ": needs a new start, the old one stays");
+    moveIfChanged(config_.workerPool, next.workerPool, workerPoolClient_);
+    moveIfChanged(config_.dependency, next.dependency, dependencyClient_);
+    moveIfChanged(config_.registry, next.registry, registryClient_);
+    return moved;
 }
 
-void Server::turn() {
-    backend_.processEvents();
-    if (!draining_ || sidecars_.isListening() || backend_.unansweredCount() > 0 ||
-        sidecars_.connections() > 0)
-        return;
-    log_.info("leaving", "nobody is left");
+void Server::turnEnded() {
+    requests_.processEvents();
+    if (!isDrained()) return;
+    log_.info("shutdown", "all clients disconnected");
     loop_.stop();
 }
 
+bool Server::isDrained() const {
+    return draining_ && !thriftServer_.isListening() && requests_.unansweredCount() == 0 &&
+           thriftServer_.connections() == 0;
+}
+
 }  // namespace cottonwing
--- a/src/server.h
+++ b/src/server.h
@@ -1,4 +1,6 @@
-// The parts of one backend joined: from the start it was given until it has left.
+/// @file
+/// One server process: its protocol server, request manager and clients, joined from the start until the
+/// shutdown has completed.
 #pragma once
 
 #include "config/process_config.h"
@@ -10,37 +12,49 @@
 
 namespace cottonwing {
 
+/// Owns all parts of the process except the loop, the log and the counters. Not thread-safe.
 class Server {
 public:
-    Server(net::Loop& loop, const config::ProcessConfig& start, telemetry::Log& log,
+    /// Begins to listen, and to connect to the worker pool and the registry. Throws when the address to
+    /// listen at can't be had.
+    /// @param loop must outlive the server, as must log and counters.
+    /// @param config as read at the start.
+    Server(net::Loop& loop, const config::ProcessConfig& config, telemetry::Log& log,
            telemetry::Counters& counters);
 
-    // The notice to leave: the list is told at once, all that was read is answered, and what comes after the
-    // grace is drained. The loop stops when nobody is left, and shortly before the stop in any case.
+    /// Begins the graceful shutdown; further calls have no effect. The registry is told at once, all requests
+    /// that were read are answered, and connections are drained after the grace period. The loop stops when
+    /// all clients have disconnected, and shortly before the end of the shutdown timeout in any case.
     void leave();
-    // The file has changed: the links move to the addresses it has now. One that can't be read is refused
-    // whole.
+    /// Reads the configuration again: the clients move to the addresses that it names now. A configuration
+    /// that can't be read is rejected as a whole; changes of other keys are logged as needing a restart.
     void readAgain(const config::Environment& environment);
 
-    const request::RequestManager& backend() const { return backend_; }
-    const dependency::HttpDependencyClient& records() const { return records_; }
-    const thrift::ThriftServer& sidecars() const { return sidecars_; }
+    const request::RequestManager& backend() const { return requests_; }
+    const dependency::HttpDependencyClient& records() const { return dependencyClient_; }
+    const thrift::ThriftServer& sidecars() const { return thriftServer_; }
 
 private:
-    void turn();
+    void turnEnded();
+    void beginDraining();
+    bool isDrained() const;
+    int moveClients(const config::ProcessConfig& next);
 
     net::Loop& loop_;
-    config::ProcessConfig start_;  // as it was last read
+    config::ProcessConfig config_;  // as it was last read
     telemetry::Log& log_;
     telemetry::Counters& counters_;
-    const Duration stopAfter_, grace_;
-    request::RequestManager backend_;
-    worker_pool::WorkerPoolClient pool_;
-    dependency::HttpDependencyClient records_;
-    thrift::ThriftServer sidecars_;
-    registry::RegistryClient registry_;
-    net::Timer drainTimer_, stopTimer_;
-    bool leaving_ = false, draining_ = false;
+    const Duration shutdownTimeout_;
+    const Duration drainGrace_;
+    request::RequestManager requests_;
+    worker_pool::WorkerPoolClient workerPoolClient_;
+    dependency::HttpDependencyClient dependencyClient_;
+    thrift::ThriftServer thriftServer_;
+    registry::RegistryClient registryClient_;
+    net::Timer drainTimer_;
+    net::Timer stopTimer_;
+    bool shuttingDown_ = false;
+    bool draining_ = false;
 };
 
 }  // namespace cottonwing
--- a/src/state/idempotency_keys.cpp
+++ b/src/state/idempotency_keys.cpp
@@ -6,111 +6,141 @@
 
 namespace {
 
-// A first try that has yet to end is looked at again this much later: its key may not run out before it.
-constexpr Duration kLater = std::chrono::seconds(1);
+// A key whose holder has yet to end may not expire before it: its retention is extended by this.
+constexpr Duration kPendingExtension = std::chrono::seconds(1);
 
 }  // namespace
 
-IdempotencyKeys::Claim IdempotencyKeys::claim(const std::string& key, RequestId id, std::size_t bodyMark,
-                                              Duration arrived, Duration now, KeyTimes times) {
+KeyClaim IdempotencyKeys::claim(const std::string& key, RequestId id, std::size_t bodyHash,
+                                Timestamp arrivedAt, Timestamp now, KeyTimes times) {
     expire(now);
-    if (const auto at = table_.find(key); at != table_.end()) {
-        if (at->second.outcome == Outcome::Pending || arrived <= at->second.windowEnds)
-            return at->second.bodyMark == bodyMark ? Claim::Repeat : Claim::Conflict;
-        erase(at);
+    if (const auto position = table_.find(key); position != table_.end()) {
+        const Entry& held = position->second;
+        if (held.outcome == KeyOutcome::Pending || arrivedAt <= held.windowEnd)
+            return held.bodyHash == bodyHash ? KeyClaim::Duplicate : KeyClaim::Conflict;
+        erase(position);
     }
-    const std::size_t takes = kEachTakes + 2 * key.size();
-    if (!makeRoom(takes)) return Claim::NoRoom;
-    bytes_ += takes;
-    Entry& entry = table_[key];
-    entry.first = id;
-    entry.bodyMark = bodyMark;
+    if (!evictResultsFor(bytesOfKey(key))) return KeyClaim::NoCapacity;
+    Entry entry;
+    entry.holder = id;
+    entry.bodyHash = bodyHash;
     // Counted from the reading, which is never before the arrival that the window counts from.
-    entry.windowEnds = now + times.window;
-    entry.until = entry.windowEnds + times.kept;
-    ends_.emplace(entry.until, key);
-    return Claim::First;
+    entry.windowEnd = now + times.window;
+    entry.retainedUntil = entry.windowEnd + times.lateReadAllowance;
+    insert(key, std::move(entry));
+    return KeyClaim::Granted;
 }
 
 RequestId IdempotencyKeys::holder(const std::string& key) const {
-    const auto at = table_.find(key);
-    return at == table_.end() ? 0 : at->second.first;
+    const auto position = table_.find(key);
+    return position == table_.end() ? 0 : position->second.holder;
 }
 
-IdempotencyKeys::Known IdempotencyKeys::join(const std::string& key, RequestId id) {
-    const auto at = table_.find(key);
-    if (at == table_.end()) return {};
-    Entry& entry = at->second;
-    if (entry.outcome == Outcome::Pending) entry.waiting.push_back(id);
-    // Done, but there was no room for what it gave: it can't be told again, and must not run again.
-    if (entry.outcome == Outcome::Ok && !entry.result) return {Outcome::Failed, {}};
+KeyResult IdempotencyKeys::join(const std::string& key, RequestId duplicate) {
+    const auto position = table_.find(key);
+    if (position == table_.end()) return {};
+    Entry& entry = position->second;
+    if (entry.outcome == KeyOutcome::Pending) entry.waiting.push_back(duplicate);
+    // Completed, but there was no memory for the result: it can't be given again, and the request must not
+    // run again.
+    if (entry.outcome == KeyOutcome::Completed && !entry.result) return {KeyOutcome::Failed, {}};
     return {entry.outcome, entry.result ? std::string_view(*entry.result) : std::string_view()};
 }
 
-void IdempotencyKeys::leave(const std::string& key, RequestId id) {
-    if (const auto at = table_.find(key); at != table_.end()) std::erase(at->second.waiting, id);
+void IdempotencyKeys::leave(const std::string& key, RequestId duplicate) {
+    const auto position = table_.find(key);
+    if (position != table_.end()) std::erase(position->second.waiting, duplicate);
 }
 
-std::vector<RequestId> IdempotencyKeys::ended(const std::string& key, RequestId id, bool well,
-                                              std::string_view result) {
-    const auto at = heldBy(key, id);
-    if (at == table_.end()) return {};
-    Entry& entry = at->second;
-    entry.outcome = well ? Outcome::Ok : Outcome::Failed;
-    std::vector<RequestId> waiting = std::exchange(entry.waiting, {});
-    if (well && makeRoom(kResultTakes + result.size())) {
-        bytes_ += kResultTakes + result.size();
-        entry.result = std::string(result);
-        entry.number = ++results_;
-        byResult_.emplace(entry.number, at);
-    }
-    return waiting;
+std::vector<RequestId> IdempotencyKeys::completed(const std::string& key, RequestId holder,
+                                                  std::string_view result) {
+    const auto position = findPendingOf(key, holder);
+    if (position == table_.end()) return {};
+    position->second.outcome = KeyOutcome::Completed;
+    storeResult(position, result);
+    return std::exchange(position->second.waiting, {});
+}
+
+std::vector<RequestId> IdempotencyKeys::failed(const std::string& key, RequestId holder) {
+    const auto position = findPendingOf(key, holder);
+    if (position == table_.end()) return {};
+    position->second.outcome = KeyOutcome::Failed;
+    return std::exchange(position->second.waiting, {});
 }
 
-std::vector<RequestId> IdempotencyKeys::release(const std::string& key, RequestId id) {
-    const auto at = heldBy(key, id);
-    if (at == table_.end()) return {};
-    std::vector<RequestId> waiting = std::exchange(at->second.waiting, {});
-    erase(at);
+std::vector<RequestId> IdempotencyKeys::release(const std::string& key, RequestId holder) {
+    const auto position = findPendingOf(key, holder);
+    if (position == table_.end()) return {};
+    std::vector<RequestId> waiting = std::exchange(position->second.waiting, {});
+    erase(position);
     return waiting;
 }
 
-IdempotencyKeys::Table::iterator IdempotencyKeys::heldBy(const std::string& key, RequestId id) {
-    const auto at = table_.find(key);
-    return at != table_.end() && at->second.first == id && at->second.outcome == Outcome::Pending
-               ? at
-               : table_.end();
+std::size_t IdempotencyKeys::bytesOfKey(const std::string& key) {
+    return kEntryOverheadBytes + kKeyCopies * key.size();
+}
+
+std::size_t IdempotencyKeys::bytesOfResult(std::string_view result) {
+    return kResultOverheadBytes + result.size();
+}
+
+// The entry of the key if that attempt holds it and has yet to end; otherwise table_.end().
+IdempotencyKeys::Table::iterator IdempotencyKeys::findPendingOf(const std::string& key, RequestId holder) {
+    const auto position = table_.find(key);
+    if (position == table_.end()) return position;
+    const Entry& entry = position->second;
+    const bool matches = entry.holder == holder && entry.outcome == KeyOutcome::Pending;
+    return matches ? position : table_.end();
+}
+
+void IdempotencyKeys::insert(const std::string& key, Entry entry) {
+    bytes_ += bytesOfKey(key);
+    expiries_.emplace(entry.retainedUntil, key);
+    table_[key] = std::move(entry);
+}
+
+void IdempotencyKeys::storeResult(Table::iterator position, std::string_view result) {
+    const std::size_t resultBytes = bytesOfResult(result);
+    if (!evictResultsFor(resultBytes)) return;
+    bytes_ += resultBytes;
+    ++storedResults_;
+    position->second.result = std::string(result);
+    position->second.resultNumber = storedResults_;
+    byResult_.emplace(storedResults_, position);
 }
 
-void IdempotencyKeys::erase(Table::iterator at) {
-    dropResult(at->second);
-    bytes_ -= kEachTakes + 2 * at->first.size();
-    ends_.erase({at->second.until, at->first});
-    table_.erase(at);
+void IdempotencyKeys::erase(Table::iterator position) {
+    dropResult(position->second);
+    bytes_ -= bytesOfKey(position->first);
+    expiries_.erase({position->second.retainedUntil, position->first});
+    table_.erase(position);
 }
 
 void IdempotencyKeys::dropResult(Entry& entry) {
     if (!entry.result) return;
-    byResult_.erase(entry.number);
-    bytes_ -= kResultTakes + entry.result->size();
+    byResult_.erase(entry.resultNumber);
+    bytes_ -= bytesOfResult(*entry.result);
     entry.result.reset();
 }
 
-bool IdempotencyKeys::makeRoom(std::size_t wanted) {
-    while (bytes_ + wanted > most_ && !byResult_.empty()) dropResult(byResult_.begin()->second->second);
-    return bytes_ + wanted <= most_;
+// Drops results, the oldest first, until that much memory is free. Returns whether it is.
+bool IdempotencyKeys::evictResultsFor(std::size_t wantedBytes) {
+    while (bytes_ + wantedBytes > maxBytes_ && !byResult_.empty())
+        dropResult(byResult_.begin()->second->second);
+    return bytes_ + wantedBytes <= maxBytes_;
 }
 
-void IdempotencyKeys::expire(Duration now) {
-    while (!ends_.empty() && ends_.begin()->first <= now) {
-        const auto at = table_.find(ends_.begin()->second);
-        if (at->second.outcome != Outcome::Pending) {
-            erase(at);
+void IdempotencyKeys::expire(Timestamp now) {
+    while (!expiries_.empty() && expiries_.begin()->first <= now) {
+        const auto position = table_.find(expiries_.begin()->second);
+        Entry& entry = position->second;
+        if (entry.outcome != KeyOutcome::Pending) {
+            erase(position);
             continue;
         }
-        ends_.erase(ends_.begin());
-        at->second.until = now + kLater;
-        ends_.emplace(at->second.until, at->first);
+        expiries_.erase(expiries_.begin());
+        entry.retainedUntil = now + kPendingExtension;
+        expiries_.emplace(entry.retainedUntil, position->first);
     }
 }
 
--- a/src/state/idempotency_keys.h
+++ b/src/state/idempotency_keys.h
@@ -1,7 +1,11 @@
-// Idempotency keys within their windows: which try of a request holds its key, what became of it, and the
-// result that later tries are answered with. Pure: time passed in, nothing heard of loops or protocols.
-//
-// The invariant, kept here alone: while a key is held, no other try that arrived within its window may run.
+/// @file
+/// Idempotency keys within their windows: which attempt of a request holds its key, what became of it, and
+/// the result that duplicates are answered with.
+///
+/// Pure: time is passed in, and nothing is known of loops or protocols.
+///
+/// The invariant, which is kept here alone: while a key is held, no other attempt that arrived within the
+/// key's window may run.
 #pragma once
 
 #include <cstdint>
@@ -17,73 +21,111 @@
 
 namespace cottonwing::state {
 
-// How long a key counts. window: a repeat that arrives within it of the first try must not run. kept: for
-// how long after that a repeat may still be read that arrived in time.
+/// How long a key counts.
 struct KeyTimes {
-    Duration window{0}, kept{0};
+    /// A duplicate that arrives within this time of the reading of the first attempt must not run.
+    Duration window{0};
+    /// How long after the window a duplicate that arrived within it may still be read.
+    Duration lateReadAllowance{0};
 };
 
+/// The answer to an attempt that claims a key.
+enum class KeyClaim {
+    Granted,     ///< The attempt holds the key until its run ends or the key is released.
+    Duplicate,   ///< Another attempt holds the key.
+    Conflict,    ///< A request with another body holds the key, so this is no attempt of that request.
+    NoCapacity,  ///< There is no memory for the key. The attempt may not run, and none has run.
+};
+
+/// What became of the attempt that holds a key.
+enum class KeyOutcome {
+    Pending,    ///< It has yet to end.
+    Completed,  ///< It ran; its result is known.
+    Failed,     ///< It ran, or may have run, and there is no result to give.
+    NeverRan    ///< No attempt is known to have run.
+};
+
+/// An outcome with the result, if there is one.
+struct KeyResult {
+    KeyOutcome outcome = KeyOutcome::NeverRan;
+    /// Of KeyOutcome::Completed. Valid until the next call of a function of the table that is not const.
+    std::string_view result;
+};
+
+/// The table of idempotency keys. Not thread-safe.
 class IdempotencyKeys {
 public:
-    // mostBytes bounds keys and results together; results give way to keys, the oldest first.
-    explicit IdempotencyKeys(std::size_t mostBytes) : most_(mostBytes) {}
-
-    enum class Claim {
-        First,     // the key is this try's now, until it ends or is released
-        Repeat,    // another try has it
-        Conflict,  // a request with another body has it, so this is no try of that one
-        NoRoom     // it may not run, and nothing has run
-    };
-    // A try that arrived at that time, read now. All tries of a request have one body: bodyMark stands for
-    // it.
-    Claim claim(const std::string& key, RequestId id, std::size_t bodyMark, Duration arrived, Duration now,
-                KeyTimes times);
-    // Whose key it is; 0: nobody's.
+    /// @param maxBytes bounds keys and results together. Results give way to keys, the oldest first.
+    explicit IdempotencyKeys(std::size_t maxBytes) : maxBytes_(maxBytes) {}
+
+    /// Claims the key for an attempt, before it may run.
+    /// @param bodyHash stands for the body, which all attempts of a request share.
+    /// @param arrivedAt when the attempt arrived at the machine.
+    /// @param now when it was read; never before arrivedAt, and never goes back between calls.
+    KeyClaim claim(const std::string& key, RequestId id, std::size_t bodyHash, Timestamp arrivedAt,
+                   Timestamp now, KeyTimes times);
+
+    /// @return the attempt that holds the key; 0: none.
     RequestId holder(const std::string& key) const;
 
-    enum class Outcome { Pending, Ok, Failed, NeverRan };
-    struct Known {
-        Outcome outcome = Outcome::NeverRan;
-        std::string_view result;  // good until the next call that is not const
-    };
-    // What a repeat has to know; it is told later, by the end of the first try, where that is pending.
-    Known join(const std::string& key, RequestId id);
-    void leave(const std::string& key, RequestId id);
+    /// Asks what became of the attempt that holds the key. Where that is pending, the duplicate waits: it is
+    /// returned by completed, failed or release.
+    KeyResult join(const std::string& key, RequestId duplicate);
+    /// A duplicate no longer waits.
+    void leave(const std::string& key, RequestId duplicate);
 
-    // The first try ended after it ran, well with its result or not; those that wait for it are returned.
-    std::vector<RequestId> ended(const std::string& key, RequestId id, bool well, std::string_view result);
-    // The first try is known not to have run: the key is nobody's. Those that wait are returned.
-    std::vector<RequestId> release(const std::string& key, RequestId id);
+    /// The run of the attempt that holds the key succeeded. Without effect if that attempt does not hold it.
+    /// @param result copied while there is memory for it.
+    /// @return the duplicates that waited.
+    std::vector<RequestId> completed(const std::string& key, RequestId holder, std::string_view result);
+    /// The run of the attempt that holds the key failed, or may have run. Without effect if that attempt does
+    /// not hold it.
+    /// @return the duplicates that waited.
+    std::vector<RequestId> failed(const std::string& key, RequestId holder);
+    /// The attempt that holds the key is known not to have run: the key is free again. Without effect if that
+    /// attempt does not hold the key or its run has ended.
+    /// @return the duplicates that waited.
+    std::vector<RequestId> release(const std::string& key, RequestId holder);
 
+    /// @return the number of keys.
     std::size_t size() const { return table_.size(); }
+    /// @return the memory booked for keys and results.
     std::size_t bytes() const { return bytes_; }
 
 private:
     struct Entry {
-        RequestId first = 0;
-        std::size_t bodyMark = 0;
-        Duration windowEnds{0}, until{0};
-        Outcome outcome = Outcome::Pending;
-        std::optional<std::string> result;  // of one that ended well, while there is room
-        std::uint64_t number = 0;           // of the result, in the order they came
-        std::vector<RequestId> waiting;     // emptied by the end of the first try
+        RequestId holder = 0;
+        std::size_t bodyHash = 0;
+        Timestamp windowEnd{0};
+        Timestamp retainedUntil{0};
+        KeyOutcome outcome = KeyOutcome::Pending;
+        std::optional<std::string> result;  // of KeyOutcome::Completed, while there is memory for it
+        std::uint64_t resultNumber = 0;     // in the order in which results were stored
+        std::vector<RequestId> waiting;     // duplicates; emptied by the end of the holder
     };
     using Table = std::map<std::string, Entry, std::less<>>;
-    // What an entry takes beside its texts: its nodes in three tables.
-    static constexpr std::size_t kEachTakes = 512, kResultTakes = 128;
+    // Memory booked beside the texts: nodes in three tables, and of a result.
+    static constexpr std::size_t kEntryOverheadBytes = 512;
+    static constexpr std::size_t kResultOverheadBytes = 128;
+    // The text of a key is in two of the tables.
+    static constexpr std::size_t kKeyCopies = 2;
 
-    Table::iterator heldBy(const std::string& key, RequestId id);
-    void erase(Table::iterator at);
+    static std::size_t bytesOfKey(const std::string& key);
+    static std::size_t bytesOfResult(std::string_view result);
+    Table::iterator findPendingOf(const std::string& key, RequestId holder);
+    void insert(const std::string& key, Entry entry);
+    void storeResult(Table::iterator position, std::string_view result);
+    void erase(Table::iterator position);
     void dropResult(Entry& entry);
-    bool makeRoom(std::size_t wanted);
-    void expire(Duration now);
+    bool evictResultsFor(std::size_t wantedBytes);
+    void expire(Timestamp now);
 
-    const std::size_t most_;
+    const std::size_t maxBytes_;
     std::size_t bytes_ = 0;
-    std::uint64_t results_ = 0;                          // kept so far
-    Table table_;                                        // emptied by time and by release
-    std::set<std::pair<Duration, std::string>> ends_;    // keys by when they run out
-    std::map<std::uint64_t, Table::iterator> byResult_;  // entries with a result, the oldest in front
+    std::uint64_t storedResults_ = 0;                       // so far
+    Table table_;                                           // emptied by time and by release
+    std::set<std::pair<Timestamp, std::string>> expiries_;  // keys by the end of their retention
+    std::map<std::uint64_t, Table::iterator> byResult_;     // entries with a result, the oldest in front
 };
 
 }  // namespace cottonwing::state
--- a/tests/crossings_test.cpp
+++ b/tests/request/crossings_test.cpp
@@ -1,5 +1,6 @@
-// Two events that cross: each test makes the bad order happen every time. docs/design/crossings.md lists
-// them.
+/// @file
+/// Pairs of events that may meet in an unexpected order: each test makes that order happen every time.
+/// docs/design/crossings.md lists them.
 #include <thread>
 
 #include "helpers.h"
@@ -18,7 +19,7 @@
 using testing::until;
 namespace frames = testing::frames;
 
-std::string command(std::int32_t sequence, int number) {
+std::string serveRequest(std::int32_t sequence, int number) {
     return frames::serve(sequence, Sidecar::fields(number), "body");
 }
 
@@ -40,8 +41,8 @@
     net::Listener listener;
 };
 
-// Closed over bytes that nobody had read, the connection was reset, and an answer on its way went with it.
-TEST(Ending, InOrderItEndsBehindItsOutputAndOverUnreadBytes) {
+// Closed with unread input, the connection was reset, and an answer on its way was lost with it.
+TEST(ConnectionEnding, AnOrderlyEndFollowsTheOutputAndDropsUnreadInput) {
     net::Loop loop;
     Accepted server(loop);
     RawClient client(server.listener.port());
@@ -63,7 +64,7 @@
     until(loop, [&] { return done; });
 }
 
-TEST(Ending, InOrderItDoesNotWaitForEverForTheOtherSide) {
+TEST(ConnectionEnding, AnOrderlyEndDoesNotWaitForEverForTheOtherSide) {
     net::Loop loop;
     Accepted server(loop);
     RawClient client(server.listener.port());
@@ -75,7 +76,7 @@
     EXPECT_TRUE(client.over());
 }
 
-TEST(Ending, ALoopThatEndsTakesWhatIsEndingWithIt) {
+TEST(ConnectionEnding, DestroyingTheLoopClosesConnectionsThatAreEnding) {
     auto loop = std::make_unique<net::Loop>();
     auto server = std::make_unique<Accepted>(*loop);
     RawClient client(server->listener.port());
@@ -86,9 +87,9 @@
     loop.reset();
 }
 
-// Found on soak: an honest sidecar's connection lives for most of an hour, and the eighth command that could
-// not be read closed it over all that was open on it.
-TEST(Crossings, WhatCannotBeReadDoesNotAddUpOverALongLife) {
+// Found in a long run: a client's connection lives for most of an hour, and the eighth malformed request
+// closed it with all that was open on it.
+TEST(Crossings, MalformedRequestsBetweenGoodOnesDoNotEndAConnection) {
     Stage on;
     on.bound();
     Sidecar sidecar(on.loop, on.port());
@@ -106,7 +107,7 @@
     EXPECT_FALSE(sidecar.gone);
 }
 
-TEST(Crossings, TooMuchThatCannotBeReadEndsAConnectionBehindWhatIsOpenOnIt) {
+TEST(Crossings, TooManyMalformedRequestsEndAConnectionAfterItsOpenRequests) {
     Stage on;
     on.bound();
     Sidecar sidecar(on.loop, on.port());
@@ -124,13 +125,13 @@
     on.expectBooksClosed();
 }
 
-TEST(Crossings, HalfAMessageEndsAConnectionBehindWhatIsOpenOnIt) {
+TEST(Crossings, AnIncompleteMessageEndsAConnectionAfterItsOpenRequests) {
     Stage on;
     on.bound();
     Sidecar sidecar(on.loop, on.port());
     const std::int32_t open = sidecar.ask(1);
     on.wait([&] { return on.pool.running.contains(Sidecar::trace(1)); });
-    sidecar.say(command(2, 2).substr(0, 20));
+    sidecar.say(serveRequest(2, 2).substr(0, 20));
     const Duration from = net::unixNow();
     on.wait([&] { return net::unixNow() - from > 1800ms; });
     EXPECT_FALSE(sidecar.gone);
@@ -140,24 +141,24 @@
     EXPECT_EQ(on.count(ConnectionEnd::TimedOut), 1U);
 }
 
-// A run's end and the next command under its id, read in one turn, were one command to the module; the second
-// was never answered. Where the command is read first, it is refused as it always was.
-TEST(Crossings, AnIdIsInHandUntilTheModuleHasHeardOfItsEnd) {
+// The end of a run and the next request under its id, read in one turn, were one request to the controller;
+// the second was never answered. Where the request is read first, it is refused as it always was.
+TEST(Crossings, AnIdStaysInUseUntilTheControllerHasProcessedItsEnd) {
     Stage on;
     on.bound();
     Sidecar sidecar(on.loop, on.port());
     const std::int32_t first = sidecar.ask(1);
     on.wait([&] { return on.pool.running.contains(Sidecar::trace(1)); });
     const std::int32_t second = sidecar.ask(1);
-    on.pool.finish(Sidecar::trace(1), "ok", "done");  // what is said last is written first
+    on.pool.finish(Sidecar::trace(1), "ok", "done");  // the worker pool's message is read first
     on.wait([&] { return sidecar.answers.contains(first) && sidecar.answers.contains(second); });
     EXPECT_EQ(sidecar.answers[first].body, "done");
     EXPECT_EQ(sidecar.answers[second].kind, "refusal");
     on.expectBooksClosed();
 }
 
-// No bound is set for the work to expect: rough hints beyond the hard stop were refused.
-TEST(Crossings, MoreWorkThanFitsIsNoReasonToRefuse) {
+// There is no bound for the expected work: rough hints beyond the class's timeout were refused.
+TEST(Crossings, ExpectedWorkBeyondTheTimeoutIsAccepted) {
     Stage on;
     on.bound();
     Sidecar sidecar(on.loop, on.port());
@@ -172,8 +173,9 @@
     EXPECT_EQ(on.count(Count::MalformedRequests), 0U);
 }
 
-// A client comes while all places are taken, and the one that is unused for longest has just written.
-TEST(Crossings, AConnectionThatHasJustWrittenDoesNotGiveWay) {
+// A client connects while the connection limit is reached, and the connection unused for longest has just
+// sent.
+TEST(Crossings, AConnectionWithUnreadInputIsNotEvicted) {
     Json start = testing::plainStart();
     start["limits"]["sockets"] = 64;
     Stage on(start);
@@ -187,9 +189,9 @@
     }
     const Duration from = net::unixNow();
     on.wait([&] { return net::unixNow() - from > 150ms; });
-    RawClient late(on.port());             // found first
-    clients.front()->send(command(2, 7));  // already there when a place is looked for
-    late.send(command(1, 8));
+    RawClient late(on.port());                  // noticed first
+    clients.front()->send(serveRequest(2, 7));  // already there when a connection to evict is searched
+    late.send(serveRequest(1, 8));
     on.wait([&] {
         return on.pool.running.contains(Sidecar::trace(7)) && on.pool.running.contains(Sidecar::trace(8));
     });
@@ -197,8 +199,9 @@
     EXPECT_FALSE(clients.front()->over());
 }
 
-// The link moves while notices lie on the old one: commands said last went with the reset of that one.
-TEST(Crossings, ALinkThatMovesEndsTheOldOneInOrder) {
+// The address changes while messages are unread on the old connection: messages sent last were lost with its
+// reset.
+TEST(Crossings, AWorkerPoolAddressChangeEndsTheOldConnectionInOrder) {
     net::Loop loop;
     std::ostringstream lines;
     telemetry::Log log(lines, telemetry::Level::Debug);
@@ -220,9 +223,9 @@
     EXPECT_NE(old.text.find("poll"), std::string::npos);
 }
 
-// Two configurations in a row, the first to where nobody listens: the link is down, or being opened, as it
-// moves.
-TEST(Crossings, ALinkMovesWhileThereIsNone) {
+// Two configurations in a row, the first to where nobody listens: the connection is down, or being opened, as
+// the address changes.
+TEST(Crossings, AWorkerPoolAddressChangesWhileThereIsNoConnection) {
     net::Loop loop;
     std::ostringstream lines;
     telemetry::Log log(lines, telemetry::Level::Debug);
@@ -234,13 +237,13 @@
                                        start.gaugeNames, 7, backend, log, counters);
     link.moveTo({"127.0.0.1", 1});  // while it is being opened
     until(loop, [&] { return counters.of(ConnectionEnd::ConnectRefused) > 0; });
-    link.moveTo(pool.server.address());  // while it waits to be opened again
+    link.moveTo(pool.server.address());  // while it waits to reconnect
     until(loop, [&] { return counters.of(Count::WorkerPoolConnections) == 1; });
     EXPECT_EQ(pool.binds.size(), 1U);
 }
 
-// SIGTERM before the first word of the machine: it stays told as draining when that comes up after all.
-TEST(Crossings, ToldToLeaveBeforeTheMachineIsThere) {
+// SIGTERM before the worker pool is ready: the server stays reported as draining when the pool comes up.
+TEST(Crossings, ShutdownBeforeTheExecutorIsReadyKeepsReportingDraining) {
     Stage on;
     on.pool.up = false;
     on.wait([&] { return on.pool.binds.size() == 1; });
@@ -262,8 +265,9 @@
     on.expectBooksClosed();
 }
 
-// SIGTERM and SIGHUP together: the registry of the new file hears of the drain, and of nothing else.
-TEST(Crossings, ANewRegistryHearsOfADrainThatIsUnderWay) {
+// SIGTERM and SIGHUP together: the registry of the new file learns that the server is draining, and nothing
+// else.
+TEST(Crossings, ANewRegistryAddressLearnsThatTheServerIsDraining) {
     Stage on;
     on.bound();
     testing::HttpStandIn other(on.loop, [](net::Connection&, const std::string&, const std::string&) {
@@ -282,20 +286,20 @@
     EXPECT_EQ(on.count(Count::Reloads), 2U);
 }
 
-Json leavesAtOnce() {
+Json startWithoutDrainGrace() {
     Json start = testing::plainStart();
     start["stop_ms"] = 6000;
     start["settings"]["obligations"]["drain_grace_us"] = 0;
     return start;
 }
 
-// Accepted by the system, and not by us when the listener went.
-TEST(Crossings, WhatWaitsAtTheListenerIsTakenInBeforeItCloses) {
-    Stage on(leavesAtOnce());
+// Accepted by the operating system, and not by the server when the listener closed.
+TEST(Crossings, ConnectionsThatWaitAtTheListenerAreAcceptedBeforeItCloses) {
+    Stage on(startWithoutDrainGrace());
     on.bound();
     on.program->leave();
     RawClient early(on.port());
-    early.send(command(1, 1));  // the loop has not turned since
+    early.send(serveRequest(1, 1));  // the loop has not turned since
     on.wait([&] { return on.count(Count::RequestsRead) == 1; });
     if (on.count(Count::Rejected) == 0) {  // it came in the very millisecond of the notice
         on.wait([&] { return on.pool.running.contains(Sidecar::trace(1)); });
@@ -305,9 +309,9 @@
     on.expectBooksClosed();
 }
 
-// A turn that begins past the time to close a connection that was sent away, with a command on it unread.
-TEST(Crossings, AConnectionSentAwayIsNotClosedOverACommand) {
-    Stage on(leavesAtOnce());
+// A turn that begins past the time to close a draining connection, with a request on it unread.
+TEST(Crossings, ADrainingConnectionIsNotClosedWithAnUnreadRequest) {
+    Stage on(startWithoutDrainGrace());
     on.bound();
     RawClient client(on.port());
     client.send(frames::isWell(1, false));
@@ -316,7 +320,7 @@
     on.program->leave();
     on.wait([&] { return client.text.find("goaway") != client.text.npos || client.receive() > 0; });
     std::this_thread::sleep_for(1100ms);
-    client.send(command(2, 1));
+    client.send(serveRequest(2, 1));
     on.wait([&] { return client.over(); });
     EXPECT_TRUE(client.ended);
     EXPECT_EQ(on.count(Count::Rejected), 1U);
--- a/tests/server_test.cpp
+++ b/tests/server_test.cpp
@@ -505,12 +505,12 @@
     start["limits"]["sockets"] = "many";
     on.readAgain(start);
     EXPECT_EQ(on.count(Count::ReloadsRejected), 1U);
-    EXPECT_NE(on.lines.str().find("refused whole: limits.sockets: "), std::string::npos);
+    EXPECT_NE(on.lines.str().find("configuration rejected: error=limits.sockets: "), std::string::npos);
     start["limits"]["sockets"] = 300;
     on.readAgain(start);
     on.readAgain(start);  // nothing is new now
     EXPECT_EQ(on.count(Count::Reloads), 2U);
-    EXPECT_NE(on.lines.str().find("limits: needs a new start"), std::string::npos);
+    EXPECT_NE(on.lines.str().find("change ignored until restart: key=limits"), std::string::npos);
     on.wait([&] { return pool.running.contains(Sidecar::trace(1)) && !registry.bodies.empty(); });
     EXPECT_EQ(pool.binds.size(), 1U);
     EXPECT_EQ(pool.binds[0]["n"], on.pool.last);  // notices go on where they were
