--- a/src/thrift/binary_protocol.h
+++ b/src/thrift/binary_protocol.h
@@ -40,6 +40,12 @@
 inline constexpr std::uint32_t kVersionMask = 0xffffff00U;
 inline constexpr std::uint32_t kKindMask = 0xffU;
 
+/// How deep a value is nested in others.
+struct Depth {
+    int value = 0;
+    Depth next() const { return {value + 1}; }
+};
+
 /// Values nested deeper than this are malformed, so that no message exhausts the stack.
 inline constexpr int kMaxDepth = 16;
 
@@ -81,8 +87,8 @@
     std::string_view string() { return bytes(length()); }
 
     /// Passes over a value of a type.
-    void skip(std::uint8_t type, int depth = 0) {
-        if (depth > kMaxDepth) return fail();
+    void skip(std::uint8_t type, Depth depth = {}) {
+        if (depth.value > kMaxDepth) return fail();
         switch (type) {
             case kBool:
             case kByte:
@@ -123,7 +129,7 @@
         while (const std::uint8_t type = byte()) {
             const auto id = static_cast<std::int16_t>(number(2));
             if (!good_) return;
-            if (!take(id, type)) skip(type, 1);
+            if (!take(id, type)) skip(type, Depth{1});
         }
     }
 
@@ -136,8 +142,8 @@
         Fields result;
         for (std::uint32_t i = 0; good_ && i < count; ++i) {
             if (!holdsTexts) {
-                skip(keyType, 2);
-                skip(valueType, 2);
+                skip(keyType, Depth{2});
+                skip(valueType, Depth{2});
                 continue;
             }
             const std::string_view name = string();
@@ -151,24 +157,24 @@
 private:
     std::uint32_t length() { return static_cast<std::uint32_t>(number(4)); }
 
-    void skipStruct(int depth) {
+    void skipStruct(Depth depth) {
         while (const std::uint8_t type = byte()) {
             bytes(2);
-            skip(type, depth + 1);
+            skip(type, depth.next());
         }
     }
     // Every entry of a map or list is at least a byte long, so a huge count ends at the end of the frame.
-    void skipMap(int depth) {
+    void skipMap(Depth depth) {
         const std::uint8_t keyType = byte();
         const std::uint8_t valueType = byte();
         for (std::uint32_t left = length(); good_ && left > 0; --left) {
-            skip(keyType, depth + 1);
-            skip(valueType, depth + 1);
+            skip(keyType, depth.next());
+            skip(valueType, depth.next());
         }
     }
-    void skipList(int depth) {
+    void skipList(Depth depth) {
         const std::uint8_t elementType = byte();
-        for (std::uint32_t left = length(); good_ && left > 0; --left) skip(elementType, depth + 1);
+        for (std::uint32_t left = length(); good_ && left > 0; --left) skip(elementType, depth.next());
     }
 
     std::string_view rest_;
@@ -185,6 +191,7 @@
         number(static_cast<std::uint32_t>(sequence), 4);
     }
     /// The lower bytes of a number, so many.
+    // NOLINTNEXTLINE(bugprone-easily-swappable-parameters): callers give the width as a literal, and last.
     void number(std::uint64_t value, int width) {
         for (int shift = 8 * (width - 1); shift >= 0; shift -= 8)
             bytes_.push_back(static_cast<char>(value >> shift & 0xff));
--- a/src/thrift/codec.cpp
+++ b/src/thrift/codec.cpp
@@ -19,9 +19,7 @@
 constexpr std::uint16_t kApplicationExceptionCode = 2;
 
 // The fields of a result: exactly one of them is set.
-constexpr std::uint16_t kResultAnswer = 0;
-constexpr std::uint16_t kResultBusy = 1;
-constexpr std::uint16_t kResultFailed = 2;
+enum class ResultField : std::uint16_t { Answer = 0, Busy = 1, Failed = 2 };
 
 Method methodNamed(std::string_view name) {
     if (name == wire::kServeMethod) return Method::Serve;
@@ -57,10 +55,12 @@
     return false;
 }
 
+void beginResult(Writer& out, ResultField field) { out.field(kStruct, static_cast<std::uint16_t>(field)); }
+
 // A reply that holds one exception of the service: its field in the result, and the map in it.
-std::string writeException(std::int32_t sequence, std::uint16_t resultField, const Fields& fields) {
+std::string writeException(std::int32_t sequence, ResultField resultField, const Fields& fields) {
     Writer out(kReply, wire::kServeMethod, sequence);
-    out.field(kStruct, resultField);
+    beginResult(out, resultField);
     out.field(kMap, kExceptionFields);
     out.map(fields);
     out.stop();
@@ -98,7 +98,7 @@
 std::string writeAnswer(std::string_view method, std::int32_t sequence, std::string_view body,
                         const Fields& fields, bool good) {
     Writer out(kReply, method, sequence);
-    out.field(kStruct, kResultAnswer);
+    beginResult(out, ResultField::Answer);
     out.field(kString, kAnswerBody);
     out.string(body);
     out.field(kMap, kAnswerFields);
@@ -111,10 +111,10 @@
 }
 
 std::string writeBusy(std::int32_t sequence, const Fields& fields) {
-    return writeException(sequence, kResultBusy, fields);
+    return writeException(sequence, ResultField::Busy, fields);
 }
 std::string writeFailed(std::int32_t sequence, const Fields& fields) {
-    return writeException(sequence, kResultFailed, fields);
+    return writeException(sequence, ResultField::Failed, fields);
 }
 
 std::string writeApplicationException(std::string_view method, std::int32_t sequence, ApplicationError error,
--- /dev/null
+++ b/src/thrift/connection_table.cpp
@@ -0,0 +1,71 @@
+#include "thrift/connection_table.h"
+
+#include <iterator>
+#include <utility>
+
+namespace cottonwing::thrift {
+
+namespace {
+
+using namespace std::chrono_literals;
+
+// Of the places, one in so many is for connections that never sent a whole message.
+constexpr std::size_t kNewConnectionsDivisor = 4;
+
+// One that was accepted so short ago may be about to send, and one that was answered so short ago may have
+// yet to read the answer.
+constexpr Duration kRecently = 100ms;
+
+}  // namespace
+
+void ConnectionTable::add(std::shared_ptr<ThriftConnection> connection) {
+    new_.push_back(std::move(connection));
+    new_.back()->position_ = std::prev(new_.end());
+}
+
+void ConnectionTable::identify(ThriftConnection& connection) {
+    if (connection.identified_) return;
+    connection.identified_ = true;
+    identified_.splice(identified_.end(), new_, connection.position_);
+}
+
+void ConnectionTable::touch(ThriftConnection& connection, Timestamp now) {
+    connection.lastUsedAt_ = now;
+    if (connection.identified_) identified_.splice(identified_.end(), identified_, connection.position_);
+}
+
+void ConnectionTable::remove(ThriftConnection& connection) {
+    (connection.identified_ ? identified_ : new_).erase(connection.position_);
+}
+
+AcceptDecision ConnectionTable::decideAccept(std::size_t closing, Timestamp now) const {
+    using Action = AcceptDecision::Action;
+    const bool full = size() + closing >= capacity_;
+    if (!full && new_.size() * kNewConnectionsDivisor < capacity_) return {Action::Accept};
+    if (ThriftConnection* const silent = findSilent(now)) return {Action::EvictAndAccept, silent};
+    if (!full) return {Action::Accept};
+    ThriftConnection* const idle = findIdle();
+    if (idle == nullptr) return {Action::Wait};
+    const bool maybeUnreadAnswer = now - idle->lastUsedAt() < kRecently || idle->hasOutput();
+    if (!maybeUnreadAnswer) return {Action::EvictAndAccept, idle};
+    if (closing == 0) return {Action::CloseIdleThenWait, idle};
+    return {Action::Wait};
+}
+
+// One whose bytes lie in the system unread is not silent.
+ThriftConnection* ConnectionTable::findSilent(Timestamp now) const {
+    for (const auto& connection : new_) {
+        if (now - connection->acceptedAt() < kRecently) return nullptr;
+        if (!connection->hasUnread()) return connection.get();
+    }
+    return nullptr;
+}
+
+ThriftConnection* ConnectionTable::findIdle() const {
+    for (const auto& connection : identified_) {
+        if (connection->isIdle()) return connection.get();
+    }
+    return nullptr;
+}
+
+}  // namespace cottonwing::thrift
--- /dev/null
+++ b/src/thrift/thrift_connection.cpp
@@ -0,0 +1,107 @@
+#include "thrift/thrift_connection.h"
+
+#include <utility>
+
+#include "thrift/codec.h"
+
+namespace cottonwing::thrift {
+
+namespace {
+
+using namespace std::chrono_literals;
+
+constexpr std::size_t kMaxOpenRequests = 32;
+constexpr std::size_t kInputBytes = 32 << 10;
+constexpr std::size_t kOutputBytes = 256 << 10;
+constexpr int kMaxProtocolErrors = 8;
+constexpr Duration kMessageTimeout = 1500ms;  // from a message's first byte to its last
+constexpr Duration kOutputTimeout = 2s;       // with output that nobody takes
+constexpr Duration kDrainTimeout = 1s;        // for the client to close an idle connection after goaway
+
+}  // namespace
+
+ThriftConnection::ThriftConnection(net::Loop& loop, uv_stream_t* listener, Handler& handler,
+                                   std::shared_ptr<net::Total> total)
+    : handler_(handler),
+      connection_(loop, listener, *this, {kInputBytes, kOutputBytes, std::move(total)}),
+      acceptedAt_(net::unixNow()),
+      lastUsedAt_(acceptedAt_) {}
+
+void ThriftConnection::arrived(net::Connection& /*connection*/) { handler_.inputArrived(*this); }
+
+void ThriftConnection::ended(net::Connection& /*connection*/, net::ConnectionEnd end) {
+    handler_.connectionEnded(*this, end);
+}
+
+// Bytes that complete nothing do not count as traffic, and do not prolong the message's time.
+void ThriftConnection::noteIncompleteMessage(bool newMessage, Timestamp now) {
+    if (input().empty())
+        messageBegunAt_.reset();
+    else if (newMessage || !messageBegunAt_)
+        messageBegunAt_ = now;
+}
+
+bool ThriftConnection::isMessageOverdue(Timestamp now) const {
+    return messageBegunAt_ && now - *messageBegunAt_ >= kMessageTimeout;
+}
+
+void ThriftConnection::stopReading(net::ConnectionEnd reason) {
+    readingStopped_ = reason;
+    messageBegunAt_.reset();
+    connection_.stopReading();
+}
+
+bool ThriftConnection::hasTooManyProtocolErrors() const { return protocolErrors_ >= kMaxProtocolErrors; }
+
+bool ThriftConnection::canOpenRequest(std::int32_t sequence) const {
+    return !openRequests_.contains(sequence) && openRequests_.size() < kMaxOpenRequests;
+}
+
+std::optional<RequestId> ThriftConnection::closeRequest(std::int32_t sequence) {
+    const auto open = openRequests_.find(sequence);
+    if (open == openRequests_.end()) return std::nullopt;
+    const RequestId id = open->second;
+    openRequests_.erase(open);
+    return id;
+}
+
+std::map<std::int32_t, RequestId> ThriftConnection::closeAllRequests() {
+    return std::exchange(openRequests_, {});
+}
+
+bool ThriftConnection::isIdle() const {
+    return openRequests_.empty() && connection_.input().empty() && !connection_.hasUnread();
+}
+
+void ThriftConnection::send(const std::string& frame) {
+    connection_.send(frame);
+    if (outputTakenAt_) return;
+    outputTakenAt_ = lastUsedAt_;
+    outputBytes_ = 0;
+}
+
+void ThriftConnection::observeOutput(Timestamp now) {
+    const std::size_t bytes = connection_.output().size();
+    if (bytes == 0)
+        outputTakenAt_.reset();
+    else if (bytes < outputBytes_)
+        outputTakenAt_ = now;
+    outputBytes_ = bytes;
+}
+
+bool ThriftConnection::isOutputStalled(Timestamp now) const {
+    return outputTakenAt_ && now - *outputTakenAt_ >= kOutputTimeout;
+}
+
+// The goaway is no traffic: it does not count as use of the connection.
+void ThriftConnection::drain(Timestamp now) {
+    if (drainingSince_) return;
+    drainingSince_ = now;
+    connection_.send(writeGoaway());
+}
+
+bool ThriftConnection::isDrainOverdue(Timestamp now) const {
+    return drainingSince_ && now - *drainingSince_ >= kDrainTimeout && isIdle();
+}
+
+}  // namespace cottonwing::thrift
--- a/src/thrift/thrift_server.cpp
+++ b/src/thrift/thrift_server.cpp
@@ -1,7 +1,10 @@
 #include "thrift/thrift_server.h"
 
 #include <charconv>
-#include <cmath>
+#include <utility>
+#include <variant>
+
+#include "thrift/wire_names.h"
 
 namespace cottonwing::thrift {
 
@@ -10,348 +13,327 @@
 using namespace std::chrono_literals;
 using telemetry::Count;
 
-constexpr std::size_t kMostOpen = 32;  // commands on one connection
-constexpr std::size_t kInput = 32 << 10, kOutput = 256 << 10;
-constexpr int kMessagesATurn = 64;  // of one connection; the rest waits for its next turn
-constexpr int kMostStrikes = 8;     // messages of one connection that are refused before it is closed
-// A connection that has yet to send one whole message, and one that has begun a message, get this long.
-constexpr Duration kFirstWord = 1500ms, kWholeMessage = 1500ms;
-constexpr Duration kWrites = 2s;   // output that nobody takes ends its connection
-constexpr Duration kDrained = 1s;  // after goaway, before an idle connection is closed
-constexpr Duration kTend = 100ms;
-constexpr std::size_t kUnidentified =
-    4;  // of the places, one in so many is for those that never said anything whole
-
-std::string text(double value) {
+constexpr char kLogComponent[] = "sidecar";        // as on-call pages and alerts know it
+constexpr std::size_t kMaxLoggedNameBytes = 40;    // of a method that the client named
+constexpr int kMaxMessagesPerTurn = 64;            // of one connection; the rest waits for its next turn
+constexpr Duration kFirstMessageTimeout = 1500ms;  // from the acceptance to the first whole message
+constexpr Duration kSweepInterval = 100ms;
+constexpr int kLoadShareDecimals = 4;
+
+std::string toText(double value) {
     char digits[32];
-    const auto end = std::to_chars(digits, digits + sizeof digits, value, std::chars_format::fixed, 4).ptr;
+    const auto end =
+        std::to_chars(digits, digits + sizeof digits, value, std::chars_format::fixed, kLoadShareDecimals)
+            .ptr;
     return {digits, end};
 }
 
 }  // namespace
 
-struct ThriftServer::Line : private net::Owner {
-    Line(ThriftServer& theSidecars, uv_stream_t* listener)
-        : sidecars(theSidecars),
-          connection(theSidecars.loop_, listener, *this, {kInput, kOutput, theSidecars.total_}) {}
-    void arrived(net::Connection&) override { sidecars.read(*this); }
-    void ended(net::Connection&, net::ConnectionEnd end) override { sidecars.end(*this, end); }
-
-    ThriftServer& sidecars;
-    net::Connection connection;
-    std::map<std::int32_t, RequestId> open;  // by sequence number
-    Duration since{0}, used{0};              // accepted; last traffic
-    Duration begun{0};                       // when the message began that is not whole yet; 0: none is
-    Duration stuck{0};                       // when the output was last seen to be taken; 0: there is none
-    std::size_t unread = 0;                  // output at that time
-    Duration drainedAt{0};                   // when goaway was sent; 0: it was not
-    int strikes = 0;
-    std::optional<net::ConnectionEnd> barred;  // why nothing more is read: it ends when all is answered
-    bool known = false;                        // one whole message has come
-    Lines::iterator place;
-};
-
-ThriftServer::ThriftServer(net::Loop& loop, const net::Address& at, const config::ResourceLimits& shares,
-                           config::NameTables names, const std::vector<RequestClass>& profiles,
-                           bool patienceTold, request::RequestManager& backend, telemetry::Log& log,
+ThriftServer::ThriftServer(net::Loop& loop, const net::Address& at, const config::ResourceLimits& limits,
+                           config::NameTables names, const std::vector<RequestClass>& requestClasses,
+                           bool timeoutRequired, request::RequestManager& requests, telemetry::Log& log,
                            telemetry::Counters& counters)
     : loop_(loop),
-      most_(shares.thriftConnections),
-      total_(std::make_shared<net::Total>(net::Total{shares.thriftBytes})),
-      decoder_(std::move(names), profiles, patienceTold),
-      backend_(backend),
+      total_(std::make_shared<net::Total>(net::Total{limits.thriftBytes})),
+      decoder_(std::move(names), requestClasses, timeoutRequired),
+      requests_(requests),
       log_(log),
       counters_(counters),
-      tend_(loop, [this] { tend(); }),
+      connections_(limits.thriftConnections),
+      sweepTimer_(loop, [this] { sweep(); }),
       listener_(std::make_unique<net::Listener>(
           loop, at, [this](uv_stream_t* listener) { accept(listener); }, [this] { return !makeRoom(); })) {
-    tend_.start(kTend);
+    sweepTimer_.start(kSweepInterval);
 }
 
 ThriftServer::~ThriftServer() = default;
 
+// Accepting.
+
 void ThriftServer::accept(uv_stream_t* listener) {
-    unidentified_.push_back(std::make_shared<Line>(*this, listener));
-    Line& line = *unidentified_.back();
-    line.place = std::prev(unidentified_.end());
-    line.since = line.used = net::unixNow();
+    ThriftConnection::Handler& handler = *this;
+    connections_.add(std::make_shared<ThriftConnection>(loop_, listener, handler, total_));
     counters_.add(Count::ConnectionsOpened);
 }
 
-// Who may hold a place: one that never said anything whole may not for long, and not many of them may; one
-// with nothing open gives way to whoever comes, the longest unused first. Commands in hand keep theirs.
 bool ThriftServer::makeRoom() {
-    const bool full = connections() >= most_;
-    if (!full && unidentified_.size() * kUnidentified < most_) return true;
-    const Duration now = net::unixNow();
-    // Those that came this moment may be about to speak, or their words are in that no turn has read.
-    for (const auto& line : unidentified_) {
-        if (now - line->since < kTend) break;
-        if (line->connection.hasUnread()) continue;
-        evict(*line);
-        return true;
-    }
-    if (!full) return true;
-    for (const auto& line : lines_) {
-        if (!atRest(*line)) continue;
-        // One that was answered just now may have yet to read it. Its place is free when it has.
-        if (now - line->used < kTend || !line->connection.output().empty()) {
-            if (*ending_ == 0) finish(*line, net::ConnectionEnd::Unused);
+    using Action = AcceptDecision::Action;
+    const AcceptDecision decision = connections_.decideAccept(*closing_, net::unixNow());
+    switch (decision.action) {
+        case Action::Accept:
+            return true;
+        case Action::EvictAndAccept:
+            evict(*decision.connection);
+            return true;
+        case Action::CloseIdleThenWait:
+            finish(*decision.connection, net::ConnectionEnd::Unused);
+            return false;
+        case Action::Wait:
             return false;
-        }
-        evict(*line);
-        return true;
     }
     return false;
 }
 
-void ThriftServer::evict(Line& line) {
+void ThriftServer::evict(ThriftConnection& connection) {
     counters_.add(Count::ConnectionsEvicted);
-    end(line, net::ConnectionEnd::Unused);
+    abort(connection, net::ConnectionEnd::Unused);
 }
 
-// Nothing is open on it, and nothing has arrived that was not read yet.
-bool ThriftServer::atRest(const Line& line) const {
-    return line.open.empty() && line.connection.input().empty() && !line.connection.hasUnread();
+void ThriftServer::resumeAccepting() {
+    if (listener_) listener_->resume();
 }
 
-void ThriftServer::touch(Line& line) {
-    line.used = net::unixNow();
-    if (line.known) lines_.splice(lines_.end(), lines_, line.place);
-}
+// Reading.
 
-void ThriftServer::read(Line& line) {
-    if (line.barred) return;
-    net::Ring& input = line.connection.input();
+void ThriftServer::inputArrived(ThriftConnection& connection) {
+    if (connection.readingStopped()) return;
     for (int messages = 0;; ++messages) {
-        if (messages == kMessagesATurn || line.connection.halfFull()) return line.connection.readOnLater();
+        if (messages == kMaxMessagesPerTurn || connection.isOutputHalfFull()) return connection.readOnLater();
         std::size_t length = 0;
-        const FrameState state = lookForFrame(input, length);
-        if (state == FrameState::Partial) {
-            // Bytes that complete nothing do not count as traffic.
-            if (input.empty())
-                line.begun = 0ns;
-            else if (messages > 0 || line.begun == 0ns)
-                line.begun = net::unixNow();
-            return;
-        }
-        std::optional<Message> message;
-        if (state == FrameState::Whole) {
-            message = readMessage(input.peek(4 + length, scratch_).substr(4));
-            input.drop(4 + length);
-        }
-        if (message && !line.known) {
-            line.known = true;
-            lines_.splice(lines_.end(), unidentified_, line.place);
-        }
-        if (message) touch(line);
-        if (!message || !take(line, *message)) {
-            counters_.add(Count::MalformedFrames);
-            log_.warn("sidecar",
-                      state == FrameState::TooLong ? "a frame is too long" : "a frame is malformed");
-            return end(line, state == FrameState::TooLong ? net::ConnectionEnd::TooLong
-                                                          : net::ConnectionEnd::Malformed);
-        }
-        // One that goes on asking for what can't be read, or the same again as soon as it is turned away.
-        if (line.strikes >= kMostStrikes) return bar(line, net::ConnectionEnd::Malformed);
+        const FrameState state = lookForFrame(connection.input(), length);
+        if (state == FrameState::Partial)
+            return connection.noteIncompleteMessage(messages > 0, net::unixNow());
+        if (state == FrameState::TooLong) return abortMalformed(connection, net::ConnectionEnd::TooLong);
+        const std::optional<Message> message = takeMessage(connection, length);
+        if (!message || !handle(connection, *message))
+            return abortMalformed(connection, net::ConnectionEnd::Malformed);
+        if (connection.hasTooManyProtocolErrors())
+            return connection.stopReading(net::ConnectionEnd::Malformed);
     }
 }
 
-// False when the connection can't go on.
-bool ThriftServer::take(Line& line, const Message& message) {
+// The next message, of which the input holds the whole frame; nothing when it is malformed.
+std::optional<Message> ThriftServer::takeMessage(ThriftConnection& connection, std::size_t length) {
+    const std::size_t frameBytes = kFrameHeaderBytes + length;
+    net::Ring& input = connection.input();
+    std::optional<Message> message = readMessage(input.peek(frameBytes, scratch_).substr(kFrameHeaderBytes));
+    input.drop(frameBytes);
+    if (!message) return std::nullopt;
+    connections_.identify(connection);
+    connections_.touch(connection, net::unixNow());
+    return message;
+}
+
+void ThriftServer::abortMalformed(ThriftConnection& connection, net::ConnectionEnd end) {
+    counters_.add(Count::MalformedFrames);
+    log_.warn(kLogComponent,
+              end == net::ConnectionEnd::TooLong ? "a frame is too long" : "a frame is malformed");
+    abort(connection, end);
+}
+
+// False when the message breaks the protocol, and the connection can't go on.
+bool ThriftServer::handle(ThriftConnection& connection, const Message& message) {
     switch (message.method) {
         case Method::Serve:
-            if (message.oneway || line.open.contains(message.sequence) || line.open.size() >= kMostOpen)
-                return false;
-            takeCommand(line, message);
+            if (message.oneway || !connection.canOpenRequest(message.sequence)) return false;
+            handleRequest(connection, message);
             return true;
-        case Method::Forget: {
-            counters_.add(Count::CancelMessages);
-            const auto open = line.open.find(message.cancelledSequence.value_or(0));
-            if (open == line.open.end()) return true;  // answered already
-            const RequestId id = open->second;
-            line.open.erase(open);
-            inFlight_.erase(id);
-            backend_.clientCancelled(id);
+        case Method::Forget:
+            handleCancel(connection, message);
             return true;
-        }
         case Method::IsWell:
-            counters_.add(Count::HealthChecks);
-            if (message.oneway || !message.deepHealthCheck) {
-                if (!message.oneway) tellHealth(line, message.sequence, backend_.healthy());
-                return true;
-            }
-            // The connection may end before the work does.
-            backend_.checkWorkGetsDone(
-                [this, asked = std::weak_ptr(*line.place), sequence = message.sequence](bool good) {
-                    if (const auto still = asked.lock()) tellHealth(*still, sequence, good);
-                });
+            handleHealthCheck(connection, message);
             return true;
         case Method::Unknown:
-            if (!message.oneway) refuse(line, message, ApplicationError::UnknownMethod, "no such method");
+            if (!message.oneway)
+                refuse(connection, message, ApplicationError::UnknownMethod, "no such method");
             return true;
     }
     return false;
 }
 
-void ThriftServer::takeCommand(Line& line, const Message& message) {
+void ThriftServer::handleRequest(ThriftConnection& connection, const Message& message) {
     auto decoded = decoder_.decode(message, net::unixNow());
     if (const auto* const error = std::get_if<RequestError>(&decoded))
-        return refuse(line, message, ApplicationError::Internal, textOf(*error));
+        return refuse(connection, message, ApplicationError::Internal, textOf(*error));
     auto& incoming = std::get<request::IncomingRequest>(decoded);
     const RequestId id = incoming.request.id;
-    if (backend_.contains(id))
-        return refuse(line, message, ApplicationError::Internal, textOf(RequestError::RequestInProgress));
-    line.open.emplace(message.sequence, id);
-    inFlight_[id] = {&line, message.sequence};
-    backend_.accept(std::move(incoming));
+    if (requests_.contains(id))
+        return refuse(connection, message, ApplicationError::Internal,
+                      textOf(RequestError::RequestInProgress));
+    connection.openRequest(message.sequence, id);
+    inFlight_[id] = {&connection, message.sequence};
+    requests_.accept(std::move(incoming));
 }
 
-void ThriftServer::refuse(Line& line, const Message& message, ApplicationError kind, const std::string& why) {
-    counters_.add(Count::MalformedRequests);
-    log_.warn("sidecar", message.name.substr(0, 40) + " refused: " + why);
-    write(line, writeApplicationException(message.name, message.sequence, kind, why));
-    ++line.strikes;
+// Without effect when the request is answered already: the answer crossed the message.
+void ThriftServer::handleCancel(ThriftConnection& connection, const Message& message) {
+    counters_.add(Count::CancelMessages);
+    const auto id = connection.closeRequest(message.cancelledSequence.value_or(0));
+    if (!id) return;
+    inFlight_.erase(*id);
+    requests_.clientCancelled(*id);
 }
 
-void ThriftServer::tellHealth(Line& line, std::int32_t sequence, bool good) {
-    write(line, writeAnswer("isWell", sequence, {}, advice(), good));
+void ThriftServer::handleHealthCheck(ThriftConnection& connection, const Message& message) {
+    counters_.add(Count::HealthChecks);
+    if (message.oneway) return;  // nobody waits for the answer
+    if (!message.deepHealthCheck) return answerHealthCheck(connection, message.sequence, requests_.healthy());
+    // The connection may end before the work does.
+    requests_.checkWorkGetsDone(
+        [this, weak = connection.weak_from_this(), sequence = message.sequence](bool healthy) {
+            if (const auto still = weak.lock()) answerHealthCheck(*still, sequence, healthy);
+        });
 }
 
-Fields ThriftServer::advice() const {
-    Fields fields;
-    if (const auto value = backend_.advertisedLoadShare()) fields.emplace("advice", text(*value));
-    return fields;
+void ThriftServer::refuse(ThriftConnection& connection, const Message& message, ApplicationError error,
+                          const std::string& reason) {
+    counters_.add(Count::MalformedRequests);
+    log_.warn(kLogComponent, message.name.substr(0, kMaxLoggedNameBytes) + " refused: " + reason);
+    send(connection, writeApplicationException(message.name, message.sequence, error, reason));
+    connection.addProtocolError();
 }
 
+// Answering.
+
 void ThriftServer::completed(RequestId id, std::string_view result) {
-    // What is worth handling makes good for what could not be read, on a connection that lives for long.
-    if (const auto place = inFlight_.find(id); place != inFlight_.end()) place->second.line->strikes = 0;
-    answer(id, [&](std::int32_t sequence) { return writeAnswer("serve", sequence, result, advice(), true); });
+    if (const auto found = inFlight_.find(id); found != inFlight_.end())
+        found->second.connection->forgiveProtocolErrors();
+    answer(id, [&](std::int32_t sequence) {
+        return writeAnswer(wire::kServeMethod, sequence, result, loadShareFields(), true);
+    });
 }
 
 void ThriftServer::rejected(RequestId id, const Pushback& pushback) {
-    Fields fields = advice();
-    if (pushback.retryAfter >= 1ms) fields.emplace("pause", std::to_string(pushback.retryAfter / 1ms));
-    if (!pushback.retryElsewhere) fields.emplace("terminal", "1");
+    Fields fields = loadShareFields();
+    if (pushback.retryAfter >= 1ms)
+        fields.emplace(wire::kRetryAfterMs, std::to_string(pushback.retryAfter / 1ms));
+    if (!pushback.retryElsewhere) fields.emplace(wire::kNoRetryElsewhere, wire::kNoRetryElsewhereValue);
     answer(id, [&](std::int32_t sequence) { return writeBusy(sequence, fields); });
 }
 
 void ThriftServer::failed(RequestId id) {
-    answer(id, [&](std::int32_t sequence) { return writeFailed(sequence, advice()); });
+    answer(id, [&](std::int32_t sequence) { return writeFailed(sequence, loadShareFields()); });
 }
 
 void ThriftServer::unknownToExecutor(RequestId id) {
-    if (const auto place = inFlight_.find(id); place != inFlight_.end()) ++place->second.line->strikes;
+    if (const auto found = inFlight_.find(id); found != inFlight_.end())
+        found->second.connection->addProtocolError();
     failed(id);
 }
 
-// The one place where a command's place is freed by an answer.
+// The one place where an open request is closed by an answer.
 void ThriftServer::answer(RequestId id, const std::function<std::string(std::int32_t)>& frame) {
-    const auto place = inFlight_.find(id);
-    if (place == inFlight_.end()) return;
-    const auto [line, sequence] = place->second;
-    inFlight_.erase(place);
-    line->open.erase(sequence);
-    write(*line, frame(sequence));
+    const auto found = inFlight_.find(id);
+    if (found == inFlight_.end()) return;
+    const auto [connection, sequence] = found->second;
+    inFlight_.erase(found);
+    connection->closeRequest(sequence);
+    send(*connection, frame(sequence));
 }
 
-void ThriftServer::write(Line& line, const std::string& frame) {
-    touch(line);
-    line.connection.send(frame);
-    if (line.stuck == 0ns) {
-        line.stuck = line.used;
-        line.unread = 0;
-    }
+void ThriftServer::answerHealthCheck(ThriftConnection& connection, std::int32_t sequence, bool healthy) {
+    send(connection, writeAnswer(wire::kHealthCheckMethod, sequence, {}, loadShareFields(), healthy));
 }
 
-void ThriftServer::end(Line& line, net::ConnectionEnd end) {
-    counters_.addEnd(end);
-    log_.debug("sidecar", std::string("connection ended: ") + net::nameOf(end));
-    line.connection.writeLast();
-    forgetAll(line);
-    if (listener_) listener_->resume();
+void ThriftServer::send(ThriftConnection& connection, const std::string& frame) {
+    connections_.touch(connection, net::unixNow());
+    connection.send(frame);
+}
+
+Fields ThriftServer::loadShareFields() const {
+    Fields fields;
+    if (const auto value = requests_.advertisedLoadShare())
+        fields.emplace(wire::kAdvertisedLoadShare, toText(*value));
+    return fields;
+}
+
+// Ending.
+
+void ThriftServer::connectionEnded(ThriftConnection& connection, net::ConnectionEnd end) {
+    abort(connection, end);
 }
 
-void ThriftServer::finish(Line& line, net::ConnectionEnd end) {
+// At once, without waiting for the other side.
+void ThriftServer::abort(ThriftConnection& connection, net::ConnectionEnd end) {
     counters_.addEnd(end);
-    log_.debug("sidecar", std::string("connection ends in order: ") + net::nameOf(end));
-    ++*ending_;
-    line.connection.finish([this, left = std::weak_ptr<std::size_t>(ending_)] {
-        const auto ending = left.lock();
-        if (!ending) return;  // we are gone ourselves
-        --*ending;
-        if (listener_) listener_->resume();
-    });
-    forgetAll(line);
+    log_.debug(kLogComponent, std::string("connection ended: ") + net::nameOf(end));
+    connection.writeLast();
+    remove(connection);
+    resumeAccepting();
 }
 
-// One that is not to be read from any more, for what it sent or failed to send. What it has open is answered
-// first: the commands of an honest sidecar are not lost for a message that we can't bear with.
-void ThriftServer::bar(Line& line, net::ConnectionEnd end) {
-    line.barred = end;
-    line.begun = 0ns;
-    line.connection.stopReading();
+// In order: answers that are on their way still go, and the end of the connection tells the client what
+// became of a request that crosses it.
+void ThriftServer::finish(ThriftConnection& connection, net::ConnectionEnd end) {
+    counters_.addEnd(end);
+    log_.debug(kLogComponent, std::string("connection ends in order: ") + net::nameOf(end));
+    ++*closing_;
+    connection.finish([this, weak = std::weak_ptr<std::size_t>(closing_)] {
+        const auto closing = weak.lock();
+        if (!closing) return;  // the server is gone
+        --*closing;
+        resumeAccepting();
+    });
+    remove(connection);
 }
 
-// The connection is out of every table, and those who waited on it have left.
-void ThriftServer::forgetAll(Line& line) {
-    const auto open = std::move(line.open);
-    for (const auto& [sequence, id] : open) {
+// Its open requests are cancelled, and it is destroyed.
+void ThriftServer::remove(ThriftConnection& connection) {
+    for (const auto& [sequence, id] : connection.closeAllRequests()) {
         inFlight_.erase(id);
-        backend_.clientCancelled(id);
+        requests_.clientCancelled(id);
     }
-    (line.known ? lines_ : unidentified_).erase(line.place);
+    connections_.remove(connection);
 }
 
-// Looks at all connections, whose number is bounded, ten times a second: one without words, one that is too
-// slow with a message or at taking its answers, and one that was told to drain and stays, goes.
-void ThriftServer::tend() {
-    const Duration now = net::unixNow();
-    tend_.start(kTend);
-    while (!unidentified_.empty() && now - unidentified_.front()->since >= kFirstWord)
-        finish(*unidentified_.front(), net::ConnectionEnd::TimedOut);
-    for (auto next = lines_.begin(); next != lines_.end();) {
-        Line& line = **next++;
-        const std::size_t output = line.connection.output().size();
-        if (output == 0 || output < line.unread) line.stuck = output == 0 ? 0ns : now;
-        line.unread = output;
-        if (line.stuck > 0ns && now - line.stuck >= kWrites) {
-            end(line, net::ConnectionEnd::TimedOut);
-            continue;
-        }
-        if (!line.barred && line.begun > 0ns && now - line.begun >= kWholeMessage)
-            bar(line, net::ConnectionEnd::TimedOut);
-        else if (!line.barred && line.strikes >= kMostStrikes)
-            bar(line, net::ConnectionEnd::Malformed);
-        if (line.barred && line.open.empty())
-            finish(line, *line.barred);
-        else if (line.drainedAt > 0ns && now - line.drainedAt >= kDrained && atRest(line))
-            finish(line, net::ConnectionEnd::Unused);
-        else if (line.open.empty() && line.drainedAt == 0ns && idle_ > 0ns && now - line.used >= idle_)
-            drain(line);
+// Sweeping.
+
+// Looks at all connections, whose number is bounded, ten times a second.
+void ThriftServer::sweep() {
+    const Timestamp now = net::unixNow();
+    sweepTimer_.start(kSweepInterval);
+    closeSilentConnections(now);
+    const ConnectionList& identified = connections_.identified();
+    for (auto next = identified.begin(); next != identified.end();) {
+        ThriftConnection& connection = **next++;  // the check may destroy it
+        checkConnection(connection, now);
     }
-    if (listener_) listener_->resume();
+    resumeAccepting();
 }
 
-// Drained rather than closed: a command that crosses is still served.
-void ThriftServer::drain(Line& line) {
-    if (line.drainedAt > 0ns) return;
-    line.drainedAt = net::unixNow();
-    line.connection.send(writeGoaway());
+void ThriftServer::closeSilentConnections(Timestamp now) {
+    const ConnectionList& silent = connections_.newConnections();
+    while (!silent.empty() && now - silent.front()->acceptedAt() >= kFirstMessageTimeout)
+        finish(*silent.front(), net::ConnectionEnd::TimedOut);
 }
 
-// What lies at the listener was accepted by the system, and is ours to answer: it is taken in first.
+// One that is too slow at taking its answers ends at once. One that is too slow with a message, or has sent
+// too many that can't be understood, ends once its open requests are answered. One that was asked to drain
+// and stays ends, and one that is unused is asked to.
+void ThriftServer::checkConnection(ThriftConnection& connection, Timestamp now) {
+    connection.observeOutput(now);
+    if (connection.isOutputStalled(now)) return abort(connection, net::ConnectionEnd::TimedOut);
+    if (!connection.readingStopped()) {
+        if (connection.isMessageOverdue(now))
+            connection.stopReading(net::ConnectionEnd::TimedOut);
+        else if (connection.hasTooManyProtocolErrors())
+            connection.stopReading(net::ConnectionEnd::Malformed);
+    }
+    if (connection.hasOpenRequests()) return;
+    if (const auto reason = connection.readingStopped()) return finish(connection, *reason);
+    if (connection.isDrainOverdue(now)) return finish(connection, net::ConnectionEnd::Unused);
+    const bool unused = maxIdle_ > 0ns && now - connection.lastUsedAt() >= maxIdle_;
+    if (unused) connection.drain(now);
+}
+
+// Draining.
+
+// Connections that lie at the listener were accepted by the system, and are ours to answer: they are taken in
+// first.
 void ThriftServer::drain() {
-    loop_.afterPoll([this, here = std::weak_ptr<std::size_t>(ending_)] {
-        if (!here.expired()) closeDoor();
+    loop_.afterPoll([this, alive = std::weak_ptr<std::size_t>(closing_)] {
+        if (!alive.expired()) stopListening();
     });
 }
 
-void ThriftServer::closeDoor() {
+void ThriftServer::stopListening() {
     listener_.reset();
-    for (const Lines* list : {&lines_, &unidentified_})
-        for (const auto& line : *list) drain(*line);
+    const Timestamp now = net::unixNow();
+    for (const ConnectionList* list : {&connections_.identified(), &connections_.newConnections()}) {
+        for (const auto& connection : *list) connection->drain(now);
+    }
 }
 
 }  // namespace cottonwing::thrift
--- a/src/thrift/thrift_server.h
+++ b/src/thrift/thrift_server.h
@@ -1,10 +1,10 @@
-// The sidecars' connections: commands in, answers out in any order, health checks, forget and goaway.
+/// @file
+/// The Thrift server: requests in, answers out in any order, health checks, cancellations and goaway.
 #pragma once
 
 #include <functional>
-#include <list>
-#include <map>
 #include <memory>
+#include <optional>
 #include <string>
 #include <unordered_map>
 
@@ -12,75 +12,96 @@
 #include "net/connection.h"
 #include "request/request_manager.h"
 #include "thrift/codec.h"
+#include "thrift/connection_table.h"
 #include "thrift/request_decoder.h"
+#include "thrift/thrift_connection.h"
 
 namespace cottonwing::thrift {
 
-class ThriftServer : public request::ResponseSink {
+/// Accepts connections of clients, hands their requests to the request manager and sends its answers. All of
+/// it happens on the loop's thread.
+class ThriftServer : public request::ResponseSink, private ThriftConnection::Handler {
 public:
-    ThriftServer(net::Loop& loop, const net::Address& at, const config::ResourceLimits& shares,
-                 config::NameTables names, const std::vector<RequestClass>& profiles, bool patienceTold,
-                 request::RequestManager& backend, telemetry::Log& log, telemetry::Counters& counters);
+    /// Listens at once.
+    /// @param limits            the bounds on connections and on the bytes of their buffers
+    /// @param names             of request classes and tenants
+    /// @param requestClasses    the classes by index; copied
+    /// @param timeoutRequired   each request has to say how long its client waits
+    /// @throws std::runtime_error when the address can't be listened on
+    ThriftServer(net::Loop& loop, const net::Address& at, const config::ResourceLimits& limits,
+                 config::NameTables names, const std::vector<RequestClass>& requestClasses,
+                 bool timeoutRequired, request::RequestManager& requests, telemetry::Log& log,
+                 telemetry::Counters& counters);
     ~ThriftServer() override;
 
+    // The answer to one request each; without effect when its connection is gone.
     void completed(RequestId id, std::string_view result) override;
     void rejected(RequestId id, const Pushback& pushback) override;
     void failed(RequestId id) override;
+    /// Fails the request, and counts it as a protocol error of its connection.
     void unknownToExecutor(RequestId id) override;
-    void closeIdleConnections(Duration unusedFor) override { idle_ = unusedFor; }
+    /// Drains connections that are unused for this long, from the next sweep on; 0: none.
+    void closeIdleConnections(Duration unusedFor) override { maxIdle_ = unusedFor; }
 
-    // No new connections and no new commands on those there are.
+    /// Takes no new connections, and asks the clients for no new requests on those there are.
     void drain();
-    // Those that are ending hold their descriptors still.
-    std::size_t connections() const { return lines_.size() + unidentified_.size() + *ending_; }
+    /// Connections that hold a descriptor, those that are being closed included.
+    std::size_t connections() const { return connections_.size() + *closing_; }
     bool isListening() const { return listener_ != nullptr; }
+    /// Only while it is listening.
     int port() const { return listener_->port(); }
 
 private:
-    struct Line;  // one connection
-    using Lines = std::list<std::shared_ptr<Line>>;
     struct InFlight {
-        Line* line;
+        ThriftConnection* connection;
         std::int32_t sequence;
     };
 
+    void inputArrived(ThriftConnection& connection) override;
+    void connectionEnded(ThriftConnection& connection, net::ConnectionEnd end) override;
+
     void accept(uv_stream_t* listener);
-    void read(Line& line);
-    bool take(Line& line, const Message& message);
-    void takeCommand(Line& line, const Message& message);
-    void refuse(Line& line, const Message& message, ApplicationError kind, const std::string& why);
-    void answer(RequestId id, const std::function<std::string(std::int32_t)>& frame);
-    void write(Line& line, const std::string& frame);
-    void touch(Line& line);
-    void end(Line& line, net::ConnectionEnd end);
-    // In order: answers that are on their way still go, and what crosses is told by the end of the
-    // connection.
-    void finish(Line& line, net::ConnectionEnd end);
-    void forgetAll(Line& line);
-    void bar(Line& line, net::ConnectionEnd end);
-    bool atRest(const Line& line) const;
-    void tend();
     bool makeRoom();
-    void evict(Line& line);
-    void closeDoor();
-    void drain(Line& line);
-    void tellHealth(Line& line, std::int32_t sequence, bool good);
-    Fields advice() const;
+    void evict(ThriftConnection& connection);
+    void resumeAccepting();
+
+    std::optional<Message> takeMessage(ThriftConnection& connection, std::size_t length);
+    void abortMalformed(ThriftConnection& connection, net::ConnectionEnd end);
+    bool handle(ThriftConnection& connection, const Message& message);
+    void handleRequest(ThriftConnection& connection, const Message& message);
+    void handleCancel(ThriftConnection& connection, const Message& message);
+    void handleHealthCheck(ThriftConnection& connection, const Message& message);
+    void refuse(ThriftConnection& connection, const Message& message, ApplicationError error,
+                const std::string& reason);
+
+    void answer(RequestId id, const std::function<std::string(std::int32_t)>& frame);
+    void answerHealthCheck(ThriftConnection& connection, std::int32_t sequence, bool healthy);
+    void send(ThriftConnection& connection, const std::string& frame);
+    Fields loadShareFields() const;
+
+    void abort(ThriftConnection& connection, net::ConnectionEnd end);
+    void finish(ThriftConnection& connection, net::ConnectionEnd end);
+    void remove(ThriftConnection& connection);
+
+    void sweep();
+    void closeSilentConnections(Timestamp now);
+    void checkConnection(ThriftConnection& connection, Timestamp now);
+    void stopListening();
 
     net::Loop& loop_;
-    const std::size_t most_;
     const std::shared_ptr<net::Total> total_;
     const RequestDecoder decoder_;
-    request::RequestManager& backend_;
+    request::RequestManager& requests_;
     telemetry::Log& log_;
     telemetry::Counters& counters_;
-    Lines lines_;         // the longest without traffic in front; emptied by the ends of connections
-    Lines unidentified_;  // those that have yet to say something whole, the oldest in front; emptied by that
-                          // or by time
-    std::shared_ptr<std::size_t> ending_ = std::make_shared<std::size_t>(0);  // emptied as they are closed
-    std::unordered_map<RequestId, InFlight> inFlight_;  // open commands; emptied by answers, forget and ends
-    Duration idle_{0};  // connections without traffic for this long are drained; 0: none
-    net::Timer tend_;
+    ConnectionTable connections_;
+    // Connections that left the table and are being closed; it counts down from callbacks that may outlive
+    // the server.
+    std::shared_ptr<std::size_t> closing_ = std::make_shared<std::size_t>(0);
+    // Where the answers of open requests go; emptied by answers, cancellations and ends of connections.
+    std::unordered_map<RequestId, InFlight> inFlight_;
+    Duration maxIdle_{0};
+    net::Timer sweepTimer_;
     std::string scratch_;
     std::unique_ptr<net::Listener> listener_;
 };
