--- /dev/null
+++ b/src/simulator/decision_writer.h
@@ -0,0 +1,47 @@
+/// @file
+/// Encodes the decisions of one instance as lines of a reply, in the order in which they are made.
+#pragma once
+
+#include <cstdint>
+#include <string>
+#include <string_view>
+
+#include "overload/decision_sink.h"
+
+namespace cottonwing::simulator {
+
+/// Writes each decision as one line. Times are cut to whole microseconds: no wait ends later than decided.
+class DecisionWriter : public DecisionSink {
+public:
+    /// @param out  the reply, which has to outlive the writer; lines are added to it
+    DecisionWriter(int instance, std::string& out);
+
+    void startRun(RequestId id) override;
+    void reject(RequestId id, const Pushback& pushback) override;
+    void fail(RequestId id) override;
+    void cancelRun(RequestId id) override;
+    void callDependency(RequestId id, Duration timeout) override;
+    void skipDependencyCall(RequestId id) override;
+    void retainKey(RequestId id, Duration lifetime) override;
+    void releaseKey(RequestId id) override;
+    void joinDuplicate(RequestId id) override;
+    void setHealth(bool good) override;
+    void advertiseLoadShare(double value) override;
+    void closeIdleConnections(Duration unusedFor) override;
+    void scheduleTick(Duration wait) override;
+    void log(std::string_view line) override;
+
+    /// Tells the simulator of a fault of the controller.
+    void bug(std::string_view what);
+
+private:
+    void put(std::string_view text);
+    void put(std::uint64_t number);
+    template <typename... Parts>
+    void write(std::string_view name, Parts... parts);
+
+    std::string instance_;
+    std::string& out_;
+};
+
+}  // namespace cottonwing::simulator
--- a/src/simulator/instance_host.h
+++ b/src/simulator/instance_host.h
@@ -1,34 +1,55 @@
-// The simulator's wire: text lines in, text lines out. Decodes a batch into one round for each
-// instance and encodes what the decision module wrote. No decisions here.
+/// @file
+/// The adapter to the simulator: reads batches of events for many instances, lets the controller of each
+/// decide and writes the replies. No decisions here.
 #pragma once
 
+#include <cstddef>
 #include <istream>
 #include <map>
 #include <memory>
-#include <stdexcept>
+#include <set>
 #include <string>
 
 #include "overload/types.h"
+#include "simulator/wire_line.h"
 
 namespace cottonwing::simulator {
 
-// What is malformed, with the line and the field; never answered with a guess.
-class MalformedBatch : public std::runtime_error {
-public:
-    using std::runtime_error::runtime_error;
-};
-
+/// Hosts the instances of one process. Instances share nothing.
 class InstanceHost {
 public:
     InstanceHost();
     ~InstanceHost();
-    // Reads one batch and appends its whole reply; false at a clean end of input.
+
+    /// Reads one batch and appends its whole reply.
+    /// @returns false at a clean end of the input
+    /// @throws MalformedBatch when the batch can't be read; the host can't go on after that
     bool serve(std::istream& in, std::string& reply);
 
 private:
     struct Instance;
-    std::map<int, std::unique_ptr<Instance>> instances_;
-    std::size_t line_ = 0;
+    using EventHandler = void (InstanceHost::*)(const WireLine& line);
+
+    static EventHandler handlerOf(const WireLine& line);
+    bool readLine(std::istream& in);
+    void readEvents(std::istream& in);
+    void decide(Timestamp now, std::string& reply);
+    Instance& instanceOf(const WireLine& line);
+
+    void onInstanceStarted(const WireLine& line);
+    void onInstanceStopped(const WireLine& line);
+    void onRequestArrived(const WireLine& line);
+    void onClientCancelled(const WireLine& line);
+    void onWaitingForDependency(const WireLine& line);
+    void onDependencyCallCompleted(const WireLine& line);
+    void onRunCompleted(const WireLine& line);
+    void onTick(const WireLine& line);
+    void onShutdownNotice(const WireLine& line);
+
+    std::map<int, std::unique_ptr<Instance>> instances_;  // by number
+    std::set<int> instancesWithEvents_;                   // of the present batch: only they may act
+    std::string text_;                                    // the present line
+    std::size_t linesRead_ = 0;
 };
 
 }  // namespace cottonwing::simulator
--- a/src/simulator/main.cpp
+++ b/src/simulator/main.cpp
@@ -1,10 +1,24 @@
-// Hosts the instances of one process: batches on standard input, replies on standard output.
+/// @file
+/// The program that the simulator starts: batches on standard input, replies on standard output. Ends with 0
+/// at the end of its input, 1 when its output is closed, 2 on a batch that can't be read.
 #include <cstdio>
 #include <exception>
 #include <iostream>
+#include <string>
 
 #include "simulator/instance_host.h"
 
+namespace {
+
+constexpr int kOutputClosed = 1;
+constexpr int kInputMalformed = 2;
+
+bool writeReply(const std::string& reply) {
+    return std::fwrite(reply.data(), 1, reply.size(), stdout) == reply.size() && std::fflush(stdout) == 0;
+}
+
+}  // namespace
+
 int main() {
     std::ios::sync_with_stdio(false);
     std::cin.tie(nullptr);
@@ -12,16 +26,15 @@
     std::string reply;
     try {
         while (host.serve(std::cin, reply)) {
-            if (std::fwrite(reply.data(), 1, reply.size(), stdout) != reply.size() ||
-                std::fflush(stdout) != 0) {
+            if (!writeReply(reply)) {
                 std::fputs("cottonwing_wirehost: standard output is closed\n", stderr);
-                return 1;
+                return kOutputClosed;
             }
             reply.clear();
         }
     } catch (const std::exception& error) {
         std::fprintf(stderr, "cottonwing_wirehost: %s\n", error.what());
-        return 2;
+        return kInputMalformed;
     }
     return 0;
 }
--- a/tests/wire_test.cpp
+++ b/tests/simulator/instance_host_test.cpp
@@ -1,10 +1,10 @@
 // The decoder never guesses: malformed input ends with a message that names line and field.
+#include "simulator/instance_host.h"
+
 #include <gtest/gtest.h>
 
 #include <sstream>
 
-#include "simulator/instance_host.h"
-
 namespace cottonwing::simulator {
 namespace {
 
