--- a/src/dependency/call_format.cpp
+++ b/src/dependency/call_format.cpp
@@ -38,7 +38,7 @@
     return text;
 }
 
-Outcome outcomeOf(const net::HttpReplies::Reply& reply) {
+Outcome outcomeOf(const net::HttpResponseParser::Response& reply) {
     const bool notBegun = reply.has(kNotBegunHeader, kNotBegunValue);
     if (reply.status == kStatusOk) return Outcome::Ok;
     if (reply.status == kStatusServiceUnavailable && notBegun) return Outcome::ResourceExhausted;
--- a/src/dependency/call_format.h
+++ b/src/dependency/call_format.h
@@ -18,6 +18,6 @@
 std::string formatCall(std::string_view externalId, Duration timeout, std::string_view body);
 
 /// @return what the reply says about the call. Superseded: the dependency found that no run waits for it.
-Outcome outcomeOf(const net::HttpReplies::Reply& reply);
+Outcome outcomeOf(const net::HttpResponseParser::Response& reply);
 
 }  // namespace cottonwing::dependency
--- a/src/dependency/http_dependency_client.cpp
+++ b/src/dependency/http_dependency_client.cpp
@@ -52,7 +52,7 @@
     Timestamp deadline{0};  ///< Of this attempt; unchanged when the call is sent again.
 };
 
-struct HttpDependencyClient::PooledConnection : private net::Owner {
+struct HttpDependencyClient::PooledConnection : private net::ConnectionHandler {
     enum class Use {
         Busy,
         Idle,
@@ -62,7 +62,7 @@
     explicit PooledConnection(HttpDependencyClient& owner)
         : client(owner),
           timeoutTimer(owner.loop_, [this] { timedOut(); }),
-          replies([this](net::HttpReplies::Reply&& reply) { client.handleReply(*this, std::move(reply)); }),
+          replies([this](net::HttpResponseParser::Response&& reply) { client.handleReply(*this, std::move(reply)); }),
           connection(owner.loop_, *owner.address_, *this,
                      {kInputBufferBytes, kOutputBufferBytes, owner.bufferBytes_}) {}
 
@@ -72,7 +72,7 @@
     }
 
     void arrived(net::Connection& from) override {
-        net::Ring& input = from.input();
+        net::ByteRing& input = from.input();
         while (!input.empty()) {
             const std::string piece(input.front());
             input.drop(piece.size());
@@ -85,7 +85,7 @@
 
     HttpDependencyClient& client;
     net::Timer timeoutTimer;
-    net::HttpReplies replies;
+    net::HttpResponseParser replies;
     net::Connection connection;
     ConnectionList::iterator position;
     Use use = Use::Busy;
@@ -102,7 +102,7 @@
     : loop_(loop),
       address_(std::move(address)),
       maxConnections_(limits.dependencyConnections),
-      bufferBytes_(std::make_shared<net::Total>(net::Total{limits.dependencyBytes})),
+      bufferBytes_(std::make_shared<net::MemoryBudget>(net::MemoryBudget{limits.dependencyBytes})),
       requests_(requests),
       counters_(counters),
       closeUnusedTimer_(loop, [this] { closeUnused(); }) {}
@@ -174,7 +174,7 @@
     busy_.erase(position);
 }
 
-void HttpDependencyClient::handleReply(PooledConnection& connection, net::HttpReplies::Reply&& reply) {
+void HttpDependencyClient::handleReply(PooledConnection& connection, net::HttpResponseParser::Response&& reply) {
     const Call call = connection.call;
     const Duration elapsed = net::unixNow() - call.startedAt;
     connection.timeoutTimer.stop();
--- a/src/dependency/http_dependency_client.h
+++ b/src/dependency/http_dependency_client.h
@@ -49,7 +49,7 @@
     bool isAtConnectionLimit() const;
     ConnectionList::iterator openConnection();
     void send(ConnectionList::iterator position, const Call& call, const std::string& request);
-    void handleReply(PooledConnection& connection, net::HttpReplies::Reply&& reply);
+    void handleReply(PooledConnection& connection, net::HttpResponseParser::Response&& reply);
     void handleEnd(PooledConnection& connection, net::ConnectionEnd end);
     static bool maySendAgain(const PooledConnection& connection, net::ConnectionEnd end);
     void sendAgain(PooledConnection& connection);
@@ -59,7 +59,7 @@
     net::Loop& loop_;
     std::optional<net::Address> address_;
     const std::size_t maxConnections_;
-    const std::shared_ptr<net::Total> bufferBytes_;  // shared by the buffers of all connections
+    const std::shared_ptr<net::MemoryBudget> bufferBytes_;  // shared by the buffers of all connections
     request::RequestManager& requests_;
     telemetry::Counters& counters_;
     net::Timer closeUnusedTimer_;
--- a/src/fronts/scgi/front.cpp
+++ b/src/fronts/scgi/front.cpp
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-struct ScgiFront::Line : net::Owner {
+struct ScgiFront::Line : net::ConnectionHandler {
     Line(ScgiFront& theFront, net::AcceptedSocket socket)
         : front(theFront),
           reader(theFront.terms_.bounds),
@@ -87,7 +87,7 @@
       terms_(std::move(terms)),
       routes_(std::move(routes)),
       requestClasses_(std::move(requestClasses)),
-      total_(std::make_shared<net::Total>(net::Total{terms_.bytes, 0})),
+      total_(std::make_shared<net::MemoryBudget>(net::MemoryBudget{terms_.bytes, 0})),
       chance_(seed ^ 0x5c61),
       backend_(backend),
       log_(log),
--- a/src/fronts/scgi/front.h
+++ b/src/fronts/scgi/front.h
@@ -75,7 +75,7 @@
     const ScgiFrontTerms terms_;
     const decide::Routes routes_;
     const std::vector<RequestClass> requestClasses_;
-    const std::shared_ptr<net::Total> total_;
+    const std::shared_ptr<net::MemoryBudget> total_;
     std::mt19937_64 chance_;
     request::RequestManager& backend_;
     telemetry::Log& log_;
--- a/src/lab/callers.cpp
+++ b/src/lab/callers.cpp
@@ -58,7 +58,7 @@
 }
 
 // One connection to one server.
-struct Clients::Line : net::Owner {
+struct Clients::Line : net::ConnectionHandler {
     Line(Clients& all, std::size_t theClient, std::size_t theTarget, bool theCheck)
         : owner(all), client(theClient), target(theTarget), check(theCheck) {}
     void arrived(net::Connection& from) override {
--- a/src/lab/emulate/answering.cpp
+++ b/src/lab/emulate/answering.cpp
@@ -6,7 +6,7 @@
 
 using namespace std::chrono_literals;
 
-struct Answering::Line : net::Owner, std::enable_shared_from_this<Answering::Line> {
+struct Answering::Line : net::ConnectionHandler, std::enable_shared_from_this<Answering::Line> {
     explicit Line(Answering& all) : owner(all) {}
     void arrived(net::Connection&) override {
         // One that is deaf or stalled lets its rings fill, then the system's
--- a/src/lab/emulate/http_door.cpp
+++ b/src/lab/emulate/http_door.cpp
@@ -17,7 +17,7 @@
            "\r\n" + body;
 }
 
-struct HttpDoor::Line : net::Owner, Visitor, std::enable_shared_from_this<HttpDoor::Line> {
+struct HttpDoor::Line : net::ConnectionHandler, Visitor, std::enable_shared_from_this<HttpDoor::Line> {
     explicit Line(HttpDoor& theDoor) : door(theDoor) {
         http_parser_init(&parser, HTTP_REQUEST);
         parser.data = this;
--- a/src/lab/emulate/scgi_server.cpp
+++ b/src/lab/emulate/scgi_server.cpp
@@ -6,7 +6,7 @@
 
 using namespace std::chrono_literals;
 
-struct ScgiServer::Line : net::Owner, std::enable_shared_from_this<ScgiServer::Line> {
+struct ScgiServer::Line : net::ConnectionHandler, std::enable_shared_from_this<ScgiServer::Line> {
     explicit Line(ScgiServer& theServer) : server(theServer), reader({65536, 1 << 20}) {}
     void arrived(net::Connection& from) override {
         const auto self = shared_from_this();
--- a/src/lab/emulate/worker_pool.cpp
+++ b/src/lab/emulate/worker_pool.cpp
@@ -16,7 +16,7 @@
 constexpr Duration kWatch = 20ms;
 }  // namespace
 
-struct WorkerPool::Link : net::Owner {
+struct WorkerPool::Link : net::ConnectionHandler {
     explicit Link(WorkerPool& all) : owner(all) {}
     void arrived(net::Connection& from) override {
         while (connection && !closing) {
--- a/src/registry/registry_client.cpp
+++ b/src/registry/registry_client.cpp
@@ -74,13 +74,13 @@
 
 void RegistryClient::connect() {
     replies_ =
-        std::make_unique<net::HttpReplies>([this](net::HttpReplies::Reply&& reply) { handleReply(reply); });
+        std::make_unique<net::HttpResponseParser>([this](net::HttpResponseParser::Response&& reply) { handleReply(reply); });
     const net::Bounds bounds{kBufferBytes, kBufferBytes};
-    // Not by make_unique, which can't see that this is a net::Owner.
+    // Not by make_unique, which can't see that this is a net::ConnectionHandler.
     connection_.reset(new net::Connection(loop_, address_, *this, bounds));
 }
 
-void RegistryClient::handleReply(const net::HttpReplies::Reply& reply) {
+void RegistryClient::handleReply(const net::HttpResponseParser::Response& reply) {
     reportInFlight_ = false;
     timeoutTimer_.stop();
     if (unavailabilityLogged_) log_.info(kLogKind, "registry available again");
@@ -92,7 +92,7 @@
 }
 
 void RegistryClient::arrived(net::Connection& connection) {
-    net::Ring& input = connection.input();
+    net::ByteRing& input = connection.input();
     while (!input.empty()) {
         const std::string piece(input.front());
         input.drop(piece.size());
--- a/src/registry/registry_client.h
+++ b/src/registry/registry_client.h
@@ -16,7 +16,7 @@
 namespace cottonwing::registry {
 
 /// Keeps the registry informed for as long as it exists; reports that fail are repeated. Not thread-safe.
-class RegistryClient : private net::Owner {
+class RegistryClient : private net::ConnectionHandler {
 public:
     /// Sends the first report, which says that the server is ready.
     /// @param name under which the server is registered.
@@ -35,7 +35,7 @@
 
     void sendReport();
     void connect();
-    void handleReply(const net::HttpReplies::Reply& reply);
+    void handleReply(const net::HttpResponseParser::Response& reply);
     void abandonReport();
     void handleConnectionEnd(net::ConnectionEnd end);
 
@@ -47,7 +47,7 @@
     net::Timer reportTimer_;   // until the next report
     net::Timer timeoutTimer_;  // of the report in flight
     std::unique_ptr<net::Connection> connection_;
-    std::unique_ptr<net::HttpReplies> replies_;  // of connection_
+    std::unique_ptr<net::HttpResponseParser> replies_;  // of connection_
     Timestamp lastReplyAt_;                      // or the start, before the first reply
     bool ready_ = true;
     bool reportInFlight_ = false;
--- a/src/thrift/codec.h
+++ b/src/thrift/codec.h
@@ -41,7 +41,7 @@
 
 /// Looks whether a whole frame stands at the front of the ring.
 /// @param length  receives the length of its content in bytes, once the four bytes of it are in
-FrameState lookForFrame(const net::Ring& ring, std::size_t& length);
+FrameState lookForFrame(const net::ByteRing& ring, std::size_t& length);
 
 /// Reads the content of one frame; nothing when it is malformed.
 std::optional<Message> readMessage(std::string_view frame);
--- a/src/upstreams/scgi/groups.cpp
+++ b/src/upstreams/scgi/groups.cpp
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-struct ScgiGroups::Line : net::Owner {
+struct ScgiGroups::Line : net::ConnectionHandler {
     Line(ScgiGroups& all, std::size_t theGroup, std::size_t theServer, RequestId theJob)
         : owner(all), group(theGroup), server(theServer), job(theJob), reader(all.bounds_.reply) {}
     void arrived(net::Connection& from) override {
@@ -52,7 +52,7 @@
       requestClasses_(std::move(requestClasses)),
       requestClassNames_(std::move(requestClassNames)),
       bounds_(bounds),
-      total_(std::make_shared<net::Total>(net::Total{bounds.bytes, 0})),
+      total_(std::make_shared<net::MemoryBudget>(net::MemoryBudget{bounds.bytes, 0})),
       chance_(static_cast<std::mt19937::result_type>(seed ^ seed >> 32)),
       backend_(backend),
       log_(log),
--- a/src/upstreams/scgi/groups.h
+++ b/src/upstreams/scgi/groups.h
@@ -130,7 +130,7 @@
     const std::vector<RequestClass> requestClasses_;
     const std::vector<std::string> requestClassNames_;
     const GroupBounds bounds_;
-    const std::shared_ptr<net::Total> total_;
+    const std::shared_ptr<net::MemoryBudget> total_;
     std::mt19937 chance_;
     request::RequestManager& backend_;
     telemetry::Log& log_;
--- a/src/worker_pool/worker_pool_client.cpp
+++ b/src/worker_pool/worker_pool_client.cpp
@@ -98,7 +98,7 @@
     silentSince_ = 0ns;
     const std::size_t inputBytes = bufferBytes_ / kInputDivisor;
     const net::Bounds bounds{inputBytes, bufferBytes_ - inputBytes};
-    // Not by make_unique, which can't see that this is a net::Owner.
+    // Not by make_unique, which can't see that this is a net::ConnectionHandler.
     connection_.reset(new net::Connection(loop_, address_, *this, bounds));
     connection_->send(bindLine(lastNumber_));
 }
@@ -139,7 +139,7 @@
 }
 
 void WorkerPoolClient::arrived(net::Connection& connection) {
-    net::Ring& input = connection.input();
+    net::ByteRing& input = connection.input();
     std::string scratch;
     for (;;) {
         const std::size_t lineEnd = input.find('\n', searchedBytes_);
--- a/src/worker_pool/worker_pool_client.h
+++ b/src/worker_pool/worker_pool_client.h
@@ -21,7 +21,7 @@
 
 /// Runs requests in the worker pool. While there is no connection, messages are dropped rather than queued:
 /// RequestManager::resumeRuns restores what matters once a connection is back. Not thread-safe.
-class WorkerPoolClient : public request::Executor, private net::Owner {
+class WorkerPoolClient : public request::Executor, private net::ConnectionHandler {
 public:
     /// Begins to connect.
     /// @param limits of which the share for the worker pool bounds both buffers of the connection.
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -13,9 +13,9 @@
     const std::string first = testing::HttpStandIn::reply(503, "body", "Op-Not-Begun: 1\r\n"),
                       second = testing::HttpStandIn::reply(204);
     for (std::size_t cut = 0; cut < first.size(); ++cut) {
-        std::vector<net::HttpReplies::Reply> replies;
-        net::HttpReplies reader(
-            [&](net::HttpReplies::Reply&& reply) { replies.push_back(std::move(reply)); });
+        std::vector<net::HttpResponseParser::Response> replies;
+        net::HttpResponseParser reader(
+            [&](net::HttpResponseParser::Response&& reply) { replies.push_back(std::move(reply)); });
         EXPECT_TRUE(reader.read(first.substr(0, cut)));
         EXPECT_TRUE(replies.empty());
         EXPECT_TRUE(reader.read(first.substr(cut)));
@@ -33,13 +33,13 @@
 RC_GTEST_PROP(HttpReplies, AnyBytesAreReadOrRefused,
               (const std::string& bytes, std::uint8_t at, char other)) {
     std::size_t stored = 0;
-    const auto hear = [&](net::HttpReplies::Reply&& reply) {
+    const auto hear = [&](net::HttpResponseParser::Response&& reply) {
         stored = reply.body.size() + reply.headers.size();
     };
-    net::HttpReplies(hear).read(bytes);
+    net::HttpResponseParser(hear).read(bytes);
     std::string reply = testing::HttpStandIn::reply(200, bytes, "A: b\r\n");
     reply[at % reply.size()] = other;
-    net::HttpReplies(hear).read(reply);
+    net::HttpResponseParser(hear).read(reply);
     RC_ASSERT(stored <= reply.size() + 4);
 }
 
@@ -56,7 +56,7 @@
           std::string("HTTP/1.1 200 OK\r\nContent-Length: -3\r\n\r\nabc"),
           std::string("HTTP/1.1 101 Switching\r\nConnection: upgrade\r\nUpgrade: x\r\n\r\n")}) {
         int heard = 0;
-        EXPECT_FALSE(net::HttpReplies([&](net::HttpReplies::Reply&&) { ++heard; }).read(spoilt)) << spoilt;
+        EXPECT_FALSE(net::HttpResponseParser([&](net::HttpResponseParser::Response&&) { ++heard; }).read(spoilt)) << spoilt;
         EXPECT_EQ(heard, 0);
     }
 }
@@ -69,9 +69,9 @@
         {interim + interim + good, true}, {good + good, false}, {good + "\x7fnoise", false}};
     for (const auto& [bytes, keepsOpen] : cases)
         for (std::size_t cut = 0; cut <= (keepsOpen ? bytes.size() - 1 : 0); ++cut) {
-            std::vector<net::HttpReplies::Reply> replies;
-            net::HttpReplies reader(
-                [&](net::HttpReplies::Reply&& reply) { replies.push_back(std::move(reply)); });
+            std::vector<net::HttpResponseParser::Response> replies;
+            net::HttpResponseParser reader(
+                [&](net::HttpResponseParser::Response&& reply) { replies.push_back(std::move(reply)); });
             EXPECT_TRUE(reader.read(bytes.substr(0, cut)));
             EXPECT_TRUE(reader.read(bytes.substr(cut)));
             ASSERT_EQ(replies.size(), 1U);
--- a/tests/dependency/call_format_test.cpp
+++ b/tests/dependency/call_format_test.cpp
@@ -9,8 +9,8 @@
 
 using namespace std::chrono_literals;
 
-net::HttpReplies::Reply replyOf(int status, const std::string& headers = "") {
-    net::HttpReplies::Reply reply;
+net::HttpResponseParser::Response replyOf(int status, const std::string& headers = "") {
+    net::HttpResponseParser::Response reply;
     reply.status = status;
     reply.headers = headers;
     return reply;
--- a/tests/lab_world_test.cpp
+++ b/tests/lab_world_test.cpp
@@ -170,7 +170,7 @@
 // ---- services -------------------------------------------------------------------------------------------
 
 // A connection that keeps what it hears.
-struct Peer : net::Owner {
+struct Peer : net::ConnectionHandler {
     Peer(net::Loop& loop, const net::Address& to)
         : connection(std::make_unique<net::Connection>(loop, to, *this, net::Bounds{1 << 20, 1 << 20})) {}
     void arrived(net::Connection& from) override {
--- a/tests/request/crossings_test.cpp
+++ b/tests/request/crossings_test.cpp
@@ -24,7 +24,7 @@
 }
 
 // One connection accepted, without a protocol on it.
-struct Accepted : private net::Owner {
+struct Accepted : private net::ConnectionHandler {
     explicit Accepted(net::Loop& theLoop)
         : loop(theLoop),
           listener(
--- a/tests/scgi_test.cpp
+++ b/tests/scgi_test.cpp
@@ -185,7 +185,7 @@
 // ----------------------------------------------------------------------------------------
 
 // A kiosk: one request, one answer, one connection.
-struct Kiosk : net::Owner {
+struct Kiosk : net::ConnectionHandler {
     Kiosk(net::Loop& loop, int port)
         : connection(std::make_unique<net::Connection>(loop, net::Address{"127.0.0.1", port}, *this,
                                                        net::Bounds{1 << 20, 1 << 20})) {}
--- a/tests/support/fake_server.h
+++ b/tests/support/fake_server.h
@@ -15,7 +15,7 @@
 namespace cottonwing::testing {
 
 /// Accepts connections on loopback and hands what arrives on each of them to a callback.
-class FakeServer : private net::Owner {
+class FakeServer : private net::ConnectionHandler {
 public:
     /// Gets all unread text of a connection and removes what it has used.
     using OnText = std::function<void(net::Connection&, std::string&)>;
--- a/tests/support/thrift_test_client.h
+++ b/tests/support/thrift_test_client.h
@@ -19,7 +19,7 @@
 namespace cottonwing::testing {
 
 /// One connection of a Thrift client. Requests are numbered; answers are kept by that sequence number.
-class ThriftTestClient : private net::Owner {
+class ThriftTestClient : private net::ConnectionHandler {
 public:
     ThriftTestClient(net::Loop& loop, int port)
         : connection(new net::Connection(loop, {"127.0.0.1", port}, *this, {1 << 20, 1 << 20})) {}
--- a/tests/thrift/codec_test.cpp
+++ b/tests/thrift/codec_test.cpp
@@ -80,7 +80,7 @@
     const std::string frame = frames::serve(1, kFields, "body");
     const std::string two = frame + frames::forget(2, 1);
     for (std::size_t cut = 0; cut <= two.size(); ++cut) {
-        net::Ring ring(32768);
+        net::ByteRing ring(32768);
         ASSERT_TRUE(ring.write(std::string_view(two).substr(0, cut)));
         std::size_t length = 0;
         EXPECT_EQ(thrift::lookForFrame(ring, length),
@@ -93,7 +93,7 @@
 }
 
 TEST(Thrift, RefusesWhatIsTooLongBeforeItIsStored) {
-    net::Ring ring(32768);
+    net::ByteRing ring(32768);
     ASSERT_TRUE(ring.write(std::string("\0\0\x40\x01", 4)));
     std::size_t length = 0;
     EXPECT_EQ(thrift::lookForFrame(ring, length), FrameState::TooLong);
