--- a/src/dependency/call_format.h
+++ b/src/dependency/call_format.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <string_view>
 
-#include "net/http_reply.h"
+#include "net/http_response_parser.h"
 #include "overload/types.h"
 
 namespace cottonwing::dependency {
--- a/src/dependency/http_dependency_client.cpp
+++ b/src/dependency/http_dependency_client.cpp
@@ -62,7 +62,9 @@
     explicit PooledConnection(HttpDependencyClient& owner)
         : client(owner),
           timeoutTimer(owner.loop_, [this] { timedOut(); }),
-          replies([this](net::HttpResponseParser::Response&& reply) { client.handleReply(*this, std::move(reply)); }),
+          replies([this](net::HttpResponseParser::Response&& reply) {
+              client.handleReply(*this, std::move(reply));
+          }),
           connection(owner.loop_, *owner.address_, *this,
                      {kInputBufferBytes, kOutputBufferBytes, owner.bufferBytes_}) {}
 
@@ -174,7 +176,8 @@
     busy_.erase(position);
 }
 
-void HttpDependencyClient::handleReply(PooledConnection& connection, net::HttpResponseParser::Response&& reply) {
+void HttpDependencyClient::handleReply(PooledConnection& connection,
+                                       net::HttpResponseParser::Response&& reply) {
     const Call call = connection.call;
     const Duration elapsed = net::unixNow() - call.startedAt;
     connection.timeoutTimer.stop();
--- a/src/dependency/http_dependency_client.h
+++ b/src/dependency/http_dependency_client.h
@@ -10,7 +10,7 @@
 
 #include "config/process_config.h"
 #include "net/connection.h"
-#include "net/http_reply.h"
+#include "net/http_response_parser.h"
 #include "request/request_manager.h"
 
 namespace cottonwing::dependency {
--- a/src/fronts/scgi/front.cpp
+++ b/src/fronts/scgi/front.cpp
@@ -35,7 +35,7 @@
         : front(theFront),
           reader(theFront.terms_.bounds),
           connection(std::make_unique<net::Connection>(theFront.loop_, socket, *this,
-                                                       net::Bounds{32768, 2 << 20, theFront.total_})) {}
+                                                       net::BufferLimits{32768, 2 << 20, theFront.total_})) {}
     void arrived(net::Connection& from) override {
         while (connection && !from.input().empty()) {
             const std::string_view piece = from.input().front();
--- a/src/lab/callers.cpp
+++ b/src/lab/callers.cpp
@@ -356,7 +356,7 @@
         std::make_unique<Line>(*this, client.number / static_cast<std::size_t>(workers_), target, false);
     line->begun = line->used = clocks_.steady();
     line->connection = std::make_unique<net::Connection>(loop_, habits_.targets[target], *line,
-                                                         net::Bounds{1 << 20, 1 << 20});
+                                                         net::BufferLimits{1 << 20, 1 << 20});
     ++tally_.links.opened;
     lines.push_back(std::move(line));
     return lines.back().get();
@@ -446,7 +446,7 @@
     line->goaway = true;  // nothing more goes on it
     line->begun = line->used = clocks_.steady();
     line->connection = std::make_unique<net::Connection>(loop_, habits_.kiosks[target], *line,
-                                                         net::Bounds{1 << 20, 1 << 20});
+                                                         net::BufferLimits{1 << 20, 1 << 20});
     ++tally_.links.opened;
     client.lines[target].push_back(std::move(line));
     return client.lines[target].back().get();
@@ -726,7 +726,7 @@
                                               target, true);
                 line->begun = line->used = now;
                 line->connection = std::make_unique<net::Connection>(loop_, habits_.targets[target], *line,
-                                                                     net::Bounds{65536, 65536});
+                                                                     net::BufferLimits{65536, 65536});
             }
             line->connection->send(writeIsWell(++line->sequence, habits_.thorough));
             line->open.emplace(line->sequence, 0);
--- a/src/net/byte_ring.h
+++ b/src/net/byte_ring.h
@@ -74,6 +74,4 @@
     std::size_t size_ = 0;
 };
 
-using Ring = ByteRing;  // the earlier name
-
 }  // namespace cottonwing::net
--- a/src/net/connection.h
+++ b/src/net/connection.h
@@ -100,9 +100,4 @@
     ConnectionHandler& handler_;
 };
 
-// The earlier names.
-using Owner = ConnectionHandler;
-using Bounds = BufferLimits;
-using Total = MemoryBudget;
-
 }  // namespace cottonwing::net
--- a/src/net/http_response_parser.h
+++ b/src/net/http_response_parser.h
@@ -25,7 +25,6 @@
         /// @param header the name in lower case.
         bool has(std::string_view header, std::string_view value) const;
     };
-    using Reply = Response;  // the earlier name
 
     /// @param onResponse hears of each complete response from within read(), which returns after it: it may
     ///        destroy the parser.
--- a/src/registry/registry_client.cpp
+++ b/src/registry/registry_client.cpp
@@ -73,9 +73,9 @@
 }
 
 void RegistryClient::connect() {
-    replies_ =
-        std::make_unique<net::HttpResponseParser>([this](net::HttpResponseParser::Response&& reply) { handleReply(reply); });
-    const net::Bounds bounds{kBufferBytes, kBufferBytes};
+    replies_ = std::make_unique<net::HttpResponseParser>(
+        [this](net::HttpResponseParser::Response&& reply) { handleReply(reply); });
+    const net::BufferLimits bounds{kBufferBytes, kBufferBytes};
     // Not by make_unique, which can't see that this is a net::ConnectionHandler.
     connection_.reset(new net::Connection(loop_, address_, *this, bounds));
 }
--- a/src/registry/registry_client.h
+++ b/src/registry/registry_client.h
@@ -9,7 +9,7 @@
 #include <string>
 
 #include "net/connection.h"
-#include "net/http_reply.h"
+#include "net/http_response_parser.h"
 #include "telemetry/counters.h"
 #include "telemetry/log.h"
 
@@ -48,7 +48,7 @@
     net::Timer timeoutTimer_;  // of the report in flight
     std::unique_ptr<net::Connection> connection_;
     std::unique_ptr<net::HttpResponseParser> replies_;  // of connection_
-    Timestamp lastReplyAt_;                      // or the start, before the first reply
+    Timestamp lastReplyAt_;                             // or the start, before the first reply
     bool ready_ = true;
     bool reportInFlight_ = false;
     bool unavailabilityLogged_ = false;
--- a/src/upstreams/scgi/groups.cpp
+++ b/src/upstreams/scgi/groups.cpp
@@ -189,8 +189,9 @@
     job.begun = at;
     auto line = std::make_unique<Line>(*this, job.group, *chosen, id);
     line->begun = at;
-    line->connection = std::make_unique<net::Connection>(
-        loop_, group.servers[*chosen].terms.at, *line, net::Bounds{65536, job.request.size() + 256, total_});
+    line->connection =
+        std::make_unique<net::Connection>(loop_, group.servers[*chosen].terms.at, *line,
+                                          net::BufferLimits{65536, job.request.size() + 256, total_});
     line->connection->send(job.request);
     job.line = line.get();
     lines_.push_back(std::move(line));
@@ -433,7 +434,7 @@
             auto line = std::make_unique<Line>(*this, number, server, RequestId{0});
             line->begun = at;
             line->connection = std::make_unique<net::Connection>(loop_, each.terms.at, *line,
-                                                                 net::Bounds{65536, 8192, total_});
+                                                                 net::BufferLimits{65536, 8192, total_});
             line->connection->send(
                 scgi::writeRequest({{"REQUEST_METHOD", "GET"}, {"REQUEST_URI", group.terms.checkPath}}, {}));
             each.check = line.get();
--- a/src/worker_pool/worker_pool_client.cpp
+++ b/src/worker_pool/worker_pool_client.cpp
@@ -97,7 +97,7 @@
     searchedBytes_ = 0;
     silentSince_ = 0ns;
     const std::size_t inputBytes = bufferBytes_ / kInputDivisor;
-    const net::Bounds bounds{inputBytes, bufferBytes_ - inputBytes};
+    const net::BufferLimits bounds{inputBytes, bufferBytes_ - inputBytes};
     // Not by make_unique, which can't see that this is a net::ConnectionHandler.
     connection_.reset(new net::Connection(loop_, address_, *this, bounds));
     connection_->send(bindLine(lastNumber_));
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -3,7 +3,7 @@
 #include <rapidcheck/gtest.h>
 
 #include "helpers.h"
-#include "net/http_reply.h"
+#include "net/http_response_parser.h"
 #include "worker_pool/protocol.h"
 
 namespace cottonwing {
@@ -56,7 +56,9 @@
           std::string("HTTP/1.1 200 OK\r\nContent-Length: -3\r\n\r\nabc"),
           std::string("HTTP/1.1 101 Switching\r\nConnection: upgrade\r\nUpgrade: x\r\n\r\n")}) {
         int heard = 0;
-        EXPECT_FALSE(net::HttpResponseParser([&](net::HttpResponseParser::Response&&) { ++heard; }).read(spoilt)) << spoilt;
+        EXPECT_FALSE(
+            net::HttpResponseParser([&](net::HttpResponseParser::Response&&) { ++heard; }).read(spoilt))
+            << spoilt;
         EXPECT_EQ(heard, 0);
     }
 }
--- a/tests/lab_world_test.cpp
+++ b/tests/lab_world_test.cpp
@@ -172,7 +172,8 @@
 // A connection that keeps what it hears.
 struct Peer : net::ConnectionHandler {
     Peer(net::Loop& loop, const net::Address& to)
-        : connection(std::make_unique<net::Connection>(loop, to, *this, net::Bounds{1 << 20, 1 << 20})) {}
+        : connection(
+              std::make_unique<net::Connection>(loop, to, *this, net::BufferLimits{1 << 20, 1 << 20})) {}
     void arrived(net::Connection& from) override {
         std::string scratch;
         text += from.input().peek(from.input().size(), scratch);
--- a/tests/scgi_test.cpp
+++ b/tests/scgi_test.cpp
@@ -188,7 +188,7 @@
 struct Kiosk : net::ConnectionHandler {
     Kiosk(net::Loop& loop, int port)
         : connection(std::make_unique<net::Connection>(loop, net::Address{"127.0.0.1", port}, *this,
-                                                       net::Bounds{1 << 20, 1 << 20})) {}
+                                                       net::BufferLimits{1 << 20, 1 << 20})) {}
     void ask(const std::string& path, const std::string& method = "GET", scgi::Headers more = {},
              const std::string& body = "") {
         more.insert(more.begin(), {{"REQUEST_METHOD", method}, {"REQUEST_URI", path}});
--- a/tests/server_test.cpp
+++ b/tests/server_test.cpp
@@ -733,7 +733,8 @@
     }
     EXPECT_LT(net::unixNow() - from, 400ms);  // not when the wait for an answer is over
     EXPECT_EQ(counters.of(Count::RegistryReportsFailed), 2U);
-    EXPECT_EQ(lines.str().find("registry unavailable"), std::string::npos);  // one without an answer may have counted
+    EXPECT_EQ(lines.str().find("registry unavailable"),
+              std::string::npos);  // one without an answer may have counted
 }
 
 TEST(Leaving, AnswersAllTellsTheListAndGoes) {
