--- a/tests/config/process_config_test.cpp
+++ b/tests/config/process_config_test.cpp
@@ -10,7 +10,7 @@
 #include <utility>
 #include <vector>
 
-#include "../helpers.h"
+#include "support/plain_config.h"
 
 namespace cottonwing {
 namespace {
@@ -22,9 +22,9 @@
 RC_GTEST_PROP(ResourceLimits, TogetherStayBelowTheLimitsOfTheProcess, ()) {
     const int sockets = *rc::gen::inRange(64, 4096);
     const int megabytes = *rc::gen::inRange(16, 1024);
-    Json all = testing::plainStart();
+    Json all = testing::plainConfigFile();
     all["limits"] = {{"cores", 0.5}, {"memory_mb", megabytes}, {"sockets", sockets}};
-    const config::ResourceLimits shares = testing::startOf(all).limits;
+    const config::ResourceLimits shares = testing::processConfigFrom(all).limits;
     RC_ASSERT(shares.thriftConnections * 2 > static_cast<std::size_t>(sockets));  // theirs by right, and some
     RC_ASSERT(shares.thriftConnections + shares.dependencyConnections + 4 <=
               static_cast<std::size_t>(sockets));
@@ -34,7 +34,7 @@
 }
 
 TEST(ProcessConfig, IsReadFromEnvironmentAndFile) {
-    const config::ProcessConfig start = testing::startOf(testing::plainStart());
+    const config::ProcessConfig start = testing::processConfigFrom(testing::plainConfigFile());
     EXPECT_EQ(start.name, "n3");
     EXPECT_EQ(start.shutdownTimeout, 1500ms);
     EXPECT_EQ(start.controller.seed, 0x8c1f30d27a5be964U);
@@ -72,18 +72,18 @@
         {"own_stats", [](Json& all) { all["settings"]["family_info"]["own_stats"] = 3; }},
         {"readiness", [](Json& all) { all["settings"]["family_info"]["readiness"] = 3; }}};
     for (const auto& [key, change] : cases) {
-        Json all = testing::plainStart();
+        Json all = testing::plainConfigFile();
         change(all);
         try {
-            testing::startOf(all);
+            testing::processConfigFrom(all);
             ADD_FAILURE() << "accepted in spite of " << key;
         } catch (const config::ConfigError& error) {
             EXPECT_NE(std::string(error.what()).find(key + ": "), std::string::npos) << error.what();
         }
     }
-    const auto isRejected = [](const std::string& key, const testing::Reply& variables) {
+    const auto isRejected = [](const std::string& key, const testing::FieldMap& variables) {
         try {
-            testing::startOf(testing::plainStart(), variables);
+            testing::processConfigFrom(testing::plainConfigFile(), variables);
             ADD_FAILURE() << "accepted in spite of " << key;
         } catch (const config::ConfigError& error) {
             EXPECT_EQ(std::string(error.what()).substr(0, key.size()), key);
--- a/tests/net/connection_test.cpp
+++ b/tests/net/connection_test.cpp
@@ -9,7 +9,7 @@
 #include <stdexcept>
 #include <string>
 
-#include "../helpers.h"
+#include "support/event_loop_helpers.h"
 
 namespace cottonwing::net {
 namespace {
@@ -65,11 +65,11 @@
     Client client(loop, server);
     EXPECT_FALSE(client.owned->isOpen());
     client.owned->send("early");
-    testing::until(loop, [&] { return server.text == "early"; });
+    testing::runUntil(loop, [&] { return server.text == "early"; });
     EXPECT_EQ(server.text, "early");
     EXPECT_TRUE(client.owned->isOpen());
     server.owned->send("answer");
-    testing::until(loop, [&] { return client.text == "answer"; });
+    testing::runUntil(loop, [&] { return client.text == "answer"; });
     EXPECT_EQ(client.text, "answer");
 }
 
@@ -77,9 +77,9 @@
     Loop loop;
     Server server(loop);
     Client client(loop, server);
-    testing::until(loop, [&] { return server.owned != nullptr; });
+    testing::runUntil(loop, [&] { return server.owned != nullptr; });
     client.owned.reset();
-    testing::until(loop, [&] { return server.end.has_value(); });
+    testing::runUntil(loop, [&] { return server.end.has_value(); });
     EXPECT_EQ(server.end, ConnectionEnd::PeerClosed);
     EXPECT_FALSE(client.end.has_value()) << "its owner hears nothing of an end of its own";
 }
@@ -96,7 +96,7 @@
     client.owned =
         std::make_unique<Connection>(loop, nobody, client, BufferLimits{kPlentyBytes, kPlentyBytes});
     EXPECT_FALSE(client.end.has_value());
-    testing::until(loop, [&] { return client.end.has_value(); });
+    testing::runUntil(loop, [&] { return client.end.has_value(); });
     EXPECT_EQ(client.end, ConnectionEnd::ConnectRefused);
 }
 
@@ -106,7 +106,7 @@
     Client client(loop, server, 100);
     client.owned->send(std::string(101, 'x'));
     EXPECT_FALSE(client.end.has_value()) << "reported from the loop";
-    testing::until(loop, [&] { return client.end.has_value(); });
+    testing::runUntil(loop, [&] { return client.end.has_value(); });
     EXPECT_EQ(client.end, ConnectionEnd::TooLong);
     EXPECT_EQ(server.text, "");
 }
@@ -116,10 +116,10 @@
     Server server(loop);
     Client client(loop, server);
     client.owned->send("once");
-    testing::until(loop, [&] { return server.text == "once"; });
+    testing::runUntil(loop, [&] { return server.text == "once"; });
     const int arrivals = server.arrivals;
     server.owned->readOnLater();
-    testing::until(loop, [&] { return server.arrivals > arrivals; });
+    testing::runUntil(loop, [&] { return server.arrivals > arrivals; });
     EXPECT_EQ(server.arrivals, arrivals + 1);
     EXPECT_EQ(server.text, "once");
 }
@@ -128,11 +128,11 @@
     Loop loop;
     Server server(loop);
     Client client(loop, server);
-    testing::until(loop, [&] { return server.owned != nullptr; });
+    testing::runUntil(loop, [&] { return server.owned != nullptr; });
     server.owned->stopReading();
     client.owned->send("unheard");
     server.owned->send("still written");
-    testing::until(loop, [&] { return client.text == "still written" && server.owned->hasUnread(); });
+    testing::runUntil(loop, [&] { return client.text == "still written" && server.owned->hasUnread(); });
     EXPECT_EQ(client.text, "still written");
     EXPECT_TRUE(server.owned->hasUnread());
     EXPECT_EQ(server.text, "");
@@ -142,16 +142,16 @@
     Loop loop;
     Server server(loop);
     Client client(loop, server);
-    testing::until(loop, [&] { return server.owned != nullptr; });
+    testing::runUntil(loop, [&] { return server.owned != nullptr; });
     const std::string rest(500000, 'r');
     bool closed = false;
     server.owned->send(rest);
     server.owned->finish([&] { closed = true; });
     server.owned.reset();
-    testing::until(loop, [&] { return client.end.has_value(); });
+    testing::runUntil(loop, [&] { return client.end.has_value(); });
     EXPECT_EQ(client.end, ConnectionEnd::PeerClosed);
     EXPECT_EQ(client.text, rest);
-    testing::until(loop, [&] { return closed; });
+    testing::runUntil(loop, [&] { return closed; });
     EXPECT_TRUE(closed);
 }
 
@@ -160,12 +160,12 @@
     Server server(loop);
     server.full = true;
     Client client(loop, server);
-    testing::until(loop, [&] { return client.owned->isOpen(); });  // as the system accepts it
+    testing::runUntil(loop, [&] { return client.owned->isOpen(); });  // as the system accepts it
     for (int turn = 0; turn < 3; ++turn) loop.turnWithoutWaiting();
     EXPECT_EQ(server.owned, nullptr);
     server.full = false;
     server.listener.resume();
-    testing::until(loop, [&] { return server.owned != nullptr; });
+    testing::runUntil(loop, [&] { return server.owned != nullptr; });
     EXPECT_NE(server.owned, nullptr);
 }
 
--- a/tests/net/loop_test.cpp
+++ b/tests/net/loop_test.cpp
@@ -8,9 +8,9 @@
 #include <stdexcept>
 #include <string>
 
-#include "../helpers.h"
 #include "net/signal.h"
 #include "net/timer.h"
+#include "support/event_loop_helpers.h"
 
 namespace cottonwing::net {
 namespace {
@@ -23,7 +23,7 @@
     loop.onTrouble([&](const std::string& what) { trouble = what; });
     Timer timer(loop, [] { throw std::runtime_error("thrown"); });
     timer.start(0ns);
-    testing::until(loop, [&] { return !trouble.empty(); });
+    testing::runUntil(loop, [&] { return !trouble.empty(); });
     EXPECT_EQ(trouble, "thrown");
 }
 
@@ -56,7 +56,7 @@
     const Signal signal(loop, SIGUSR2, [&] { ++handled; });
     ASSERT_EQ(std::raise(SIGUSR2), 0);
     EXPECT_EQ(handled, 0);
-    testing::until(loop, [&] { return handled > 0; });
+    testing::runUntil(loop, [&] { return handled > 0; });
     EXPECT_EQ(handled, 1);
 }
 
--- a/tests/net/timer_test.cpp
+++ b/tests/net/timer_test.cpp
@@ -6,7 +6,7 @@
 
 #include <memory>
 
-#include "../helpers.h"
+#include "support/event_loop_helpers.h"
 
 namespace cottonwing::net {
 namespace {
@@ -24,12 +24,12 @@
     const Duration from = unixNow();
     timer.start(20ms);
     timer.start(10500us);  // in place of the first
-    testing::until(loop, [&] { return fired > 0; });
+    testing::runUntil(loop, [&] { return fired > 0; });
     EXPECT_GE(at - from, 10500us);
     bool after = false;
     Timer later(loop, [&] { after = true; });
     later.start(30ms);
-    testing::until(loop, [&] { return after; });
+    testing::runUntil(loop, [&] { return after; });
     EXPECT_EQ(fired, 1);
 }
 
@@ -42,7 +42,7 @@
     bool laterFired = false;
     Timer later(loop, [&] { laterFired = true; });
     later.start(5ms);
-    testing::until(loop, [&] { return laterFired; });
+    testing::runUntil(loop, [&] { return laterFired; });
     EXPECT_FALSE(stoppedFired);
 }
 
@@ -52,7 +52,7 @@
     Timer timer(loop, [&] { fired = true; });
     timer.start(-5ms);
     EXPECT_FALSE(fired);
-    testing::until(loop, [&] { return fired; });
+    testing::runUntil(loop, [&] { return fired; });
     EXPECT_TRUE(fired);
 }
 
@@ -61,7 +61,7 @@
     std::unique_ptr<Timer> timer;
     timer = std::make_unique<Timer>(loop, [&] { timer.reset(); });
     timer->start(0ns);
-    testing::until(loop, [&] { return timer == nullptr; });
+    testing::runUntil(loop, [&] { return timer == nullptr; });
     EXPECT_EQ(timer, nullptr);
 }
 
--- a/tests/server_test.cpp
+++ b/tests/server_test.cpp
@@ -1,4 +1,5 @@
-// The whole program against stand-ins on loopback, on one loop and with conditions waited for.
+/// @file
+/// The whole server against fake peers on loopback, on one event loop, waiting for conditions.
 #include <sys/resource.h>
 #include <uv.h>
 
@@ -6,7 +7,12 @@
 #include <random>
 #include <thread>
 
-#include "helpers.h"
+#include "support/event_loop_helpers.h"
+#include "support/fake_http_server.h"
+#include "support/plain_config.h"
+#include "support/server_fixture.h"
+#include "support/thrift_frames.h"
+#include "support/thrift_test_client.h"
 
 namespace cottonwing {
 namespace {
@@ -14,34 +20,34 @@
 using namespace std::chrono_literals;
 using net::ConnectionEnd;
 using telemetry::Count;
-using testing::HttpStandIn;
+using testing::FakeHttpServer;
 using testing::Json;
-using testing::Sidecar;
-using testing::Stage;
-using testing::until;
+using testing::runUntil;
+using testing::ServerFixture;
+using testing::ThriftTestClient;
 namespace frames = testing::frames;
 
-// A stage whose backend is bound, with one sidecar.
-struct Served : Stage {
-    explicit Served(Json start = testing::plainStart()) : Stage(std::move(start)) {
+// A server whose worker pool is bound, with one Thrift client.
+struct Served : ServerFixture {
+    explicit Served(Json start = testing::plainConfigFile()) : ServerFixture(std::move(start)) {
         bound();
-        sidecar = std::make_unique<Sidecar>(loop, port());
+        sidecar = std::make_unique<ThriftTestClient>(loop, port());
     }
     const frames::Read& answer(std::int32_t sequence) {
         wait([&] { return sidecar->answers.contains(sequence); });
         return sidecar->answers[sequence];
     }
     void running(int number) {
-        wait([&] { return pool.running.contains(Sidecar::trace(number)); });
+        wait([&] { return pool.running.contains(ThriftTestClient::trace(number)); });
     }
     void finish(int number, const std::string& state = "ok", const std::string& result = "") {
-        pool.finish(Sidecar::trace(number), state, result);
+        pool.finish(ThriftTestClient::trace(number), state, result);
     }
     // A command that waits at its call below.
     std::int32_t atCall(int number, const std::string& body = "call") {
         const std::int32_t sequence = sidecar->ask(number);
         running(number);
-        pool.block(Sidecar::trace(number), body);
+        pool.block(ThriftTestClient::trace(number), body);
         return sequence;
     }
     // Past the moment in which a kept connection is not used, as something may follow the reply on it.
@@ -54,18 +60,18 @@
         soon = std::make_unique<net::Timer>(loop, [&] { records.server.hangUp(from); });
         soon->start(0ns);
     }
-    std::unique_ptr<Sidecar> sidecar;
+    std::unique_ptr<ThriftTestClient> sidecar;
     std::unique_ptr<net::Timer> soon;
 };
 
 const std::string kAnyBytes("\0\n\r\"\xff\x80{}", 9);
 
-TEST(Intake, HandlesACommandByteForByte) {
+TEST(ThriftServer, PassesBodiesUnchanged) {
     Served on;
     const std::int32_t sequence = on.sidecar->ask(1, kAnyBytes);
     on.running(1);
-    EXPECT_EQ(on.pool.running.at(Sidecar::trace(1)), kAnyBytes);
-    EXPECT_EQ(on.pool.kinds.at(Sidecar::trace(1)), "read");
+    EXPECT_EQ(on.pool.running.at(ThriftTestClient::trace(1)), kAnyBytes);
+    EXPECT_EQ(on.pool.kinds.at(ThriftTestClient::trace(1)), "read");
     on.finish(1, "ok", "result" + kAnyBytes);
     EXPECT_EQ(on.answer(sequence).kind, "answer");
     EXPECT_TRUE(on.answer(sequence).good);
@@ -73,20 +79,20 @@
     on.expectBooksClosed();
 }
 
-TEST(Intake, TakesFramesHoweverTheyAreCut) {
+TEST(ThriftServer, ReadsFramesHoweverTheyAreSplit) {
     Served on;
-    std::string bytes =
-        frames::serve(1, Sidecar::fields(1), "one") + frames::serve(2, Sidecar::fields(2), "two");
+    std::string bytes = frames::serve(1, ThriftTestClient::fields(1), "one") +
+                        frames::serve(2, ThriftTestClient::fields(2), "two");
     for (const char byte : bytes) {
         on.sidecar->say({&byte, 1});
         on.loop.turnOnce();
     }
     on.running(1);
     on.running(2);
-    EXPECT_EQ(on.pool.running.at(Sidecar::trace(2)), "two");
+    EXPECT_EQ(on.pool.running.at(ThriftTestClient::trace(2)), "two");
 }
 
-TEST(Intake, AnswersThirtyTwoInAnyOrder) {
+TEST(ThriftServer, AnswersThirtyTwoConcurrentRequestsInAnyOrder) {
     Served on;
     for (int i = 1; i <= 32; ++i) on.sidecar->ask(i, "b" + std::to_string(i));
     std::mt19937 chance(7);
@@ -105,7 +111,7 @@
     on.expectBooksClosed();
 }
 
-TEST(Intake, ARunThatFailsIsScrapped) {
+TEST(ThriftServer, AFailedRunFailsItsRequest) {
     Served on;
     const std::int32_t sequence = on.sidecar->ask(1);
     on.running(1);
@@ -113,18 +119,18 @@
     EXPECT_EQ(on.answer(sequence).kind, "failed");
 }
 
-TEST(Intake, BadInputClosesItsConnectionAlone) {
+TEST(ThriftServer, MalformedFramesCloseOnlyTheirConnection) {
     Served on;
     const std::int32_t kept = on.sidecar->ask(1);
     on.running(1);
     const std::string twice =
-        frames::serve(5, Sidecar::fields(5), "") + frames::serve(5, Sidecar::fields(6), "");
+        frames::serve(5, ThriftTestClient::fields(5), "") + frames::serve(5, ThriftTestClient::fields(6), "");
     std::string many;
-    for (int i = 100; i < 133; ++i) many += frames::serve(i, Sidecar::fields(i), "");
+    for (int i = 100; i < 133; ++i) many += frames::serve(i, ThriftTestClient::fields(i), "");
     const std::vector<std::string> bad = {std::string("\x7f\0\0\0", 4), std::string("\0\0\0\x02xx", 6),
                                           "GET / HTTP/1.1\r\n\r\n", twice, many};
     for (const std::string& bytes : bad) {
-        Sidecar other(on.loop, on.port());
+        ThriftTestClient other(on.loop, on.port());
         other.say(bytes);
         on.wait([&] { return other.gone; });
         EXPECT_TRUE(other.answers.empty());
@@ -136,14 +142,14 @@
     EXPECT_EQ(on.answer(kept).kind, "answer");
 }
 
-TEST(Intake, WhatCannotBeReadGetsAnApplicationException) {
+TEST(ThriftServer, MalformedRequestsGetAnApplicationException) {
     Served on;
     const auto with = [](const std::string& key, const std::string& value) {
-        testing::Reply fields = Sidecar::fields(9);
+        testing::FieldMap fields = ThriftTestClient::fields(9);
         value.empty() ? (void)fields.erase(key) : (void)(fields[key] = value);
         return fields;
     };
-    const std::vector<testing::Reply> bad = {
+    const std::vector<testing::FieldMap> bad = {
         with("route", "write"),     with("route", ""),
         with("customer", "nobody"), with("trace", "12"),
         with("born", ""),           with("born", "1e3"),
@@ -156,30 +162,30 @@
         with("client", "1e3"),      with("redo", "2"),
         with("patience", "8001"),   with("born", std::to_string(net::unixNow() / 1ms + 5000))};
     std::int32_t sequence = 0;
-    for (const testing::Reply& fields : bad) {
+    for (const testing::FieldMap& fields : bad) {
         // A few are borne with on one connection, not many.
-        if (sequence % 6 == 0) on.sidecar = std::make_unique<Sidecar>(on.loop, on.port());
+        if (sequence % 6 == 0) on.sidecar = std::make_unique<ThriftTestClient>(on.loop, on.port());
         on.sidecar->say(frames::serve(++sequence, fields, "body"));
         EXPECT_EQ(on.answer(sequence).kind, "refusal") << sequence;
     }
-    on.sidecar = std::make_unique<Sidecar>(on.loop, on.port());
-    on.sidecar->say(frames::serve(++sequence, Sidecar::fields(9), std::string(2049, 'x')));
+    on.sidecar = std::make_unique<ThriftTestClient>(on.loop, on.port());
+    on.sidecar->say(frames::serve(++sequence, ThriftTestClient::fields(9), std::string(2049, 'x')));
     EXPECT_EQ(on.answer(sequence).kind, "refusal");
     on.sidecar->say(
         frames::frame("other", frames::protocol::T_CALL, ++sequence, [](frames::TBinaryProtocol&) {}));
     EXPECT_EQ(on.answer(sequence).kind, "refusal");
-    on.sidecar->say(frames::serve(++sequence, Sidecar::fields(9), ""));
-    on.sidecar->say(frames::serve(++sequence, Sidecar::fields(9), ""));
+    on.sidecar->say(frames::serve(++sequence, ThriftTestClient::fields(9), ""));
+    on.sidecar->say(frames::serve(++sequence, ThriftTestClient::fields(9), ""));
     EXPECT_EQ(on.answer(sequence).kind, "refusal");  // its trace is in hand already
     EXPECT_EQ(on.count(Count::MalformedRequests), static_cast<std::uint64_t>(sequence - 1));
     EXPECT_EQ(on.count(Count::RequestsRead), 1U);
     EXPECT_FALSE(on.sidecar->gone);
 }
 
-TEST(Intake, ForgetBeforeWhileAndAfterARun) {
+TEST(ThriftServer, CancelMessageBeforeDuringAndAfterARun) {
     Served on;
     // Before: read and forgotten in one turn, it never starts.
-    on.sidecar->say(frames::serve(1, Sidecar::fields(1), "") + frames::forget(2, 1));
+    on.sidecar->say(frames::serve(1, ThriftTestClient::fields(1), "") + frames::forget(2, 1));
     on.wait([&] { return on.count(Count::ClientCancellations) == 1; });
     // While: it is halted, and its place is free once that is told.
     on.sidecar->sequence = 2;
@@ -187,7 +193,7 @@
     on.running(2);
     on.sidecar->say(frames::forget(4, second));
     on.wait([&] { return on.program->backend().trackedCount() == 0; });
-    EXPECT_EQ(on.pool.halted, std::vector<std::string>{Sidecar::trace(2)});
+    EXPECT_EQ(on.pool.halted, std::vector<std::string>{ThriftTestClient::trace(2)});
     // After.
     on.sidecar->sequence = 4;
     const std::int32_t third = on.sidecar->ask(3);
@@ -201,7 +207,7 @@
     on.expectBooksClosed();
 }
 
-TEST(Intake, AConnectionThatEndsIsItsCallersLeaving) {
+TEST(ThriftServer, TheEndOfAConnectionCancelsItsRequests) {
     Served on;
     on.sidecar->ask(1);
     on.sidecar->ask(2);
@@ -213,7 +219,7 @@
     on.expectBooksClosed();
 }
 
-TEST(Intake, AnswersOneWhoseTimeIsUpBeforeItsDueTime) {
+TEST(ThriftServer, FailsARequestBeforeItsDeadline) {
     Served on;
     const Duration from = net::unixNow();
     const std::int32_t sequence = on.sidecar->ask(1, "", "read", 900);
@@ -225,7 +231,7 @@
     on.expectBooksClosed();
 }
 
-TEST(Intake, AReaderThatDoesNotReadCostsItsOwnConnection) {
+TEST(ThriftServer, AClientThatReadsNoAnswersIsNotReadFrom) {
     Served on;
     // A peer of the system's own that never reads, with a small window.
     const int peer = socket(AF_INET, SOCK_STREAM, 0), small = 4096;
@@ -255,13 +261,13 @@
 }
 
 // Places: those that stay silent, hold half a message or asked once keep nobody out.
-TEST(Places, GoToThoseThatSpeak) {
+TEST(ConnectionLimit, SilentConnectionsGiveWayToOthers) {
     Served on;
-    std::vector<std::unique_ptr<Sidecar>> silent, once;
-    const auto open = [&](std::vector<std::unique_ptr<Sidecar>>& list, std::size_t count,
+    std::vector<std::unique_ptr<ThriftTestClient>> silent, once;
+    const auto open = [&](std::vector<std::unique_ptr<ThriftTestClient>>& list, std::size_t count,
                           const std::string& says) {
         for (std::size_t i = 0; i < count; ++i) {
-            list.push_back(std::make_unique<Sidecar>(on.loop, on.port()));
+            list.push_back(std::make_unique<ThriftTestClient>(on.loop, on.port()));
             list.back()->say(says);
         }
     };
@@ -282,7 +288,7 @@
     EXPECT_GT(on.count(Count::ConnectionsEvicted), 20U);
     EXPECT_LE(on.program->sidecars().connections(), on.server.limits.thriftConnections);
     // Half a message on one that has spoken before: it is closed, whatever else trickles in.
-    Sidecar& half = *once.back();
+    ThriftTestClient& half = *once.back();
     half.say(std::string("\0\0\1\0", 4));
     on.wait([&] {
         if (!half.gone) half.say("x");
@@ -292,9 +298,9 @@
     EXPECT_EQ(on.answer(sequence).kind, "answer");
 }
 
-TEST(Places, AreNotForThoseWhoGoOnAskingForNothing) {
+TEST(ConnectionLimit, RepeatedUselessRequestsEndTheirConnection) {
     Served on;
-    const auto asks = [&](Sidecar& from, const std::function<void()>& ask) {
+    const auto asks = [&](ThriftTestClient& from, const std::function<void()>& ask) {
         for (int i = 0; i < 8; ++i) {
             ask();
             on.wait([&] { return from.answers.contains(from.sequence); });
@@ -302,16 +308,16 @@
         on.wait([&] { return from.gone; });
     };
     asks(*on.sidecar, [&] { on.sidecar->ask(1, "", "nothing"); });
-    Sidecar other(on.loop, on.port());
+    ThriftTestClient other(on.loop, on.port());
     int number = 100;
     asks(other, [&] {  // whole, and unknown to the pool
-        on.pool.refused.push_back(Sidecar::trace(++number));
+        on.pool.refused.push_back(ThriftTestClient::trace(++number));
         other.ask(number);
     });
     on.expectBooksClosed();
 }
 
-TEST(Places, OneThatNeverStopsSendingHasItsTurnLikeOthers) {
+TEST(ThriftServer, AFloodOnOneConnectionIsReadInTurns) {
     Served on;
     std::string flood;
     for (int i = 1; i <= 600; ++i) flood += frames::forget(i, 7);
@@ -326,17 +332,17 @@
     EXPECT_LE(most, 130U);  // two turns, at most, lie between two looks
 }
 
-TEST(Memory, WhatIsInHandStaysWithinItsShare) {
-    Json start = testing::plainStart();
+TEST(MemoryLimit, BodiesOfOpenRequestsStayWithinTheirShare) {
+    Json start = testing::plainConfigFile();
     start["limits"]["memory_mb"] = 16;
     Served on(start);
     const std::string body(2048, 'x');
-    std::vector<std::unique_ptr<Sidecar>> sidecars;
+    std::vector<std::unique_ptr<ThriftTestClient>> sidecars;
     int asked = 0;
     for (int i = 0; i < 12; ++i) {
-        sidecars.push_back(std::make_unique<Sidecar>(on.loop, on.port()));
+        sidecars.push_back(std::make_unique<ThriftTestClient>(on.loop, on.port()));
         for (int n = 0; n < 32; ++n) {
-            testing::Reply fields = Sidecar::fields(++asked);
+            testing::FieldMap fields = ThriftTestClient::fields(++asked);
             fields["size"] = "0.001";  // books next to nothing of the pool's memory
             sidecars.back()->say(frames::serve(++sidecars.back()->sequence, fields, body));
         }
@@ -356,7 +362,7 @@
     EXPECT_EQ(on.answer(sequence).kind, "answer");
 }
 
-TEST(Health, TellsFromTheModuleAndFromWorkDone) {
+TEST(HealthCheck, AnswersFromControllerAndCompletedWork) {
     Served on;
     on.sidecar->say(frames::isWell(1, false));
     EXPECT_TRUE(on.answer(1).good);
@@ -380,10 +386,10 @@
     EXPECT_EQ(on.pool.checks, 3);  // a run just ended well: nothing to find out
 }
 
-TEST(Health, IsBadUntilTheMachineIsThere) {
-    Stage on;
+TEST(HealthCheck, IsUnhealthyUntilTheWorkerPoolIsBound) {
+    ServerFixture on;
     on.pool.up = false;
-    Sidecar sidecar(on.loop, on.port());
+    ThriftTestClient sidecar(on.loop, on.port());
     sidecar.say(frames::isWell(1, false));
     sidecar.sequence = 1;
     sidecar.ask(1);
@@ -396,21 +402,21 @@
     on.expectBooksClosed();
 }
 
-TEST(PoolLink, ALostLinkIsCaughtUpWithAndToldAgain) {
+TEST(WorkerPoolClient, AfterReconnectMissedNoticesAreReadAndStartsRepeated) {
     Served on;
     const std::int32_t first = on.sidecar->ask(1), second = on.sidecar->ask(2), third = on.sidecar->ask(3);
     on.running(3);
-    on.pool.block(Sidecar::trace(3), "call");
-    on.wait([&] { return on.pool.supplied.contains(Sidecar::trace(3)); });
+    on.pool.block(ThriftTestClient::trace(3), "call");
+    on.wait([&] { return on.pool.supplied.contains(ThriftTestClient::trace(3)); });
     on.pool.server.hangUp();
     // While there is no link: the end of one run is said to nobody, another run and a reply are lost.
     on.finish(1, "ok", "while away");
-    on.pool.running.erase(Sidecar::trace(2));
+    on.pool.running.erase(ThriftTestClient::trace(2));
     on.pool.supplied.clear();
-    on.wait([&] { return on.pool.supplied.contains(Sidecar::trace(3)); });
+    on.wait([&] { return on.pool.supplied.contains(ThriftTestClient::trace(3)); });
     EXPECT_EQ(on.answer(first).body, "while away");
     EXPECT_EQ(on.pool.binds.back()["n"], 1);
-    EXPECT_TRUE(on.pool.running.contains(Sidecar::trace(2)));
+    EXPECT_TRUE(on.pool.running.contains(ThriftTestClient::trace(2)));
     EXPECT_EQ(on.pool.starts, 5);  // three, and again the two that have not ended
     on.finish(2);
     on.finish(3);
@@ -420,8 +426,8 @@
     on.expectBooksClosed();
 }
 
-TEST(PoolLink, OnceOnlyIsNotStartedAgain) {
-    Json start = testing::plainStart();
+TEST(WorkerPoolClient, AfterReconnectNonIdempotentRequestsAreNotStartedAgain) {
+    Json start = testing::plainConfigFile();
     start["settings"]["classes"][1]["repeat"] = "single_shot";
     Served on(start);
     const std::int32_t once = on.sidecar->ask(1, "", "look");
@@ -437,10 +443,10 @@
     EXPECT_EQ(on.pool.starts, 3);  // only the repeatable one was said again
 }
 
-TEST(PoolLink, ANoticeThatWasSeenIsDropped) {
+TEST(WorkerPoolClient, DropsNoticesThatWereSeen) {
     Served on;
     const std::int32_t sequence = on.atCall(1);
-    on.wait([&] { return on.pool.supplied.contains(Sidecar::trace(1)); });
+    on.wait([&] { return on.pool.supplied.contains(ThriftTestClient::trace(1)); });
     on.pool.send(on.pool.said.back());
     on.pool.send({{"type", "chatter"}, {"n", ++on.pool.last}, {"state", "as it goes"}});
     on.pool.server.lines.back().connection->send("{not a line}\n");
@@ -450,22 +456,22 @@
     EXPECT_EQ(on.count(Count::WorkerPoolMalformedMessages), 1U);
 }
 
-TEST(PoolLink, AStartThatIsNotCarriedOutIsScrapped) {
+TEST(WorkerPoolClient, AStartOfAnUnknownRequestFailsIt) {
     Served on;
-    on.pool.refused.push_back(Sidecar::trace(1));
+    on.pool.refused.push_back(ThriftTestClient::trace(1));
     EXPECT_EQ(on.answer(on.sidecar->ask(1)).kind, "failed");
     EXPECT_EQ(on.count(Count::WorkerPoolUnknownRequests), 1U);
     // Callers that ask for what the pool does not know do not close the backend for others.
     for (int i = 2; i < 30; ++i) {
-        if (i % 6 == 0) on.sidecar = std::make_unique<Sidecar>(on.loop, on.port());
-        on.pool.refused.push_back(Sidecar::trace(i));
+        if (i % 6 == 0) on.sidecar = std::make_unique<ThriftTestClient>(on.loop, on.port());
+        on.pool.refused.push_back(ThriftTestClient::trace(i));
         EXPECT_EQ(on.answer(on.sidecar->ask(i)).kind, "failed");
     }
     EXPECT_TRUE(on.program->backend().healthy());
     on.expectBooksClosed();
 }
 
-TEST(PoolLink, OneThatIsOpenButDeadIsOpenedAgain) {
+TEST(WorkerPoolClient, ReconnectsWhenPollsGetNoAnswer) {
     Served on;
     on.pool.answersPolls = false;  // and nothing else is said
     on.wait([&] { return on.pool.binds.size() == 2; });
@@ -473,32 +479,32 @@
 }
 
 // The pool has lost what was said shortly before a break, and knows what was said long before.
-TEST(PoolLink, AReplyThatHasArrivedIsNotSuppliedAgain) {
+TEST(WorkerPoolClient, AfterReconnectOnlyRecentDependencyResponsesAreSentAgain) {
     Served on;
     on.atCall(1);
-    on.wait([&] { return on.pool.supplied.contains(Sidecar::trace(1)); });
+    on.wait([&] { return on.pool.supplied.contains(ThriftTestClient::trace(1)); });
     const Duration from = net::unixNow();
     on.wait([&] { return net::unixNow() > from + 1100ms; });
     on.atCall(2);
-    on.wait([&] { return on.pool.supplied.contains(Sidecar::trace(2)); });
+    on.wait([&] { return on.pool.supplied.contains(ThriftTestClient::trace(2)); });
     on.pool.supplied.clear();
     on.pool.server.hangUp();
-    on.wait([&] { return on.pool.supplied.contains(Sidecar::trace(2)); });
-    EXPECT_FALSE(on.pool.supplied.contains(Sidecar::trace(1)));
+    on.wait([&] { return on.pool.supplied.contains(ThriftTestClient::trace(2)); });
+    EXPECT_FALSE(on.pool.supplied.contains(ThriftTestClient::trace(1)));
 }
 
 // SIGHUP: the three links move while commands run, and a bad file changes nothing.
-TEST(Reload, MovesTheLinksAndRefusesABadFileWhole) {
+TEST(Reload, MovesClientsToNewAddressesAndRejectsABadFile) {
     Served on;
-    testing::Pool pool(on.loop);
+    testing::FakeWorkerPool pool(on.loop);
     const auto good = [](net::Connection&, const std::string&, const std::string& body) {
-        return body.find("state") != body.npos ? HttpStandIn::reply(204)
-                                               : HttpStandIn::reply(200, "new:" + body);
+        return body.find("state") != body.npos ? FakeHttpServer::reply(204)
+                                               : FakeHttpServer::reply(200, "new:" + body);
     };
-    HttpStandIn records(on.loop, good), registry(on.loop, good);
+    FakeHttpServer records(on.loop, good), registry(on.loop, good);
     const std::int32_t first = on.sidecar->ask(1), second = on.atCall(2, "out already");
-    on.wait([&] { return on.pool.supplied.contains(Sidecar::trace(2)); });
-    Json start = testing::plainStart();
+    on.wait([&] { return on.pool.supplied.contains(ThriftTestClient::trace(2)); });
+    Json start = testing::plainConfigFile();
     const auto text = [](const net::Address& at) { return at.host + ":" + std::to_string(at.port); };
     start["pool"] = text(pool.server.address());
     start["records"] = text(records.server.address());
@@ -512,22 +518,22 @@
     on.readAgain(start);  // nothing is new now
     EXPECT_EQ(on.count(Count::Reloads), 2U);
     EXPECT_NE(on.lines.str().find("change ignored until restart: key=limits"), std::string::npos);
-    on.wait([&] { return pool.running.contains(Sidecar::trace(1)) && !registry.bodies.empty(); });
+    on.wait([&] { return pool.running.contains(ThriftTestClient::trace(1)) && !registry.bodies.empty(); });
     EXPECT_EQ(pool.binds.size(), 1U);
     EXPECT_EQ(pool.binds[0]["n"], on.pool.last);  // notices go on where they were
     pool.last = on.pool.last;
-    pool.block(Sidecar::trace(2), "now");
-    on.wait([&] { return pool.supplied[Sidecar::trace(2)] == "new:now"; });
-    pool.finish(Sidecar::trace(1), "ok", "one");
-    pool.finish(Sidecar::trace(2), "ok", "two");
+    pool.block(ThriftTestClient::trace(2), "now");
+    on.wait([&] { return pool.supplied[ThriftTestClient::trace(2)] == "new:now"; });
+    pool.finish(ThriftTestClient::trace(1), "ok", "one");
+    pool.finish(ThriftTestClient::trace(2), "ok", "two");
     EXPECT_EQ(on.answer(first).body, "one");
     EXPECT_EQ(on.answer(second).body, "two");
     on.program->leave();
-    on.readAgain(testing::plainStart());  // also while leaving
+    on.readAgain(testing::plainConfigFile());  // also while leaving
     on.expectBooksClosed();
 }
 
-TEST(PoolLink, RoundsGoOnWithoutGauges) {
+TEST(WorkerPoolClient, EventBatchesGoOnWithoutGauges) {
     Served on;
     on.pool.answersPolls = false;
     const int polls = on.pool.polls;
@@ -538,18 +544,18 @@
     EXPECT_EQ(on.answer(sequence).kind, "answer");
 }
 
-TEST(Records, AreMadeAndTheirRepliesSupplied) {
+TEST(DependencyClient, MakesCallsAndPassesTheirResponsesOn) {
     Served on;
     const std::int32_t sequence = on.atCall(1, kAnyBytes);
-    on.wait([&] { return on.pool.supplied.contains(Sidecar::trace(1)); });
-    EXPECT_EQ(on.pool.supplied.at(Sidecar::trace(1)), "re:" + kAnyBytes);
+    on.wait([&] { return on.pool.supplied.contains(ThriftTestClient::trace(1)); });
+    EXPECT_EQ(on.pool.supplied.at(ThriftTestClient::trace(1)), "re:" + kAnyBytes);
     EXPECT_EQ(on.records.bodies.at(0), kAnyBytes);
-    EXPECT_EQ(HttpStandIn::header(on.records.heads.at(0), "Op-Of"), Sidecar::trace(1));
-    EXPECT_GT(std::stoi(HttpStandIn::header(on.records.heads.at(0), "Op-Wait-Ms")), 100);
+    EXPECT_EQ(FakeHttpServer::header(on.records.heads.at(0), "Op-Of"), ThriftTestClient::trace(1));
+    EXPECT_GT(std::stoi(FakeHttpServer::header(on.records.heads.at(0), "Op-Wait-Ms")), 100);
     on.settled();
-    on.pool.block(Sidecar::trace(1), "second");
+    on.pool.block(ThriftTestClient::trace(1), "second");
     on.wait([&] { return on.records.bodies.size() == 2; });
-    on.wait([&] { return on.pool.supplied.at(Sidecar::trace(1)) == "re:second"; });
+    on.wait([&] { return on.pool.supplied.at(ThriftTestClient::trace(1)) == "re:second"; });
     EXPECT_EQ(on.records.server.accepted, 1);  // on the kept connection
     on.finish(1);
     EXPECT_EQ(on.answer(sequence).kind, "answer");
@@ -557,15 +563,15 @@
 }
 
 // Each reply, and each way in which the connection can end, is one kind of outcome.
-TEST(Records, EachReplyHasItsOutcome) {
+TEST(DependencyClient, EachResponseHasItsOutcome) {
     const std::string notBegun = "Op-Not-Begun: 1\r\n";
     const std::vector<std::pair<std::string, Count>> cases = {
-        {HttpStandIn::reply(503, "", notBegun), Count::CallsResourceExhausted},
-        {HttpStandIn::reply(503), Count::CallsError},
-        {HttpStandIn::reply(500), Count::CallsError},
-        {HttpStandIn::reply(504), Count::CallsTimedOut},
-        {HttpStandIn::reply(409, "", notBegun), Count::CallsSuperseded},
-        {HttpStandIn::reply(200, "good") + HttpStandIn::reply(200, "copy"), Count::CallsOk},
+        {FakeHttpServer::reply(503, "", notBegun), Count::CallsResourceExhausted},
+        {FakeHttpServer::reply(503), Count::CallsError},
+        {FakeHttpServer::reply(500), Count::CallsError},
+        {FakeHttpServer::reply(504), Count::CallsTimedOut},
+        {FakeHttpServer::reply(409, "", notBegun), Count::CallsSuperseded},
+        {FakeHttpServer::reply(200, "good") + FakeHttpServer::reply(200, "copy"), Count::CallsOk},
         {"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nand so on", Count::CallsMalformedResponse},
         {"no reply\r\n\r\n", Count::CallsMalformedResponse},
         {"hang up", Count::CallsConnectionLost}};
@@ -581,8 +587,8 @@
     }
 }
 
-TEST(Records, OneNobodyAnswersTimesOutAndOneNobodyTakesIsUnreachable) {
-    Json start = testing::plainStart();
+TEST(DependencyClient, ACallTimesOutWithoutAnswerAndIsUnreachableWithoutConnection) {
+    Json start = testing::plainConfigFile();
     start["settings"]["classes"][0]["aim_us"] = 300000;
     Served on(start);
     on.records.answer = [](net::Connection&, const std::string&, const std::string&) {
@@ -597,7 +603,7 @@
     EXPECT_GT(on.count(ConnectionEnd::ConnectRefused), 0U);
 }
 
-TEST(Records, GivenUpWhenNobodyWaitsForThem) {
+TEST(DependencyClient, ACancelledRequestAbandonsItsCall) {
     Served on;
     on.records.answer = [](net::Connection&, const std::string&, const std::string&) {
         return std::string();
@@ -612,22 +618,22 @@
     on.expectBooksClosed();
 }
 
-TEST(Records, AKeptConnectionThatWasClosedIsNoFailedCall) {
+TEST(DependencyClient, AClosedIdleConnectionFailsNoCall) {
     Served on;
     const std::int32_t sequence = on.atCall(1);
-    on.wait([&] { return on.pool.supplied.contains(Sidecar::trace(1)); });
+    on.wait([&] { return on.pool.supplied.contains(ThriftTestClient::trace(1)); });
     EXPECT_EQ(on.program->records().idleConnections(), 1U);
     on.records.server.hangUp();
     on.wait([&] { return on.program->records().idleConnections() == 0; });
-    on.pool.block(Sidecar::trace(1), "second");
-    on.wait([&] { return on.pool.supplied.at(Sidecar::trace(1)) == "re:second"; });
+    on.pool.block(ThriftTestClient::trace(1), "second");
+    on.wait([&] { return on.pool.supplied.at(ThriftTestClient::trace(1)) == "re:second"; });
     EXPECT_EQ(on.count(Count::CallsOk), 2U);
     on.finish(1);
     on.answer(sequence);
 }
 
 // A peer of the system's own resets the kept connection between the loop's look at it and the write.
-TEST(Records, ACallThatWasNeverWrittenIsPutOnANewConnection) {
+TEST(DependencyClient, AnUnwrittenCallMovesToANewConnection) {
     const int listener = socket(AF_INET, SOCK_STREAM, 0);
     sockaddr_in at{};
     uv_ip4_addr("127.0.0.1", 0, &at);
@@ -645,47 +651,47 @@
     shares.dependencyBytes = 1 << 20;
     dependency::HttpDependencyClient records(loop, net::Address{"127.0.0.1", ntohs(at.sin_port)}, shares,
                                              backend, counters);
-    const std::string reply = HttpStandIn::reply(200, "good");
+    const std::string reply = FakeHttpServer::reply(200, "good");
     const auto serve = [&] {
         const int peer = accept(listener, nullptr, nullptr);
         char bytes[4096];
         ssize_t count = -1;
-        until(loop, [&] { return (count = recv(peer, bytes, sizeof bytes, MSG_DONTWAIT)) > 0; });
+        runUntil(loop, [&] { return (count = recv(peer, bytes, sizeof bytes, MSG_DONTWAIT)) > 0; });
         EXPECT_EQ(send(peer, reply.data(), reply.size(), 0), static_cast<ssize_t>(reply.size()));
         return std::make_pair(peer,
                               std::string(bytes, static_cast<std::size_t>(std::max<ssize_t>(count, 0))));
     };
-    records.startCall(1, Sidecar::trace(1), 5s, "first");
+    records.startCall(1, ThriftTestClient::trace(1), 5s, "first");
     const auto [peer, first] = serve();
-    until(loop, [&, from = net::unixNow()] {
+    runUntil(loop, [&, from = net::unixNow()] {
         return records.idleConnections() == 1 && net::unixNow() > from + 10ms;
     });
     const linger reset = {1, 0};
     setsockopt(peer, SOL_SOCKET, SO_LINGER, &reset, sizeof reset);
     close(peer);
-    records.startCall(2, Sidecar::trace(2), 5s, "second");
+    records.startCall(2, ThriftTestClient::trace(2), 5s, "second");
     EXPECT_EQ(records.idleConnections(), 0U);
     loop.turnWithoutWaiting();
     const auto [again, second] = serve();
-    until(loop, [&] { return counters.of(Count::CallsOk) == 2; });
+    runUntil(loop, [&] { return counters.of(Count::CallsOk) == 2; });
     EXPECT_NE(second.find("\r\n\r\nsecond"), second.npos);
     EXPECT_EQ(counters.of(Count::CallsStarted), 2U);
     EXPECT_EQ(counters.of(Count::CallsConnectionLost), 0U);
-    until(loop, [&, from = net::unixNow()] {
+    runUntil(loop, [&, from = net::unixNow()] {
         return records.idleConnections() == 1 && net::unixNow() > from + 10ms;
     });
     // A reply that came in time is read after a stand-still, though the patience is over by then.
-    records.startCall(4, Sidecar::trace(4), 100ms, "slow machine");
+    records.startCall(4, ThriftTestClient::trace(4), 100ms, "slow machine");
     loop.turnWithoutWaiting();
     char bytes[4096];
-    until(loop, [&, fd = again] { return recv(fd, bytes, sizeof bytes, MSG_DONTWAIT) > 0; });
+    runUntil(loop, [&, fd = again] { return recv(fd, bytes, sizeof bytes, MSG_DONTWAIT) > 0; });
     EXPECT_EQ(send(again, reply.data(), reply.size(), 0), static_cast<ssize_t>(reply.size()));
     std::this_thread::sleep_for(200ms);
-    until(loop, [&] { return records.callsInFlight() == 0; });
+    runUntil(loop, [&] { return records.callsInFlight() == 0; });
     EXPECT_EQ(counters.of(Count::CallsOk), 3U);
     // A second call for a command gives up the first.
-    records.startCall(3, Sidecar::trace(3), 5s, "third");
-    records.startCall(3, Sidecar::trace(3), 5s, "fourth");
+    records.startCall(3, ThriftTestClient::trace(3), 5s, "third");
+    records.startCall(3, ThriftTestClient::trace(3), 5s, "fourth");
     EXPECT_EQ(records.callsInFlight(), 1U);
     EXPECT_EQ(counters.of(Count::CallsAbandoned), 1U);
     records.abandonCall(3);
@@ -693,7 +699,7 @@
     close(listener);
 }
 
-TEST(Listing, ReportsOnItsOwnAndAgainSoonAfterAFailure) {
+TEST(RegistryClient, ReportsPeriodicallyAndSoonAfterAFailure) {
     Served on;
     on.wait([&] { return on.registry.heads.size() >= 2; });
     EXPECT_EQ(on.registry.heads[0].substr(0, on.registry.heads[0].find("\r\n")),
@@ -707,7 +713,7 @@
     const Duration from = net::unixNow();
     on.wait([&] { return on.count(Count::RegistryReportsFailed) > 0; });
     on.registry.answer = [](net::Connection&, const std::string&, const std::string&) {
-        return HttpStandIn::reply(204);
+        return FakeHttpServer::reply(204);
     };
     const std::size_t before = on.registry.heads.size();
     on.wait([&] { return on.registry.heads.size() > before; });
@@ -715,9 +721,9 @@
     EXPECT_GE(on.registry.server.accepted, 2);
 }
 
-TEST(Listing, AReportThatWaitsHoldsNothingBack) {
+TEST(RegistryClient, ANewReportReplacesOneWithoutAnswer) {
     net::Loop loop;
-    HttpStandIn registry(
+    FakeHttpServer registry(
         loop, [](net::Connection&, const std::string&, const std::string&) { return std::string(); });
     std::ostringstream lines;
     telemetry::Log log(lines, telemetry::Level::Debug);
@@ -726,19 +732,20 @@
     const Duration from = net::unixNow();
     for (const bool ready : {false, true}) {
         const std::size_t before = registry.bodies.size();
-        until(loop, [&] { return registry.bodies.size() == std::max<std::size_t>(before, 1); });
+        runUntil(loop, [&] { return registry.bodies.size() == std::max<std::size_t>(before, 1); });
         reports.reportReady(ready);
-        until(loop, [&] { return registry.bodies.size() == std::max<std::size_t>(before, 1) + 1; });
+        runUntil(loop, [&] { return registry.bodies.size() == std::max<std::size_t>(before, 1) + 1; });
         EXPECT_EQ(registry.bodies.back(), ready ? R"({"state":"ready"})" : R"({"state":"draining"})");
     }
     EXPECT_LT(net::unixNow() - from, 400ms);  // not when the wait for an answer is over
     EXPECT_EQ(counters.of(Count::RegistryReportsFailed), 2U);
-    EXPECT_EQ(lines.str().find("registry unavailable"), std::string::npos);  // one without an answer may have counted
+    EXPECT_EQ(lines.str().find("registry unavailable"),
+              std::string::npos);  // one without an answer may have counted
 }
 
-TEST(Leaving, AnswersAllTellsTheListAndGoes) {
+TEST(GracefulShutdown, ReportsDrainingAnswersOpenRequestsAndStops) {
     Served on;
-    Sidecar idle(on.loop, on.port());
+    ThriftTestClient idle(on.loop, on.port());
     const std::int32_t sequence = on.sidecar->ask(1);
     on.running(1);
     const int port = on.port();
@@ -752,7 +759,7 @@
     on.wait([&] { return net::unixNow() > from + 210ms; });
     on.sidecar->sequence = 60;
     EXPECT_EQ(on.answer(on.sidecar->ask(2)).kind, "busy");
-    Sidecar late(on.loop, port);
+    ThriftTestClient late(on.loop, port);
     on.wait([&] { return late.gone; });  // refused: nothing ran
     on.finish(1, "ok", "in time");
     EXPECT_EQ(on.answer(sequence).body, "in time");
@@ -763,7 +770,7 @@
     on.expectBooksClosed();
 }
 
-TEST(Leaving, ScrapsWhatWillNotEndAndStopsInTime) {
+TEST(GracefulShutdown, FailsUnfinishedRequestsAndStopsInTime) {
     Served on;
     const std::int32_t sequence = on.sidecar->ask(1, "", "read", 8000);
     on.running(1);
@@ -774,7 +781,7 @@
     EXPECT_EQ(on.sidecar->answers[sequence].kind, "failed");
 }
 
-TEST(Stall, IsCaughtUpWithInOneRound) {
+TEST(Stall, IsHandledInOneEventBatch) {
     Served on;
     const int polls = on.pool.polls;
     on.wait([&] { return on.pool.polls > polls; });
@@ -786,8 +793,8 @@
     EXPECT_LE(on.pool.polls, polls + 2);  // of the twenty alarms that the time would hold
 }
 
-TEST(Connections, ThatAreIdleAreSentAwayAndStillServed) {
-    Json start = testing::plainStart();
+TEST(IdleConnections, AreToldToDrainAndStillServed) {
+    Json start = testing::plainConfigFile();
     start["settings"]["family_info"]["senders"] = 1000;  // each comes back seldom: idle ones go early
     start["settings"]["family_info"]["idle_us"] = 1200000;
     Served on(start);
@@ -800,7 +807,7 @@
     EXPECT_EQ(on.sidecar->goaways, 1);
 }
 
-TEST(Descriptors, RunningOutNeitherSpinsNorEnds) {
+TEST(DescriptorLimit, RunningOutNeitherSpinsNorStopsTheProgram) {
     Served on;
     rlimit before{};
     getrlimit(RLIMIT_NOFILE, &before);
@@ -808,25 +815,25 @@
     close(next);
     const rlimit tight = {static_cast<rlim_t>(next), before.rlim_max};
     const std::int32_t sequence = on.atCall(1);
-    on.wait([&] { return on.pool.supplied.contains(Sidecar::trace(1)); });
+    on.wait([&] { return on.pool.supplied.contains(ThriftTestClient::trace(1)); });
     on.records.server.hangUp();
     on.wait([&] { return on.program->records().idleConnections() == 0; });
     setrlimit(RLIMIT_NOFILE, &tight);
-    on.pool.block(Sidecar::trace(1), "no descriptor for this call");
+    on.pool.block(ThriftTestClient::trace(1), "no descriptor for this call");
     // The stand-in's closed end gave a descriptor or two back: several calls are tried until one lacks it.
     on.pool.server.lines.back().connection->send("");
     on.wait([&] { return on.count(Count::CallsUnreachable) + on.count(Count::CallsOk) > 1; });
     setrlimit(RLIMIT_NOFILE, &before);
     on.finish(1);
     on.answer(sequence);
-    Sidecar other(on.loop, on.port());
+    ThriftTestClient other(on.loop, on.port());
     other.say(frames::isWell(1, false));
     on.wait([&] { return other.answers.contains(1); });
 }
 
 // A day of random events: one answer a command, bodies unchanged, books closed, descriptors back.
-TEST(Server, KeepsItsRulesThroughRandomEvents) {
-    Json start = testing::plainStart();
+TEST(Server, KeepsItsInvariantsThroughRandomEvents) {
+    Json start = testing::plainConfigFile();
     start["settings"]["classes"][0]["aim_us"] = 400000;
     Served on(start);
     const auto descriptors = [] {
@@ -839,23 +846,23 @@
     on.records.answer = [&](net::Connection&, const std::string&, const std::string& body) {
         switch (draw(12)) {
             case 0:
-                return HttpStandIn::reply(503, "", "Op-Not-Begun: 1\r\n");
+                return FakeHttpServer::reply(503, "", "Op-Not-Begun: 1\r\n");
             case 1:
-                return HttpStandIn::reply(500);
+                return FakeHttpServer::reply(500);
             case 2:
-                return HttpStandIn::reply(504);
+                return FakeHttpServer::reply(504);
             case 3:
                 return std::string();
             case 4:
                 return std::string("HTTP/1.1 2x0\r\n\r\n");
             default:
-                return HttpStandIn::reply(200, "re:" + body, draw(4) == 0 ? "Connection: close\r\n" : "");
+                return FakeHttpServer::reply(200, "re:" + body, draw(4) == 0 ? "Connection: close\r\n" : "");
         }
     };
-    std::vector<std::unique_ptr<Sidecar>> sidecars;
+    std::vector<std::unique_ptr<ThriftTestClient>> sidecars;
     std::map<std::string, std::string> results;  // by job
     struct Asked {
-        Sidecar* sidecar;
+        ThriftTestClient* sidecar;
         std::int32_t sequence;
         bool forgotten = false;
     };
@@ -880,17 +887,17 @@
         }
         for (const auto& [job, reply] : on.pool.supplied) EXPECT_EQ(reply, "re:call of " + job);
     };
-    std::array<Sidecar*, 8> open{};
+    std::array<ThriftTestClient*, 8> open{};
     for (int turn = 0; number < 1500 && turn < 50000; ++turn) {
         auto& place = open[static_cast<std::size_t>(draw(8))];
         if (place == nullptr || !place->connection) {
-            sidecars.push_back(std::make_unique<Sidecar>(on.loop, on.port()));
+            sidecars.push_back(std::make_unique<ThriftTestClient>(on.loop, on.port()));
             place = sidecars.back().get();
         }
-        Sidecar& from = *place;
+        ThriftTestClient& from = *place;
         if (from.sequence - static_cast<int>(from.answers.size()) < 20) {
             const int id = ++number;
-            const std::int32_t sequence = from.ask(id, "body of " + Sidecar::trace(id),
+            const std::int32_t sequence = from.ask(id, "body of " + ThriftTestClient::trace(id),
                                                    draw(3) == 0 ? "look" : "read", 200 + draw(600));
             asked[id] = {&from, sequence};
             if (draw(20) == 0) {
@@ -913,14 +920,14 @@
     });
     int answered = 0;
     for (const auto& [id, command] : asked) {
-        Sidecar& from = *command.sidecar;
+        ThriftTestClient& from = *command.sidecar;
         if (command.forgotten) continue;
         on.wait([&] { return !from.connection || from.answers.contains(command.sequence); });
         if (!from.answers.contains(command.sequence)) continue;  // its connection ended first
         const frames::Read& answer = from.answers[command.sequence];
         ++answered;
         if (answer.kind != "answer") continue;
-        EXPECT_EQ(answer.body, results.at(Sidecar::trace(id)));
+        EXPECT_EQ(answer.body, results.at(ThriftTestClient::trace(id)));
     }
     EXPECT_GT(answered, 100);
     for (const auto& sidecar : sidecars) EXPECT_EQ(sidecar->twice, 0);
