--- a/src/overload/call_scheduling.cpp
+++ b/src/overload/call_scheduling.cpp
@@ -57,10 +57,10 @@
 
 void CallScheduling::shedWaitingCalls() {
     if (context_.requests.callQueue().empty()) return;
-    DependencyPace pace;
-    pace.now = context_.now;
-    pace.callSeconds = context_.dependency.callSeconds();
-    pace.secondsBetweenCalls = context_.dependency.secondsBetweenCalls();
+    DependencyRate rate;
+    rate.now = context_.now;
+    rate.callSeconds = context_.dependency.callSeconds();
+    rate.secondsBetweenCalls = context_.dependency.secondsBetweenCalls();
     std::vector<WaitingCall> byDeadline;
     for (const auto& [deadline, id] : context_.requests.callQueue()) {
         const RequestState& request = context_.requests.at(id);
@@ -73,7 +73,7 @@
         call.lateValueFraction = context_.classOf(request).lateValueFraction;
         byDeadline.push_back(call);
     }
-    for (const RequestId id : selectCallsToSkip(byDeadline, pace)) skipCall(context_.requests.at(id));
+    for (const RequestId id : selectCallsToSkip(byDeadline, rate)) skipCall(context_.requests.at(id));
 }
 
 void CallScheduling::startWaitingCalls() {
--- a/src/overload/dependency_queue.cpp
+++ b/src/overload/dependency_queue.cpp
@@ -23,17 +23,17 @@
 }  // namespace
 
 std::vector<RequestId> selectCallsToSkip(const std::vector<WaitingCall>& byDeadline,
-                                         const DependencyPace& pace) {
+                                         const DependencyRate& rate) {
     std::vector<RequestId> skipped;
-    if (pace.secondsBetweenCalls <= 0) return skipped;
+    if (rate.secondsBetweenCalls <= 0) return skipped;
     std::vector<ScheduledCall> scheduled;
     for (const WaitingCall& call : byDeadline) {
-        const Duration remaining = fromSeconds(pace.callSeconds + kCoreTimeAfterCall * call.coreSeconds);
-        const bool late = pace.now + remaining > call.objectiveEnd;
+        const Duration remaining = fromSeconds(rate.callSeconds + kCoreTimeAfterCall * call.coreSeconds);
+        const bool late = rate.now + remaining > call.objectiveEnd;
         scheduled.push_back({call.value * (late ? call.lateValueFraction : 1), call.id});
         const auto callsBefore = static_cast<double>(scheduled.size() - 1);
-        const Duration wait = fromSeconds(pace.secondsBetweenCalls * callsBefore);
-        if (pace.now + wait + remaining <= (late ? call.answerBy : call.objectiveEnd)) continue;
+        const Duration wait = fromSeconds(rate.secondsBetweenCalls * callsBefore);
+        if (rate.now + wait + remaining <= (late ? call.answerBy : call.objectiveEnd)) continue;
         const auto least = std::min_element(scheduled.begin(), scheduled.end(), hasLessValue);
         skipped.push_back(least->id);
         scheduled.erase(least);
--- a/src/overload/dependency_queue.h
+++ b/src/overload/dependency_queue.h
@@ -19,7 +19,7 @@
 };
 
 /// How the dependency takes calls at present.
-struct DependencyPace {
+struct DependencyRate {
     Timestamp now{0};
     double callSeconds = 0;          ///< What one call takes.
     double secondsBetweenCalls = 0;  ///< Interval at which calls are sent; 0: not limited.
@@ -30,6 +30,6 @@
 /// least value among those up to it is taken out.
 /// @param byDeadline the queue, earliest deadline first.
 std::vector<RequestId> selectCallsToSkip(const std::vector<WaitingCall>& byDeadline,
-                                         const DependencyPace& pace);
+                                         const DependencyRate& rate);
 
 }  // namespace cottonwing::overload
--- a/src/overload/run_scheduling.cpp
+++ b/src/overload/run_scheduling.cpp
@@ -94,23 +94,29 @@
 void RunScheduling::completeRun(const Completion& completion) {
     RequestState* request = context_.requests.find(completion.id);
     if (request == nullptr) return;
+    if (request->phase == RequestPhase::OnCores) learnFromRun(*request, completion);
     const bool succeeded = completion.outcome == Outcome::Ok;
-    const bool onCores = request->phase == RequestPhase::OnCores;
-    if (onCores && succeeded) {
+    if (succeeded && request->answerPending()) recordValue(*request);
+    closing_.remove(*request);
+}
+
+void RunScheduling::learnFromRun(const RequestState& request, const Completion& completion) {
+    const bool succeeded = completion.outcome == Outcome::Ok;
+    if (succeeded) {
         RunTimes run;
-        run.coreSeconds = coreSecondsSoFar(*request, context_.now);
+        run.coreSeconds = coreSecondsSoFar(request, context_.now);
         run.totalSeconds = toSeconds(completion.elapsed);
-        run.dependencyCalls = request->call.callsWanted;
-        context_.serviceTimes.recordSuccess(request->requestClass, run);
+        run.dependencyCalls = request.call.callsWanted;
+        context_.serviceTimes.recordSuccess(request.requestClass, run);
     }
     // A run that was stopped, never started, or is unknown to the executor tells nothing of the machine.
-    if (onCores && (succeeded || completion.outcome == Outcome::Error)) recordRunOutcome(succeeded);
-    if (succeeded && request->answerPending()) {
-        const bool inTime = context_.now <= request->objectiveEnd + kControlTick;
-        context_.requestValue.recordSuccess(request->requestClass,
-                                            inTime ? 1 : context_.classOf(*request).lateValueFraction);
-    }
-    closing_.remove(*request);
+    if (succeeded || completion.outcome == Outcome::Error) recordRunOutcome(succeeded);
+}
+
+void RunScheduling::recordValue(const RequestState& request) {
+    const bool inTime = context_.now <= request.objectiveEnd + kControlTick;
+    const double valueFraction = inTime ? 1 : context_.classOf(request).lateValueFraction;
+    context_.requestValue.recordSuccess(request.requestClass, valueFraction);
 }
 
 void RunScheduling::recordRunOutcome(bool succeeded) {
--- a/src/overload/run_scheduling.h
+++ b/src/overload/run_scheduling.h
@@ -25,6 +25,10 @@
     QueuedRequest queuedRequest(const RequestState& request) const;
     void shed(RequestState& request);
     void startRun(RequestState& request);
+    /// Learns service times and health from a run that was on the cores when it ended.
+    void learnFromRun(const RequestState& request, const Completion& completion);
+    /// Counts a successful response for the fairness between classes.
+    void recordValue(const RequestState& request);
     /// Runs that fail by themselves, one after the other, show that this server is not healthy. Failing fast
     /// it would look quick and attract clients; rejected instead, its requests may still succeed on other
     /// servers.
