--- a/src/request/request_manager.cpp
+++ b/src/request/request_manager.cpp
@@ -84,11 +84,14 @@
         config_.requestClasses[static_cast<std::size_t>(incoming.request.requestClass)];
     if (requestClass.idempotency != Idempotency::WithKey) return true;
     const Timestamp now = net::unixNow();
+    state::KeyAttempt attempt;
+    attempt.id = incoming.request.id;
     // Seeded, so that no client can construct a different body with the same hash.
-    const std::size_t bodyHash = std::hash<std::string>{}(std::to_string(config_.seed) + incoming.body);
+    attempt.bodyHash = std::hash<std::string>{}(std::to_string(config_.seed) + incoming.body);
+    attempt.arrivedAt = now - incoming.request.queuedBeforeRead;
+    attempt.readAt = now;
     const state::KeyTimes times{requestClass.idempotencyWindow, requestClass.timeout + kClockTolerance};
-    const KeyClaim claim = keys_.claim(incoming.idempotencyKey, incoming.request.id, bodyHash,
-                                       now - incoming.request.queuedBeforeRead, now, times);
+    const KeyClaim claim = keys_.claim(incoming.idempotencyKey, attempt, times);
     RequestState& request = entry->second;
     switch (claim) {
         case KeyClaim::Conflict:
--- a/src/server.h
+++ b/src/server.h
@@ -22,9 +22,10 @@
     Server(net::Loop& loop, const config::ProcessConfig& config, telemetry::Log& log,
            telemetry::Counters& counters);
 
-    /// Begins the graceful shutdown; further calls have no effect. The registry is told at once, all requests
-    /// that were read are answered, and connections are drained after the grace period. The loop stops when
-    /// all clients have disconnected, and shortly before the end of the shutdown timeout in any case.
+    /// Begins the graceful shutdown; further calls have no effect. The registry is informed at once, all
+    /// requests that were read are answered, and connections are drained after the grace period. The loop
+    /// stops when all clients have disconnected, and shortly before the end of the shutdown timeout in any
+    /// case.
     void leave();
     /// Reads the configuration again: the clients move to the addresses that it names now. A configuration
     /// that can't be read is rejected as a whole; changes of other keys are logged as needing a restart.
--- a/src/state/idempotency_keys.cpp
+++ b/src/state/idempotency_keys.cpp
@@ -11,21 +11,20 @@
 
 }  // namespace
 
-KeyClaim IdempotencyKeys::claim(const std::string& key, RequestId id, std::size_t bodyHash,
-                                Timestamp arrivedAt, Timestamp now, KeyTimes times) {
-    expire(now);
+KeyClaim IdempotencyKeys::claim(const std::string& key, const KeyAttempt& attempt, KeyTimes times) {
+    expire(attempt.readAt);
     if (const auto position = table_.find(key); position != table_.end()) {
         const Entry& held = position->second;
-        if (held.outcome == KeyOutcome::Pending || arrivedAt <= held.windowEnd)
-            return held.bodyHash == bodyHash ? KeyClaim::Duplicate : KeyClaim::Conflict;
+        if (held.outcome == KeyOutcome::Pending || attempt.arrivedAt <= held.windowEnd)
+            return held.bodyHash == attempt.bodyHash ? KeyClaim::Duplicate : KeyClaim::Conflict;
         erase(position);
     }
     if (!evictResultsFor(bytesOfKey(key))) return KeyClaim::NoCapacity;
     Entry entry;
-    entry.holder = id;
-    entry.bodyHash = bodyHash;
+    entry.holder = attempt.id;
+    entry.bodyHash = attempt.bodyHash;
     // Counted from the reading, which is never before the arrival that the window counts from.
-    entry.windowEnd = now + times.window;
+    entry.windowEnd = attempt.readAt + times.window;
     entry.retainedUntil = entry.windowEnd + times.lateReadAllowance;
     insert(key, std::move(entry));
     return KeyClaim::Granted;
--- a/src/state/idempotency_keys.h
+++ b/src/state/idempotency_keys.h
@@ -8,6 +8,7 @@
 /// key's window may run.
 #pragma once
 
+#include <cstddef>
 #include <cstdint>
 #include <map>
 #include <optional>
@@ -29,6 +30,14 @@
     Duration lateReadAllowance{0};
 };
 
+/// An attempt that claims a key.
+struct KeyAttempt {
+    RequestId id = 0;
+    std::size_t bodyHash = 0;  ///< Stands for the body, which all attempts of a request share.
+    Timestamp arrivedAt{0};    ///< When it arrived at the server.
+    Timestamp readAt{0};       ///< When it was read: now. Never before arrivedAt.
+};
+
 /// The answer to an attempt that claims a key.
 enum class KeyClaim {
     Granted,     ///< The attempt holds the key until its run ends or the key is released.
@@ -59,11 +68,8 @@
     explicit IdempotencyKeys(std::size_t maxBytes) : maxBytes_(maxBytes) {}
 
     /// Claims the key for an attempt, before it may run.
-    /// @param bodyHash stands for the body, which all attempts of a request share.
-    /// @param arrivedAt when the attempt arrived at the machine.
-    /// @param now when it was read; never before arrivedAt, and never goes back between calls.
-    KeyClaim claim(const std::string& key, RequestId id, std::size_t bodyHash, Timestamp arrivedAt,
-                   Timestamp now, KeyTimes times);
+    /// @param attempt whose readAt serves as the present; keys that have run out by then are removed.
+    KeyClaim claim(const std::string& key, const KeyAttempt& attempt, KeyTimes times);
 
     /// @return the attempt that holds the key; 0: none.
     RequestId holder(const std::string& key) const;
--- a/src/worker_pool/worker_pool_client.h
+++ b/src/worker_pool/worker_pool_client.h
@@ -2,7 +2,7 @@
 /// The client of the worker pool, which runs the requests of this server.
 ///
 /// Holds one connection open: start, cancel and continue messages go out, reports of runs come in. When the
-/// connection is lost it is opened again after a short jittered delay. The pool is then told the number of
+/// connection is lost it is opened again after a short jittered delay. The pool then receives the number of
 /// the last report that was read, repeats the later ones, and is sent again what it may have missed.
 #pragma once
 
--- a/tests/request/crossings_test.cpp
+++ b/tests/request/crossings_test.cpp
@@ -207,17 +207,17 @@
     telemetry::Log log(lines, telemetry::Level::Debug);
     telemetry::Counters counters;
     const config::ProcessConfig start = testing::startOf(testing::plainStart());
-    request::RequestManager backend(loop, start.controller, 1 << 20, 1 << 20, log, counters);
+    request::RequestManager requests(loop, start.controller, 1 << 20, 1 << 20, log, counters);
     testing::RawServer before, after;
-    worker_pool::WorkerPoolClient link(loop, {"127.0.0.1", before.port}, start.limits, {"read", "look"},
-                                       start.gaugeNames, 7, backend, log, counters);
+    worker_pool::WorkerPoolClient client(loop, {"127.0.0.1", before.port}, start.limits, {"read", "look"},
+                                         start.gaugeNames, 7, requests, log, counters);
     RawClient old(RawClient::Accepted{before.accept()});
     until(loop, [&] { return old.receive() > 0; });  // bind
     old.send("{\"type\":\"bound\",\"state\":\"warm\",\"took\":1}\n");
     until(loop, [&] { return counters.of(Count::WorkerPoolConnections) == 1; });
-    link.requestGauges();
+    client.requestGauges();
     old.send("{\"type\":\"chatter\",\"n\":1,\"state\":\"unread\"}\n");
-    link.moveTo({"127.0.0.1", after.port});
+    client.moveTo({"127.0.0.1", after.port});
     until(loop, [&] { return old.over(); });
     EXPECT_TRUE(old.ended);
     EXPECT_NE(old.text.find("poll"), std::string::npos);
@@ -231,13 +231,13 @@
     telemetry::Log log(lines, telemetry::Level::Debug);
     telemetry::Counters counters;
     const config::ProcessConfig start = testing::startOf(testing::plainStart());
-    request::RequestManager backend(loop, start.controller, 1 << 20, 1 << 20, log, counters);
+    request::RequestManager requests(loop, start.controller, 1 << 20, 1 << 20, log, counters);
     testing::Pool pool(loop);
-    worker_pool::WorkerPoolClient link(loop, {"127.0.0.1", 1}, start.limits, {"read", "look"},
-                                       start.gaugeNames, 7, backend, log, counters);
-    link.moveTo({"127.0.0.1", 1});  // while it is being opened
+    worker_pool::WorkerPoolClient client(loop, {"127.0.0.1", 1}, start.limits, {"read", "look"},
+                                         start.gaugeNames, 7, requests, log, counters);
+    client.moveTo({"127.0.0.1", 1});  // while it is being opened
     until(loop, [&] { return counters.of(ConnectionEnd::ConnectRefused) > 0; });
-    link.moveTo(pool.server.address());  // while it waits to reconnect
+    client.moveTo(pool.server.address());  // while it waits to reconnect
     until(loop, [&] { return counters.of(Count::WorkerPoolConnections) == 1; });
     EXPECT_EQ(pool.binds.size(), 1U);
 }
@@ -259,8 +259,8 @@
     EXPECT_FALSE(sidecar.answers[sidecar.sequence].good);
     on.wait(
         [&] { return !on.registry.bodies.empty() && on.registry.bodies.back() != R"({"state":"ready"})"; });
-    const std::size_t told = on.registry.bodies.size();
-    on.wait([&] { return on.registry.bodies.size() > told; });
+    const std::size_t reported = on.registry.bodies.size();
+    on.wait([&] { return on.registry.bodies.size() > reported; });
     EXPECT_EQ(on.registry.bodies.back(), R"({"state":"draining"})");
     on.expectBooksClosed();
 }
