--- a/src/request/request_manager.cpp
+++ b/src/request/request_manager.cpp
@@ -80,8 +80,7 @@
 
 // Returns whether the request is to go on; otherwise it has been answered.
 bool RequestManager::claimIdempotencyKey(Table::iterator entry, IncomingRequest& incoming) {
-    const RequestClass& requestClass =
-        config_.requestClasses[static_cast<std::size_t>(incoming.request.requestClass)];
+    const RequestClass& requestClass = classOf(incoming.request.requestClass);
     if (requestClass.idempotency != Idempotency::WithKey) return true;
     const Timestamp now = net::unixNow();
     state::KeyAttempt attempt;
@@ -116,8 +115,7 @@
 }
 
 void RequestManager::book(Table::iterator entry, IncomingRequest incoming, std::size_t bytes) {
-    const Duration classTimeout =
-        config_.requestClasses[static_cast<std::size_t>(incoming.request.requestClass)].timeout;
+    const Duration classTimeout = classOf(incoming.request.requestClass).timeout;
     RequestState& request = entry->second;
     request.bookedBytes = bytes;
     bookedBytes_ += bytes;
@@ -207,8 +205,7 @@
 }
 
 bool RequestManager::mayRunTwice(const RequestState& request) const {
-    return config_.requestClasses[static_cast<std::size_t>(request.requestClass)].idempotency ==
-           Idempotency::Idempotent;
+    return classOf(request.requestClass).idempotency == Idempotency::Idempotent;
 }
 
 // Also restarts runs that nobody waits for any more: only the report of an end, even of a run that never was,
@@ -381,6 +378,10 @@
 
 // ---- Look-ups -------------------------------------------------------------------------------------------
 
+const RequestClass& RequestManager::classOf(int index) const {
+    return config_.requestClasses[static_cast<std::size_t>(index)];
+}
+
 RequestManager::Table::iterator RequestManager::findWaiting(RequestId id) {
     const Table::iterator entry = table_.find(id);
     return entry != table_.end() && entry->second.isClientWaiting() ? entry : table_.end();
--- a/src/request/request_manager.h
+++ b/src/request/request_manager.h
@@ -141,6 +141,8 @@
     void carryOut(const CloseIdleConnections& decision);
     void carryOut(const ScheduleTick& decision);
 
+    const RequestClass& classOf(int index) const;
+
     // Look-ups: table_.end() when there is no such request in that state.
     Table::iterator findWaiting(RequestId id);
     Table::iterator findRunning(RequestId id);
--- a/src/worker_pool/protocol.cpp
+++ b/src/worker_pool/protocol.cpp
@@ -128,6 +128,18 @@
 
 Content readChatter(const Json& /*object*/, std::string&& /*data*/) { return Chatter{}; }
 
+using GaugeField = std::optional<double> Gauges::*;
+
+// Where the value of each gauge goes, by the name of the gauge.
+const std::map<std::string, GaugeField>& gaugeFields() {
+    static const std::map<std::string, GaugeField> kFields = {
+        {wire::kCoreUtilization, &Gauges::coreUtilization},
+        {wire::kCoreDemand, &Gauges::coreDemand},
+        {wire::kMemoryUtilization, &Gauges::memoryUtilization},
+        {wire::kOpenConnections, &Gauges::openConnections}};
+    return kFields;
+}
+
 std::string toLine(const Json& object) { return object.dump() + "\n"; }
 
 }  // namespace
@@ -167,11 +179,8 @@
 Gauges gaugesOf(const std::vector<std::string>& names, const std::vector<double>& values) {
     Gauges gauges;
     for (std::size_t i = 0; i < std::min(names.size(), values.size()); ++i) {
-        if (!std::isfinite(values[i])) continue;
-        if (names[i] == wire::kCoreUtilization) gauges.coreUtilization = values[i];
-        if (names[i] == wire::kCoreDemand) gauges.coreDemand = values[i];
-        if (names[i] == wire::kMemoryUtilization) gauges.memoryUtilization = values[i];
-        if (names[i] == wire::kOpenConnections) gauges.openConnections = values[i];
+        const auto field = gaugeFields().find(names[i]);
+        if (field != gaugeFields().end() && std::isfinite(values[i])) gauges.*(field->second) = values[i];
     }
     return gauges;
 }
--- a/tests/request/crossings_test.cpp
+++ b/tests/request/crossings_test.cpp
@@ -208,7 +208,8 @@
     telemetry::Counters counters;
     const config::ProcessConfig start = testing::startOf(testing::plainStart());
     request::RequestManager requests(loop, start.controller, 1 << 20, 1 << 20, log, counters);
-    testing::RawServer before, after;
+    testing::RawServer before;
+    testing::RawServer after;
     worker_pool::WorkerPoolClient client(loop, {"127.0.0.1", before.port}, start.limits, {"read", "look"},
                                          start.gaugeNames, 7, requests, log, counters);
     RawClient old(RawClient::Accepted{before.accept()});
--- a/tests/request/idempotent_requests_test.cpp
+++ b/tests/request/idempotent_requests_test.cpp
@@ -69,8 +69,10 @@
 
 TEST(IdempotentRequestsTest, ADuplicateReadInTheSameTurnWaitsForTheFirstAttempt) {
     IdempotentRequests on;
-    testing::Reply one = Sidecar::fields(1), two = Sidecar::fields(2);
-    one["nonce"] = two["nonce"] = "k1";
+    testing::Reply one = Sidecar::fields(1);
+    testing::Reply two = Sidecar::fields(2);
+    one["nonce"] = "k1";
+    two["nonce"] = "k1";
     on.sidecar->say(frames::serve(1, one, "body") + frames::serve(2, two, "body"));
     on.running(1);
     on.pool.finish(Sidecar::trace(1), "ok", "result");
@@ -150,9 +152,10 @@
     // Requests tell their arrival in whole milliseconds: one of this millisecond may predate the notice.
     const auto noticedIn = net::unixNow() / 1ms;
     on.wait([&] { return net::unixNow() / 1ms > noticedIn; });
-    const auto repeat = on.ask(2, "k1"), fresh = on.ask(3, "k2");
-    EXPECT_EQ(on.answer(repeat).body, "result");
-    EXPECT_EQ(on.answer(fresh).kind, "busy");
+    const auto duplicate = on.ask(2, "k1");
+    const auto newRequest = on.ask(3, "k2");
+    EXPECT_EQ(on.answer(duplicate).body, "result");
+    EXPECT_EQ(on.answer(newRequest).kind, "busy");
     on.pool.finish(Sidecar::trace(5), "ok", "done");
     EXPECT_EQ(on.answer(kept).body, "done");
 }
