--- a/src/request/request_manager.cpp
+++ b/src/request/request_manager.cpp
@@ -80,15 +80,17 @@
 
 // Returns whether the request is to go on; otherwise it has been answered.
 bool RequestManager::claimIdempotencyKey(Table::iterator entry, IncomingRequest& incoming) {
-    const RequestClass& requestClass =
-        config_.requestClasses[static_cast<std::size_t>(incoming.request.requestClass)];
+    const RequestClass& requestClass = classOf(incoming.request.requestClass);
     if (requestClass.idempotency != Idempotency::WithKey) return true;
     const Timestamp now = net::unixNow();
+    state::KeyAttempt attempt;
+    attempt.id = incoming.request.id;
     // Seeded, so that no client can construct a different body with the same hash.
-    const std::size_t bodyHash = std::hash<std::string>{}(std::to_string(config_.seed) + incoming.body);
+    attempt.bodyHash = std::hash<std::string>{}(std::to_string(config_.seed) + incoming.body);
+    attempt.arrivedAt = now - incoming.request.queuedBeforeRead;
+    attempt.readAt = now;
     const state::KeyTimes times{requestClass.idempotencyWindow, requestClass.timeout + kClockTolerance};
-    const KeyClaim claim = keys_.claim(incoming.idempotencyKey, incoming.request.id, bodyHash,
-                                       now - incoming.request.queuedBeforeRead, now, times);
+    const KeyClaim claim = keys_.claim(incoming.idempotencyKey, attempt, times);
     RequestState& request = entry->second;
     switch (claim) {
         case KeyClaim::Conflict:
@@ -113,8 +115,7 @@
 }
 
 void RequestManager::book(Table::iterator entry, IncomingRequest incoming, std::size_t bytes) {
-    const Duration classTimeout =
-        config_.requestClasses[static_cast<std::size_t>(incoming.request.requestClass)].timeout;
+    const Duration classTimeout = classOf(incoming.request.requestClass).timeout;
     RequestState& request = entry->second;
     request.bookedBytes = bytes;
     bookedBytes_ += bytes;
@@ -204,8 +205,7 @@
 }
 
 bool RequestManager::mayRunTwice(const RequestState& request) const {
-    return config_.requestClasses[static_cast<std::size_t>(request.requestClass)].idempotency ==
-           Idempotency::Idempotent;
+    return classOf(request.requestClass).idempotency == Idempotency::Idempotent;
 }
 
 // Also restarts runs that nobody waits for any more: only the report of an end, even of a run that never was,
@@ -378,6 +378,10 @@
 
 // ---- Look-ups -------------------------------------------------------------------------------------------
 
+const RequestClass& RequestManager::classOf(int index) const {
+    return config_.requestClasses[static_cast<std::size_t>(index)];
+}
+
 RequestManager::Table::iterator RequestManager::findWaiting(RequestId id) {
     const Table::iterator entry = table_.find(id);
     return entry != table_.end() && entry->second.isClientWaiting() ? entry : table_.end();
