--- a/tests/support/fake_server.h
+++ b/tests/support/fake_server.h
@@ -23,10 +23,10 @@
         : onText_(std::move(onText)),
           listener_(std::make_unique<net::Listener>(
               loop, net::Address{"127.0.0.1", port},
-              [this, &loop](uv_stream_t* listener) {
+              [this, &loop](auto socket) {
                   ++accepted;
                   Line line;
-                  line.connection = newConnection(loop, listener);
+                  line.connection = newConnection(loop, socket);
                   lines.push_back(std::move(line));
               },
               [] { return false; })) {}
@@ -47,9 +47,10 @@
     int accepted = 0;
 
 private:
-    std::unique_ptr<net::Connection> newConnection(net::Loop& loop, uv_stream_t* listener) {
-        return std::unique_ptr<net::Connection>(
-            new net::Connection(loop, listener, *this, {1 << 20, 1 << 20}));
+    /// The type of an accepted socket is a matter between the listener and the connection.
+    template <typename Socket>
+    std::unique_ptr<net::Connection> newConnection(net::Loop& loop, Socket socket) {
+        return std::unique_ptr<net::Connection>(new net::Connection(loop, socket, *this, {1 << 20, 1 << 20}));
     }
     void arrived(net::Connection& from) override {
         const auto line = std::find_if(lines.begin(), lines.end(),
