--- a/src/lab/emulate/answering.cpp
+++ b/src/lab/emulate/answering.cpp
@@ -28,13 +28,13 @@
     Answering& owner;
     std::unique_ptr<net::Connection> connection;
     std::string scratch;
-    int commands = 0;
+    int requests = 0;
 };
 
 Answering::Answering(net::Loop& loop, const net::Address& at, AnsweringTerms terms)
     : loop_(loop), terms_(terms), host_(at.host), start_(steadyNow()), pace_(loop, [this] { pump(); }) {
     listener_ = std::make_unique<net::Listener>(
-        loop, at, [this](uv_stream_t* listener) { accept(listener); }, [] { return false; });
+        loop, at, [this](net::AcceptedSocket socket) { accept(socket); }, [] { return false; });
     if (terms_.stallAt >= 0ns) pace_.ringAt(start_ + terms_.stallAt + terms_.stallFor);
 }
 
@@ -45,10 +45,10 @@
            now < start_ + terms_.stallAt + terms_.stallFor;
 }
 
-void Answering::accept(uv_stream_t* listener) {
+void Answering::accept(net::AcceptedSocket socket) {
     auto line = std::make_shared<Line>(*this);
     line->connection.reset(
-        new net::Connection(loop_, listener, *line, {terms_.deaf ? 4096U : 1U << 20, 1U << 20}));
+        new net::Connection(loop_, socket, *line, {terms_.deaf ? 4096U : 1U << 20, 1U << 20}));
     lines_.push_back(std::move(line));
 }
 
@@ -63,11 +63,11 @@
         return line.connection->send(thrift::writeAnswer("isWell", message.sequence, {}, {}, true));
     if (message.method == thrift::Method::Forget) ++forgets_;
     if (message.method != thrift::Method::Serve || !message.fields) return;
-    ++commands_;
+    ++trackedRequests_;
     const auto found = message.fields->find("trace");
     const std::string trace = found == message.fields->end() ? std::string() : found->second;
     if (terms_.keepsBook) book_[trace].received = steadyNow();
-    if (terms_.goawayEvery > 0 && ++line.commands == terms_.goawayEvery)
+    if (terms_.goawayEvery > 0 && ++line.requests == terms_.goawayEvery)
         line.connection->send(thrift::writeGoaway());
     if (terms_.silent) return;
     if (terms_.takes == 0ns) return answer(line, message.sequence, trace);
--- a/src/net/connection.h
+++ b/src/net/connection.h
@@ -1,127 +1,108 @@
-// A connection with one ring a direction, and the listener that accepts them.
+/// @file
+/// A TCP connection with one buffer for each direction.
 #pragma once
 
-#include <uv.h>
-
 #include <functional>
 #include <memory>
-#include <string>
 #include <string_view>
 
+#include "net/address.h"
+#include "net/byte_ring.h"
 #include "net/connection_end.h"
+#include "net/listener.h"
 #include "net/loop.h"
-#include "net/ring.h"
+#include "net/memory_budget.h"
+#include "net/timer.h"
 
 namespace cottonwing::net {
 
-struct Address {
-    std::string host;
-    int port = 0;
-    bool operator==(const Address&) const = default;
-};
+class Channel;
+class Connection;
 
-struct Bounds {
-    std::size_t in, out;
-    std::shared_ptr<Total> total = nullptr;
+/// What the buffers of a connection may hold.
+struct BufferLimits {
+    std::size_t inputBytes;
+    std::size_t outputBytes;
+    std::shared_ptr<MemoryBudget> budget = nullptr;  ///< shared with other connections; none: no common limit
 };
 
-class Connection;
-
-// Who owns a connection hears of it here; each may destroy it.
-class Owner {
+/// Hears of the events of a connection. Each function is called from the loop and may destroy the connection.
+/// One handler may serve several connections.
+class ConnectionHandler {
 public:
-    virtual ~Owner() = default;
-    virtual void arrived(Connection& connection) = 0;                   // bytes were added to its input
-    virtual void ended(Connection& connection, ConnectionEnd end) = 0;  // once, and never by its own end()
-};
+    virtual ~ConnectionHandler() = default;
 
-// The handle and the rings: lives until the loop has let go of the handle.
-struct Channel {
-    Channel(Loop& theLoop, Connection* theOwner, const Bounds& bounds);
-    void read();
-    void pause();
-    void later();
-    void goOn();
-    void queue();  // to be flushed at the end of the turn
-    void flush();
-    void writeLast();
-    void shut();  // our side of the connection, behind the last byte of output
-    void finish(std::function<void()> whenDone);
-    void dropped(ssize_t count);
-    void close();
-    bool halfFull() const { return out.size() > out.room(); }
-    void fail(ConnectionEnd end);
-
-    uv_tcp_t tcp;
-    uv_connect_t connecting;
-    uv_write_t writing;
-    uv_shutdown_t shutting;
-    Loop& loop;
-    Connection* owner;
-    Ring in, out;
-    std::shared_ptr<char[]> pinned;  // storage that a pending write reads from
-    std::size_t writingSize = 0;     // of that write
-    bool open = false, reading = false, flushing = false, queued = false, closing = false, stillborn = false,
-         overflowed = false, waits = false, listed = false;
-    bool deaf = false;  // nothing more is read for its owner
-    // Ending in order: its owner is done with it, what comes in is left unread by anybody, and what is left
-    // of the output is followed by the end of our side. shutDown: that end is out; peerEnded: theirs is in.
-    bool finishing = false, shutBegun = false, shutDown = false, peerEnded = false;
-    std::unique_ptr<Timer> bound;  // of that
-    std::function<void()> done;    // told when it is closed
+    /// Bytes were added to the connection's input, or readOnLater() asked for this call. What the handler
+    /// does not drop from the input stays there.
+    virtual void arrived(Connection& connection) = 0;
+
+    /// The connection has ended by itself; the handler destroys it. Called once, and never because the owner
+    /// destroyed or finished the connection.
+    virtual void ended(Connection& connection, ConnectionEnd end) = 0;
 };
 
+/// A connection that its owner ends by destroying it or by finish().
 class Connection {
 public:
-    // Begins to connect; a failure is told by ended(), never from in here.
-    Connection(Loop& loop, const Address& to, Owner& owner, const Bounds& bounds);
-    // Accepts what waits at a listener.
-    Connection(Loop& loop, uv_stream_t* listener, Owner& owner, const Bounds& bounds);
-    ~Connection();  // closes; the owner hears nothing
+    /// Begins to connect. A failure is reported by ended(), never from within the constructor. Bytes may be
+    /// sent at once; they are written when the connection has opened.
+    /// @param handler has to outlive the connection.
+    Connection(Loop& loop, const Address& to, ConnectionHandler& handler, const BufferLimits& limits);
+
+    /// Accepts a connection that waits at a listener.
+    /// @throws std::runtime_error when the system refuses.
+    Connection(Loop& loop, AcceptedSocket socket, ConnectionHandler& handler, const BufferLimits& limits);
+
+    /// Closes at once; the handler hears nothing. Output that is not written yet is lost. Over bytes that
+    /// were not read the system resets the connection, which takes what the peer has yet to read with it.
+    ~Connection();
     Connection(const Connection&) = delete;
     Connection& operator=(const Connection&) = delete;
 
-    Ring& input() { return channel_->in; }
-    const Ring& input() const { return channel_->in; }
-    // Written at the end of the turn. Without room for all of it the connection ends there instead.
+    /// Bytes that have been read and not dropped yet. The connection reads on while there is space.
+    ByteRing& input();
+    const ByteRing& input() const;
+    /// Bytes that wait to be written.
+    const ByteRing& output() const;
+
+    /// Appends to the output, which is written at the end of the turn. When it does not fit into the output
+    /// buffer, the connection ends there instead, with ConnectionEnd::TooLong.
     void send(std::string_view bytes);
-    // Enough for this turn: arrived() is called again in the next one, also if nothing more comes.
-    void readOnLater() { channel_->later(); }
-    // Nothing more is taken in; what is out of a command's answer still goes.
-    void stopReading() { channel_->deaf = true, channel_->pause(); }
-    // Whether bytes wait in the system that no turn has read yet. A close over them resets the connection,
-    // and takes with it what the other side has yet to read.
+
+    /// Ends this connection's share of the turn: arrived() is called again in the next turn, also if nothing
+    /// more arrives, after other connections have had theirs.
+    void readOnLater();
+
+    /// Nothing more is read, for good. Output is still written.
+    void stopReading();
+
+    /// Whether bytes wait in the system that no turn has read yet.
     bool hasUnread() const;
-    // Ends the connection in order, the last that is done with it: the rest of the output goes, then the end
-    // of our side, and what comes in meanwhile is dropped until the other side has ended too, a second at
-    // most. done is called when its descriptor is free again, from the loop.
+
+    /// Writes what the system takes at once, for use just before the connection is destroyed.
+    void writeLast();
+
+    /// Ends the connection in order. It is the last call: the object is only to be destroyed after it. The
+    /// rest of the output is written, then our side is closed; input is dropped until the peer closes its
+    /// side too, for 1 second at most.
+    /// @param done runs from the loop when the descriptor is free again.
     void finish(std::function<void()> done);
-    // Before the connection is destroyed: what the system takes of its output at once still goes.
-    void writeLast() { channel_->writeLast(); }
-    bool halfFull() const { return channel_->halfFull(); }
-    bool isOpen() const { return channel_->open; }
-    const Ring& output() const { return channel_->out; }
 
-private:
-    friend struct Channel;
-    Channel* channel_;
-    Owner& owner_;
-};
+    /// Whether more of the output buffer is used than free. Until that changes nothing is read.
+    bool halfFull() const;
 
-class Listener {
-public:
-    // Throws when the address can't be had. full() says whether to wait before accepting more.
-    Listener(Loop& loop, const Address& at, std::function<void(uv_stream_t*)> accepts,
-             std::function<bool()> full);
-    ~Listener();
-    Listener(const Listener&) = delete;
-    Listener& operator=(const Listener&) = delete;
-    void resume();  // there may be room again
-    int port() const;
+    /// Whether it has opened.
+    bool isOpen() const;
 
 private:
-    struct Handle;
-    Handle* handle_;
+    friend class Channel;
+    Channel* channel_;  // deletes itself once it is closed; none after finish()
+    ConnectionHandler& handler_;
 };
 
+// The earlier names.
+using Owner = ConnectionHandler;
+using Bounds = BufferLimits;
+using Total = MemoryBudget;
+
 }  // namespace cottonwing::net
--- a/tests/server_test.cpp
+++ b/tests/server_test.cpp
@@ -1,5 +1,6 @@
 // The whole program against stand-ins on loopback, on one loop and with conditions waited for.
 #include <sys/resource.h>
+#include <uv.h>
 
 #include <filesystem>
 #include <random>
@@ -241,7 +242,7 @@
                                  asks.size() - written % asks.size(), MSG_DONTWAIT | MSG_NOSIGNAL);
         if (now > 0) written += static_cast<std::size_t>(now);
         stuck = now > 0 ? 0 : stuck + 1;
-        uv_run(on.loop.raw(), UV_RUN_NOWAIT);
+        on.loop.turnWithoutWaiting();
     }
     const std::int32_t sequence = on.sidecar->ask(1);
     on.running(1);
@@ -318,7 +319,7 @@
     std::uint64_t most = 0;
     on.wait([&] {
         const std::uint64_t before = on.count(Count::CancelMessages);
-        uv_run(on.loop.raw(), UV_RUN_NOWAIT);
+        on.loop.turnWithoutWaiting();
         most = std::max(most, on.count(Count::CancelMessages) - before);
         return on.count(Count::CancelMessages) == 600;
     });
@@ -505,12 +506,12 @@
     start["limits"]["sockets"] = "many";
     on.readAgain(start);
     EXPECT_EQ(on.count(Count::ReloadsRejected), 1U);
-    EXPECT_NE(on.lines.str().find("refused whole: limits.sockets: "), std::string::npos);
+    EXPECT_NE(on.lines.str().find("configuration rejected: error=limits.sockets: "), std::string::npos);
     start["limits"]["sockets"] = 300;
     on.readAgain(start);
     on.readAgain(start);  // nothing is new now
     EXPECT_EQ(on.count(Count::Reloads), 2U);
-    EXPECT_NE(on.lines.str().find("limits: needs a new start"), std::string::npos);
+    EXPECT_NE(on.lines.str().find("change ignored until restart: key=limits"), std::string::npos);
     on.wait([&] { return pool.running.contains(Sidecar::trace(1)) && !registry.bodies.empty(); });
     EXPECT_EQ(pool.binds.size(), 1U);
     EXPECT_EQ(pool.binds[0]["n"], on.pool.last);  // notices go on where they were
@@ -664,7 +665,7 @@
     close(peer);
     records.startCall(2, Sidecar::trace(2), 5s, "second");
     EXPECT_EQ(records.idleConnections(), 0U);
-    uv_run(loop.raw(), UV_RUN_NOWAIT);
+    loop.turnWithoutWaiting();
     const auto [again, second] = serve();
     until(loop, [&] { return counters.of(Count::CallsOk) == 2; });
     EXPECT_NE(second.find("\r\n\r\nsecond"), second.npos);
@@ -675,7 +676,7 @@
     });
     // A reply that came in time is read after a stand-still, though the patience is over by then.
     records.startCall(4, Sidecar::trace(4), 100ms, "slow machine");
-    uv_run(loop.raw(), UV_RUN_NOWAIT);
+    loop.turnWithoutWaiting();
     char bytes[4096];
     until(loop, [&, fd = again] { return recv(fd, bytes, sizeof bytes, MSG_DONTWAIT) > 0; });
     EXPECT_EQ(send(again, reply.data(), reply.size(), 0), static_cast<ssize_t>(reply.size()));
@@ -732,7 +733,7 @@
     }
     EXPECT_LT(net::unixNow() - from, 400ms);  // not when the wait for an answer is over
     EXPECT_EQ(counters.of(Count::RegistryReportsFailed), 2U);
-    EXPECT_EQ(lines.str().find("no report"), std::string::npos);  // one without an answer may have counted
+    EXPECT_EQ(lines.str().find("registry unavailable"), std::string::npos);  // one without an answer may have counted
 }
 
 TEST(Leaving, AnswersAllTellsTheListAndGoes) {
@@ -780,7 +781,7 @@
     std::this_thread::sleep_for(400ms);  // the machine stands still
     const std::uint64_t before = on.count(Count::EventBatches);
     on.loop.turnOnce();
-    on.wait([&] { return on.lines.str().find("stall: pulse late") != std::string::npos; });
+    on.wait([&] { return on.lines.str().find("process stalled: tick_delay_ms=") != std::string::npos; });
     EXPECT_LE(on.count(Count::EventBatches) - before, 2U);
     EXPECT_LE(on.pool.polls, polls + 2);  // of the twenty alarms that the time would hold
 }
@@ -903,7 +904,7 @@
         if (draw(200) == 0) from.hangUp();
         if (draw(400) == 0 && from.connection) from.say("no frame at all");
         play();
-        uv_run(on.loop.raw(), UV_RUN_NOWAIT);
+        on.loop.turnWithoutWaiting();
     }
     ASSERT_EQ(number, 1500);
     on.wait([&] {
--- a/tests/support/fake_server.h
+++ b/tests/support/fake_server.h
@@ -23,7 +23,7 @@
         : onText_(std::move(onText)),
           listener_(std::make_unique<net::Listener>(
               loop, net::Address{"127.0.0.1", port},
-              [this, &loop](auto socket) {
+              [this, &loop](net::AcceptedSocket socket) {
                   ++accepted;
                   Line line;
                   line.connection = newConnection(loop, socket);
@@ -47,9 +47,7 @@
     int accepted = 0;
 
 private:
-    /// The type of an accepted socket is a matter between the listener and the connection.
-    template <typename Socket>
-    std::unique_ptr<net::Connection> newConnection(net::Loop& loop, Socket socket) {
+    std::unique_ptr<net::Connection> newConnection(net::Loop& loop, net::AcceptedSocket socket) {
         return std::unique_ptr<net::Connection>(new net::Connection(loop, socket, *this, {1 << 20, 1 << 20}));
     }
     void arrived(net::Connection& from) override {
