--- a/src/thrift/codec.h
+++ b/src/thrift/codec.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <string_view>
 
-#include "net/ring.h"
+#include "net/byte_ring.h"
 #include "thrift/binary_protocol.h"
 
 namespace cottonwing::thrift {
--- a/src/thrift/request_decoder.cpp
+++ b/src/thrift/request_decoder.cpp
@@ -8,6 +8,7 @@
 #include <string_view>
 #include <utility>
 
+#include "request/request_id.h"
 #include "thrift/wire_names.h"
 
 namespace cottonwing::thrift {
--- a/src/thrift/request_decoder.h
+++ b/src/thrift/request_decoder.h
@@ -8,7 +8,7 @@
 
 #include "config/controller_config.h"
 #include "overload/types.h"
-#include "request/request_manager.h"
+#include "request/incoming_request.h"
 #include "thrift/codec.h"
 
 namespace cottonwing::thrift {
--- a/src/thrift/thrift_connection.cpp
+++ b/src/thrift/thrift_connection.cpp
@@ -2,6 +2,7 @@
 
 #include <utility>
 
+#include "net/clock.h"
 #include "thrift/codec.h"
 
 namespace cottonwing::thrift {
--- a/src/thrift/thrift_connection.h
+++ b/src/thrift/thrift_connection.h
@@ -24,7 +24,8 @@
 /// A connection that a listener accepted. It is new until its first whole message, then identified. Besides
 /// it may be draining, as it was asked to send no new requests, and reading may be stopped, as what it sent
 /// or failed to send can't be borne any longer; then it ends once its open requests are answered.
-class ThriftConnection : public std::enable_shared_from_this<ThriftConnection>, private net::ConnectionHandler {
+class ThriftConnection : public std::enable_shared_from_this<ThriftConnection>,
+                         private net::ConnectionHandler {
 public:
     /// Receives what happens on a connection. Both calls may destroy the connection.
     class Handler {
@@ -36,7 +37,7 @@
         virtual void connectionEnded(ThriftConnection& connection, net::ConnectionEnd end) = 0;
     };
 
-    /// Accepts what waits at the listener.
+    /// Takes a connection that waits at a listener.
     /// @param total  the bytes that the buffers of all connections share
     ThriftConnection(net::Loop& loop, net::AcceptedSocket socket, Handler& handler,
                      std::shared_ptr<net::MemoryBudget> total);
--- a/src/thrift/thrift_server.cpp
+++ b/src/thrift/thrift_server.cpp
@@ -4,6 +4,7 @@
 #include <utility>
 #include <variant>
 
+#include "net/clock.h"
 #include "thrift/wire_names.h"
 
 namespace cottonwing::thrift {
--- a/src/thrift/thrift_server.h
+++ b/src/thrift/thrift_server.h
@@ -10,6 +10,8 @@
 
 #include "config/process_config.h"
 #include "net/connection.h"
+#include "net/listener.h"
+#include "net/timer.h"
 #include "request/request_manager.h"
 #include "thrift/codec.h"
 #include "thrift/connection_table.h"
--- /dev/null
+++ b/tests/thrift/connection_table_test.cpp
@@ -0,0 +1,186 @@
+// Connections of the Thrift server and which of them gives way. The times are arguments, so nothing waits.
+#include "thrift/connection_table.h"
+
+#include <gtest/gtest.h>
+
+#include "helpers.h"
+#include "thrift/codec.h"
+
+namespace cottonwing::thrift {
+namespace {
+
+using namespace std::chrono_literals;
+using Action = AcceptDecision::Action;
+
+constexpr std::size_t kCapacity = 8;
+
+struct SilentOwner : net::ConnectionHandler {
+    void arrived(net::Connection& /*connection*/) override {}
+    void ended(net::Connection& /*connection*/, net::ConnectionEnd /*end*/) override {}
+};
+
+struct SilentHandler : ThriftConnection::Handler {
+    void inputArrived(ThriftConnection& /*connection*/) override {}
+    void connectionEnded(ThriftConnection& /*connection*/, net::ConnectionEnd /*end*/) override {}
+};
+
+// Clients connect to a listener, whose connections go into the table as new ones.
+class ConnectionTableTest : public ::testing::Test {
+protected:
+    // The connection that was accepted last.
+    ThriftConnection& connect() {
+        const std::size_t before = table.size();
+        const net::Address address{"127.0.0.1", listener.port()};
+        clients.push_back(
+            std::make_unique<net::Connection>(loop, address, clientOwner, net::BufferLimits{1024, 1024}));
+        testing::until(loop, [&] { return table.size() > before; });
+        return *table.newConnections().back();
+    }
+    ThriftConnection& connectIdentified() {
+        ThriftConnection& connection = connect();
+        table.identify(connection);
+        return connection;
+    }
+    // Later than all connections were accepted or used, by more than counts as just now.
+    static Timestamp later() { return net::unixNow() + 1s; }
+    // Before they were accepted or used for longer than that.
+    static Timestamp justNow() { return net::unixNow() - 1s; }
+
+    net::Loop loop;
+    SilentOwner clientOwner;
+    SilentHandler handler;
+    std::shared_ptr<net::MemoryBudget> total =
+        std::make_shared<net::MemoryBudget>(net::MemoryBudget{1 << 20});
+    ConnectionTable table{kCapacity};
+    net::Listener listener{loop, net::Address{"127.0.0.1", 0},
+                           [this](net::AcceptedSocket socket) {
+                               table.add(std::make_shared<ThriftConnection>(loop, socket, handler, total));
+                           },
+                           [] { return false; }};
+    std::vector<std::unique_ptr<net::Connection>> clients;
+};
+
+TEST_F(ConnectionTableTest, AcceptsWhileFewConnectionsAreNew) {
+    EXPECT_EQ(table.decideAccept(0, later()).action, Action::Accept);
+    connect();
+    EXPECT_EQ(table.decideAccept(0, later()).action, Action::Accept);
+}
+
+TEST_F(ConnectionTableTest, EvictsTheOldestNewConnectionOnceManyAreNew) {
+    const ThriftConnection& oldest = connect();
+    connect();
+    const AcceptDecision decision = table.decideAccept(0, later());
+    EXPECT_EQ(decision.action, Action::EvictAndAccept);
+    EXPECT_EQ(decision.connection, &oldest);
+}
+
+TEST_F(ConnectionTableTest, SparesNewConnectionsThatWereAcceptedJustNow) {
+    connect();
+    connect();
+    EXPECT_EQ(table.decideAccept(0, justNow()).action, Action::Accept);
+    EXPECT_EQ(table.decideAccept(kCapacity, justNow()).action, Action::Wait);
+}
+
+TEST_F(ConnectionTableTest, EvictsTheIdleConnectionUnusedForTheLongestWhenFull) {
+    ThriftConnection& first = connectIdentified();
+    const ThriftConnection& second = connectIdentified();
+    table.touch(first, net::unixNow());
+    const AcceptDecision decision = table.decideAccept(kCapacity - 2, later());
+    EXPECT_EQ(decision.action, Action::EvictAndAccept);
+    EXPECT_EQ(decision.connection, &second);
+}
+
+TEST_F(ConnectionTableTest, ConnectionsWithOpenRequestsKeepTheirPlaces) {
+    ThriftConnection& busy = connectIdentified();
+    busy.openRequest(1, 55);
+    EXPECT_EQ(table.decideAccept(kCapacity - 1, later()).action, Action::Wait);
+    const ThriftConnection& idle = connectIdentified();
+    EXPECT_EQ(table.decideAccept(kCapacity - 2, later()).connection, &idle);
+}
+
+TEST_F(ConnectionTableTest, AnIdleConnectionUsedJustNowIsClosedInOrderOneAtATime) {
+    const ThriftConnection& first = connectIdentified();
+    while (table.size() < kCapacity) connectIdentified();
+    const AcceptDecision decision = table.decideAccept(0, justNow());
+    EXPECT_EQ(decision.action, Action::CloseIdleThenWait);
+    EXPECT_EQ(decision.connection, &first);
+    EXPECT_EQ(table.decideAccept(1, justNow()).action, Action::Wait);
+    EXPECT_EQ(table.decideAccept(0, later()).action, Action::EvictAndAccept);
+}
+
+TEST_F(ConnectionTableTest, RemovesNewAndIdentifiedConnections) {
+    ThriftConnection& identified = connectIdentified();
+    ThriftConnection& fresh = connect();
+    table.remove(identified);
+    EXPECT_EQ(table.size(), 1U);
+    table.remove(fresh);
+    EXPECT_EQ(table.size(), 0U);
+}
+
+TEST_F(ConnectionTableTest, AConnectionOpensEachSequenceOnceAndABoundedNumber) {
+    ThriftConnection& connection = connect();
+    connection.openRequest(1, 55);
+    EXPECT_FALSE(connection.canOpenRequest(1));
+    EXPECT_EQ(connection.closeRequest(1), 55U);
+    EXPECT_FALSE(connection.closeRequest(1));
+    EXPECT_TRUE(connection.canOpenRequest(1));
+    for (std::int32_t sequence = 1; sequence <= 32; ++sequence)
+        connection.openRequest(sequence, static_cast<RequestId>(sequence));
+    EXPECT_FALSE(connection.canOpenRequest(33));
+    EXPECT_EQ(connection.closeAllRequests().size(), 32U);
+    EXPECT_FALSE(connection.hasOpenRequests());
+}
+
+TEST_F(ConnectionTableTest, AMessageIsOverdueFromItsFirstByteOn) {
+    ThriftConnection& connection = connect();
+    connection.noteIncompleteMessage(true, 10s);
+    EXPECT_FALSE(connection.isMessageOverdue(20s));  // there is no input
+    ASSERT_TRUE(connection.input().write("part"));
+    connection.noteIncompleteMessage(false, 10s);
+    connection.noteIncompleteMessage(false, 11s);  // more bytes of it don't prolong its time
+    EXPECT_FALSE(connection.isMessageOverdue(11499ms));
+    EXPECT_TRUE(connection.isMessageOverdue(11500ms));
+    connection.noteIncompleteMessage(true, 11s);  // another message was begun
+    EXPECT_FALSE(connection.isMessageOverdue(12499ms));
+    connection.stopReading(net::ConnectionEnd::TimedOut);
+    EXPECT_FALSE(connection.isMessageOverdue(99s));
+    EXPECT_EQ(connection.readingStopped(), net::ConnectionEnd::TimedOut);
+}
+
+TEST_F(ConnectionTableTest, EightProtocolErrorsAreTooManyUnlessARequestWasServed) {
+    ThriftConnection& connection = connect();
+    for (int errors = 0; errors < 7; ++errors) connection.addProtocolError();
+    EXPECT_FALSE(connection.hasTooManyProtocolErrors());
+    connection.forgiveProtocolErrors();
+    connection.addProtocolError();
+    EXPECT_FALSE(connection.hasTooManyProtocolErrors());
+    for (int errors = 0; errors < 7; ++errors) connection.addProtocolError();
+    EXPECT_TRUE(connection.hasTooManyProtocolErrors());
+}
+
+TEST_F(ConnectionTableTest, OutputIsStalledUntilItIsTaken) {
+    ThriftConnection& connection = connectIdentified();
+    table.touch(connection, 10s);
+    connection.send(writeGoaway());
+    connection.observeOutput(11s);
+    EXPECT_FALSE(connection.isOutputStalled(11999ms));
+    EXPECT_TRUE(connection.isOutputStalled(12s));
+    testing::until(loop, [&] { return !connection.hasOutput(); });
+    connection.observeOutput(13s);
+    EXPECT_FALSE(connection.isOutputStalled(99s));
+}
+
+TEST_F(ConnectionTableTest, ADrainIsOverdueOnceTheConnectionIsIdle) {
+    ThriftConnection& connection = connect();
+    connection.openRequest(1, 55);
+    connection.drain(10s);
+    connection.drain(20s);  // it was asked already
+    EXPECT_TRUE(connection.isDraining());
+    EXPECT_FALSE(connection.isDrainOverdue(11s));
+    connection.closeRequest(1);
+    EXPECT_FALSE(connection.isDrainOverdue(10999ms));
+    EXPECT_TRUE(connection.isDrainOverdue(11s));
+}
+
+}  // namespace
+}  // namespace cottonwing::thrift
