--- a/src/thrift/thrift_connection.h
+++ b/src/thrift/thrift_connection.h
@@ -37,7 +37,7 @@
         virtual void connectionEnded(ThriftConnection& connection, net::ConnectionEnd end) = 0;
     };
 
-    /// Accepts what waits at the listener.
+    /// Takes a connection that waits at a listener.
     /// @param total  the bytes that the buffers of all connections share
     ThriftConnection(net::Loop& loop, net::AcceptedSocket socket, Handler& handler,
                      std::shared_ptr<net::MemoryBudget> total);
