--- a/src/fronts/scgi/front.h
+++ b/src/fronts/scgi/front.h
@@ -50,8 +50,8 @@
     void completed(RequestId id, std::string_view result) override;
     void rejected(RequestId id, const Pushback& pushback) override;
     void failed(RequestId id) override;
-    void unknownToExecutor(RequestId id) override { failed(id); }
-    void closeIdleConnections(Duration) override {}  // no connection is kept here
+    void refused(RequestId id) override { failed(id); }
+    void setIdleTimeout(Duration) override {}  // no connection is kept here
 
     // Nothing new is accepted; what is being read goes on, and the module decides what it is worth.
     void drain();
--- a/src/lab/experiment.cpp
+++ b/src/lab/experiment.cpp
@@ -203,7 +203,7 @@
     const std::string block =
         "127." + std::to_string(64 + mine % 128) + "." + std::to_string(mine / 128 % 250) + ".";
     std::vector<net::Address> records;
-    world_->loop.onTrouble(
+    world_->loop.onUncaughtException(
         [this](const std::string& what) { world_->notes.push_back("trouble in the laboratory: " + what); });
     for (std::size_t at = 0; at < terms.backends; ++at) {
         Backend backend;
--- a/src/lab/load.cpp
+++ b/src/lab/load.cpp
@@ -277,7 +277,7 @@
                 else if (stop)
                     clients.stop();
             });
-            loop.onTrouble([&](const std::string& what) {
+            loop.onUncaughtException([&](const std::string& what) {
                 fault = what;
                 clients.cut();
             });
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -113,7 +113,7 @@
     telemetry::Log log(std::cout, config.level, logFormat);
     telemetry::Counters counters;
     net::Loop loop;
-    loop.onTrouble([&](const std::string& what) { log.error("trouble", what); });
+    loop.onUncaughtException([&](const std::string& what) { log.error("trouble", what); });
     Server server(loop, config, log, counters);
     runUntilShutDown(
         loop, server, [&] { server.readAgain(std::getenv); }, [&] { counters.print(std::cout); });
@@ -124,7 +124,7 @@
     telemetry::Log log(std::cout, commandLine.logLevel, commandLine.logFormat);
     telemetry::Counters counters;
     net::Loop loop;
-    loop.onTrouble([&](const std::string& what) { log.error("trouble", what); });
+    loop.onUncaughtException([&](const std::string& what) { log.error("trouble", what); });
     serve::Gateway gateway(loop, config, log, counters);
     runUntilShutDown(
         loop, gateway, [&] { gateway.readAgain(commandLine.file); }, [&] { gateway.print(std::cout); });
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -35,7 +35,9 @@
 
     /// Sets the callback that hears what() of each exception that a callback threw. No exception may pass
     /// through libuv, which is a C library; the loop goes on.
-    void onTrouble(std::function<void(const std::string&)> trouble) { trouble_ = std::move(trouble); }
+    void onUncaughtException(std::function<void(const std::string&)> trouble) {
+        trouble_ = std::move(trouble);
+    }
 
     /// Turns until stop() is called or nothing is left to wait for.
     void run();
--- a/src/overload/admission_queue.h
+++ b/src/overload/admission_queue.h
@@ -39,14 +39,14 @@
     std::span<const UpcomingCalls> upcomingCalls;  ///< By deadline, earliest first.
 };
 
-/// Selects the requests to shed. In the order of their deadlines, each is scheduled behind those before it;
-/// where one cannot complete in time, the one with the least value for its work among those up to it is shed,
-/// which need not be itself (after Moore and Hodgson). So requests are shed as soon as their lateness is
-/// foreseen, while their clients can still go elsewhere.
+/// Selects the requests to shed with the Moore-Hodgson algorithm: requests are scheduled in the order of
+/// their deadlines, and when one would miss its latency objective, the scheduled request with the lowest
+/// value per core-second is shed, which need not be the late one. So requests are shed as soon as their
+/// lateness is foreseen, while their clients can still go elsewhere.
 ///
 /// Calls are sent in the order of deadlines too, so only those due earlier stand before a request's own call.
-/// With nothing on the cores one request is kept though it seems to be late: only a run can tell that the
-/// machine is quick again.
+/// With nothing on the cores one request is kept though it seems to be late: it serves as a probe, as
+/// only the end of a run shows that the machine has recovered.
 /// @param byDeadline the queue, earliest deadline first.
 /// @return in the order in which they are to be rejected.
 std::vector<RequestId> selectRequestsToShed(const std::vector<QueuedRequest>& byDeadline,
--- a/src/overload/arrival_handling.cpp
+++ b/src/overload/arrival_handling.cpp
@@ -52,7 +52,7 @@
     // grace. Without memory the duplicate fails; a rejection would promise that no attempt ran.
     request.phase = RequestPhase::JoinedDuplicate;
     if (!context_.memory.admitsArrival(context_.now, false)) {
-        closing_.giveUp(request);
+        closing_.rejectOrFail(request);
         return;
     }
     context_.sink->joinDuplicate(request.id);
@@ -64,19 +64,19 @@
     // Without room for its idempotency key a request cannot be run.
     if (context_.shutdown.refuses(request.arrivedAt) ||
         !context_.memory.admitsArrival(context_.now, needsKey)) {
-        closing_.giveUp(request);
+        closing_.rejectOrFail(request);
         return;
     }
     if (needsKey && context_.memory.retainsKeys()) retainKey(request);
     if (runsBreakerRejects()) {
-        closing_.giveUp(request, context_.config.maxRetryAfter);
+        closing_.rejectOrFail(request, context_.config.maxRetryAfter);
         return;
     }
     // A request that would meet an open breaker is rejected before it costs work.
     const bool callRequired = requestClass.callsDependency && requestClass.degradedValueFraction <= 0;
     const CircuitBreaker& breaker = context_.dependency.breaker();
     if (breaker.isOpen() && callRequired) {
-        closing_.giveUp(request, breaker.openUntil() - context_.now);
+        closing_.rejectOrFail(request, breaker.openUntil() - context_.now);
         return;
     }
     context_.requests.enterAdmissionQueue(request);
--- a/src/overload/call_scheduling.cpp
+++ b/src/overload/call_scheduling.cpp
@@ -39,7 +39,7 @@
     attempt.idempotency = context_.classOf(request).idempotency;
     attempt.attempts = request.call.attempts;
     request.call.retryAt = context_.now + context_.dependency.backoff(attempt.attempts, context_.random);
-    if (context_.dependency.allowsRetry(attempt) && request.call.retryAt < request.objectiveEnd) {
+    if (context_.dependency.shouldRetry(attempt) && request.call.retryAt < request.objectiveEnd) {
         context_.requests.enterCallQueue(request);
     } else {
         skipCall(request);
@@ -48,7 +48,7 @@
 
 void CallScheduling::skipCall(RequestState& request) {
     if (context_.classOf(request).degradedValueFraction <= 0) {
-        closing_.giveUp(request);
+        closing_.rejectOrFail(request);
         return;
     }
     context_.requests.resumeRun(request, context_.now);
@@ -91,7 +91,7 @@
     }
     // A response after the latency objective has no value here: no call for it.
     if (context_.now >= request.objectiveEnd && context_.classOf(request).lateValueFraction <= 0) {
-        closing_.giveUp(request);
+        closing_.rejectOrFail(request);
         return;
     }
     // While a half-open probe is in flight the others wait for its result, which comes soon; failing them
--- a/src/overload/client_pushback.h
+++ b/src/overload/client_pushback.h
@@ -22,8 +22,8 @@
 /// delay lies before the admission queue, and only clients that stay away can end it. It is jittered by a
 /// half, so that clients rejected together do not come back together.
 ///
-/// Other servers are ruled out when the fleet seems to be full: it would read, for nothing, what its clients
-/// take from one server to the next. So a retry that is rejected here too stays away, and first attempts do
+/// Retries on other servers are discouraged when the whole fleet seems to be full: they would be read there
+/// and rejected again. So a retry that is rejected here too stays away, and first attempts do
 /// in proportion to the shed fraction. While the server's own runs fail, others may well succeed.
 class ClientPushback {
 public:
--- a/src/overload/control_tick.cpp
+++ b/src/overload/control_tick.cpp
@@ -91,7 +91,7 @@
     demand.shedFraction = context_.shedRate.fraction();
     demand.dependencyOverloaded = context_.dependency.dependencyOverloaded();
     const std::optional<Duration> idle = idleConnections_.update(demand);
-    if (idle) context_.sink->closeIdleConnections(*idle);
+    if (idle) context_.sink->setIdleTimeout(*idle);
     const std::optional<double> share = loadAdvertiser_.update(context_.shedRate.fraction());
     if (share) context_.sink->advertiseLoadShare(*share);
 }
--- a/src/overload/decision_sink.h
+++ b/src/overload/decision_sink.h
@@ -44,9 +44,10 @@
     /// Advertises the share of its usual traffic that this server can take, from 0 to 1.
     virtual void advertiseLoadShare(double share) = 0;
     /// Sets how long a client connection may stay unused before it is closed.
-    virtual void closeIdleConnections(Duration unusedFor) = 0;
+    virtual void setIdleTimeout(Duration unusedFor) = 0;
     /// Requests the next control tick, which delivers the gauges.
     virtual void scheduleTick(Duration delay) = 0;
+    /// Records an event for operators. @param message one line, in the form `event: key=value ...`.
     virtual void log(std::string_view message) = 0;
 };
 
--- a/src/overload/dependency_calls.cpp
+++ b/src/overload/dependency_calls.cpp
@@ -48,8 +48,8 @@
     limiter_.adapt(callTimes_, now);
 }
 
-bool DependencyCalls::allowsRetry(const FailedAttempt& attempt) const {
-    return mayRetry(attempt.outcome, attempt.idempotency) && attempt.attempts < kMaxCallAttempts &&
+bool DependencyCalls::shouldRetry(const FailedAttempt& attempt) const {
+    return isRetryable(attempt.outcome, attempt.idempotency) && attempt.attempts < kMaxCallAttempts &&
            retryBudget_.allowsRetry();
 }
 
--- a/src/overload/dependency_calls.h
+++ b/src/overload/dependency_calls.h
@@ -40,7 +40,7 @@
                                              RandomSource& random);
 
     /// @return whether class, outcome, number of attempts and budget allow a retry.
-    bool allowsRetry(const FailedAttempt& attempt) const;
+    bool shouldRetry(const FailedAttempt& attempt) const;
 
     /// @return the backoff after the last of so many attempts, with full jitter.
     Duration backoff(int attempts, RandomSource& random) const;
--- a/src/overload/dependency_limiter.h
+++ b/src/overload/dependency_limiter.h
@@ -13,9 +13,8 @@
 ///
 /// - A concurrency limit between 0.4 and 0.8 of the quota may always be used. It shrinks while the dependency
 ///   is overloaded, as a slow dependency gets no faster by more calls, and grows otherwise.
-/// - Beyond it calls are paid from the quota that was left unused: a single call where the limit is below
-/// one,
-///   and up to twice the limit while the dependency is not overloaded.
+/// - Beyond it calls are paid from the quota that was left unused: a single call where the limit is
+///   below one, and up to twice the limit while the dependency is not overloaded.
 ///
 /// A call that was abandoned counts for as long as the dependency may go on working on it. Other kinds of
 /// dependency are not limited.
--- a/src/overload/graceful_shutdown.cpp
+++ b/src/overload/graceful_shutdown.cpp
@@ -12,10 +12,10 @@
 
 }  // namespace
 
-bool GracefulShutdown::begin(Timestamp now, const std::optional<Timestamp>& endsAt) {
-    if (draining() || !endsAt) return false;
+bool GracefulShutdown::begin(Timestamp now, const std::optional<Timestamp>& processEndsAt) {
+    if (draining() || !processEndsAt) return false;
     noticeAt_ = now;
-    endsAt_ = endsAt;
+    processEndsAt_ = processEndsAt;
     return true;
 }
 
@@ -25,7 +25,7 @@
 
 Timestamp GracefulShutdown::answerBy(Timestamp deadline) const {
     const Timestamp latest = deadline - kAnswerMargin;
-    return endsAt_ ? std::min(latest, *endsAt_ - kShutdownAnswerMargin) : latest;
+    return processEndsAt_ ? std::min(latest, *processEndsAt_ - kShutdownAnswerMargin) : latest;
 }
 
 }  // namespace cottonwing::overload
--- a/src/overload/graceful_shutdown.h
+++ b/src/overload/graceful_shutdown.h
@@ -16,11 +16,11 @@
     explicit GracefulShutdown(Duration drainGrace) : drainGrace_(drainGrace) {}
 
     /// Notes the shutdown notice; only the first one counts.
-    /// @param endsAt when the process ends.
+    /// @param processEndsAt when the process ends.
     /// @return whether it was the first.
-    bool begin(Timestamp now, const std::optional<Timestamp>& endsAt);
+    bool begin(Timestamp now, const std::optional<Timestamp>& processEndsAt);
 
-    bool draining() const { return endsAt_.has_value(); }
+    bool draining() const { return processEndsAt_.has_value(); }
 
     /// @return whether a request that reached the server at this time must not be run any more.
     bool refuses(Timestamp arrivedAt) const;
@@ -32,7 +32,7 @@
 private:
     Duration drainGrace_;
     Timestamp noticeAt_{0};
-    std::optional<Timestamp> endsAt_;
+    std::optional<Timestamp> processEndsAt_;
 };
 
 }  // namespace cottonwing::overload
--- a/src/overload/overload_controller.cpp
+++ b/src/overload/overload_controller.cpp
@@ -91,9 +91,9 @@
 }
 
 void Controller::beginShutdown(const EventBatch& batch) {
-    if (!context_.shutdown.begin(context_.now, batch.shutdownAt)) return;
+    if (!context_.shutdown.begin(context_.now, batch.processEndsAt)) return;
     context_.sink->setHealth(false);
-    context_.sink->log(shutdownMessage(*batch.shutdownAt - context_.now, context_.requests.size()));
+    context_.sink->log(shutdownMessage(*batch.processEndsAt - context_.now, context_.requests.size()));
     for (auto& [id, request] : context_.requests) {
         if (!request.answerPending()) continue;
         context_.requests.setAnswerBy(request, context_.shutdown.answerBy(request.deadline));
--- a/src/overload/request_closing.cpp
+++ b/src/overload/request_closing.cpp
@@ -4,7 +4,7 @@
 
 namespace cottonwing::overload {
 
-void RequestClosing::giveUp(RequestState& request, Duration retryAfter) {
+void RequestClosing::rejectOrFail(RequestState& request, Duration retryAfter) {
     switch (request.phase) {
         case RequestPhase::Queued:
             reject(request, retryAfter);
@@ -58,7 +58,7 @@
 void RequestClosing::answerOverdueRequests() {
     const DeadlineQueue& unanswered = context_.requests.unanswered();
     while (!unanswered.empty() && unanswered.front().first <= context_.now + kControlTick)
-        giveUp(context_.requests.at(unanswered.front().second));
+        rejectOrFail(context_.requests.at(unanswered.front().second));
 }
 
 void RequestClosing::remove(RequestState& request) {
--- a/src/overload/request_closing.h
+++ b/src/overload/request_closing.h
@@ -15,7 +15,7 @@
     /// rejected, so that its client may try another server; one that ran fails, and is stopped where that can
     /// be done.
     /// @param retryAfter known time until the cause is over; 0: derived from the load.
-    void giveUp(RequestState& request, Duration retryAfter = Duration::zero());
+    void rejectOrFail(RequestState& request, Duration retryAfter = Duration::zero());
 
     /// Handles a client that does not wait any more; it gets no answer.
     void cancel(RequestId id);
--- a/src/overload/retry_policy.cpp
+++ b/src/overload/retry_policy.cpp
@@ -38,7 +38,7 @@
     return outcome == Outcome::TimedOut || outcome == Outcome::ConnectionLost;
 }
 
-bool mayRetry(Outcome outcome, Idempotency idempotency) {
+bool isRetryable(Outcome outcome, Idempotency idempotency) {
     if (idempotency == Idempotency::Idempotent) return outcome != Outcome::Error;
     return certainlyNeverRan(outcome);
 }
--- a/src/overload/retry_policy.h
+++ b/src/overload/retry_policy.h
@@ -33,7 +33,7 @@
 
 /// Whether a failed call may be sent again: idempotent ones after every outcome except an error that the
 /// dependency reported, all others only when the call certainly never ran.
-bool mayRetry(Outcome outcome, Idempotency idempotency);
+bool isRetryable(Outcome outcome, Idempotency idempotency);
 
 /// The backoff before the next attempt: exponential with full jitter, from 0 to
 /// min(attemptTimeout, attemptTimeout / 16 * 2^(attempts - 1)).
--- a/src/overload/run_scheduling.cpp
+++ b/src/overload/run_scheduling.cpp
@@ -62,7 +62,7 @@
     // One that came with little time left is no sign that this server is full.
     const Duration timeGiven = request.deadline - request.arrivedAt;
     if (timeGiven >= context_.classOf(request).latencyObjective / 2) context_.shedRate.recordShed();
-    closing_.giveUp(request);
+    closing_.rejectOrFail(request);
 }
 
 void RunScheduling::startQueuedRequests() {
@@ -126,8 +126,8 @@
     if (transition != Transition::Opened && transition != Transition::Reopened) return;
     context_.sink->setHealth(false);
     while (!context_.requests.admissionQueue().empty()) {
-        closing_.giveUp(context_.requests.at(context_.requests.admissionQueue().front().second),
-                        context_.runsBreaker.openUntil() - context_.now);
+        closing_.rejectOrFail(context_.requests.at(context_.requests.admissionQueue().front().second),
+                              context_.runsBreaker.openUntil() - context_.now);
     }
 }
 
--- a/src/overload/service_time_model.h
+++ b/src/overload/service_time_model.h
@@ -40,8 +40,8 @@
     void recordUnfinished(int requestClass, const RunTimes& soFar);
 
     /// Re-estimates the slowdown factor from the runs on the cores, which shows a slow or hanging machine
-    /// before any of them has ended. Runs in progress are on average as old as runs take. One long run is no
-    /// slow machine: they are averaged with as many usual runs as there are cores.
+    /// before any of them has ended. Runs in progress are on average as old as runs take. They are
+    /// averaged with as many usual runs as there are cores, so that one long run does not raise the slowdown.
     void updateSlowdown(const RunsOnCores& runs);
 
     /// @param work expected work of the request; 0: unknown.
--- a/src/overload/types.h
+++ b/src/overload/types.h
@@ -161,8 +161,8 @@
     std::vector<RequestId> waitingForDependency;  ///< Running requests that now want their dependency call.
     std::vector<Completion> runResults;
     std::vector<RequestId> clientCancellations;
-    std::optional<Gauges> gauges;         ///< Present when the control tick fired.
-    std::optional<Timestamp> shutdownAt;  ///< Shutdown notice: when the process ends.
+    std::optional<Gauges> gauges;            ///< Present when the control tick fired.
+    std::optional<Timestamp> processEndsAt;  ///< Shutdown notice: when the process ends.
 };
 
 }  // namespace cottonwing
--- a/src/request/decision_queue.cpp
+++ b/src/request/decision_queue.cpp
@@ -32,7 +32,7 @@
 
 void DecisionQueue::advertiseLoadShare(double share) { decisions_.emplace_back(AdvertiseLoadShare{share}); }
 
-void DecisionQueue::closeIdleConnections(Duration unusedFor) {
+void DecisionQueue::setIdleTimeout(Duration unusedFor) {
     decisions_.emplace_back(CloseIdleConnections{unusedFor});
 }
 
--- a/src/request/decision_queue.h
+++ b/src/request/decision_queue.h
@@ -101,7 +101,7 @@
     void joinDuplicate(RequestId id) override;
     void setHealth(bool healthy) override;
     void advertiseLoadShare(double share) override;
-    void closeIdleConnections(Duration unusedFor) override;
+    void setIdleTimeout(Duration unusedFor) override;
     void scheduleTick(Duration delay) override;
     void log(std::string_view message) override;
 
--- a/src/request/request_manager.cpp
+++ b/src/request/request_manager.cpp
@@ -58,7 +58,7 @@
 }
 
 RequestManager::Table::iterator RequestManager::track(const IncomingRequest& incoming) {
-    const Table::iterator entry = table_.emplace(incoming.request.id, RequestState{}).first;
+    const Table::iterator entry = table_.emplace(incoming.request.id, TrackedRequest{}).first;
     entry->second.sink = incoming.sink != nullptr ? incoming.sink : sinks_.front();
     ++unansweredCount_;
     return entry;
@@ -91,11 +91,11 @@
     attempt.readAt = now;
     const state::KeyTimes times{requestClass.idempotencyWindow, requestClass.timeout + kClockTolerance};
     const KeyClaim claim = keys_.claim(incoming.idempotencyKey, attempt, times);
-    RequestState& request = entry->second;
+    TrackedRequest& request = entry->second;
     switch (claim) {
         case KeyClaim::Conflict:
             counters_.add(Count::KeyConflicts);
-            answerUnknownToExecutor(entry);
+            answerRefused(entry);
             return false;
         case KeyClaim::NoCapacity:
             counters_.add(Count::RejectedForMemory);
@@ -116,7 +116,7 @@
 
 void RequestManager::book(Table::iterator entry, IncomingRequest incoming, std::size_t bytes) {
     const Duration classTimeout = classOf(incoming.request.requestClass).timeout;
-    RequestState& request = entry->second;
+    TrackedRequest& request = entry->second;
     request.bookedBytes = bytes;
     bookedBytes_ += bytes;
     request.externalId = std::move(incoming.externalId);
@@ -166,7 +166,7 @@
     const Table::iterator entry = findRunning(id);
     if (entry == table_.end()) return;
     counters_.add(Count::RunsCompleted);
-    RequestState& request = entry->second;
+    TrackedRequest& request = entry->second;
     const bool startUnconfirmed = request.run == RunState::StartUnconfirmed;
     request.run = RunState::Ended;
     if (startUnconfirmed) --unconfirmedStartCount_;
@@ -184,7 +184,7 @@
     const Table::iterator entry = findRunning(id);
     if (entry == table_.end()) return;
     // The entry stays after the answer, as its run has yet to end.
-    if (entry->second.isClientWaiting()) answerUnknownToExecutor(entry);
+    if (entry->second.isClientWaiting()) answerRefused(entry);
     runCompleted(id, Outcome::Superseded, 0ns, {});
 }
 
@@ -204,14 +204,14 @@
     }
 }
 
-bool RequestManager::mayRunTwice(const RequestState& request) const {
+bool RequestManager::mayRunTwice(const TrackedRequest& request) const {
     return classOf(request.requestClass).idempotency == Idempotency::Idempotent;
 }
 
 // Also restarts runs that nobody waits for any more: only the report of an end, even of a run that never was,
 // removes the request from the table. A request that may run only once is not restarted, as its run may have
 // ended meanwhile; it is inquired after once it is over.
-void RequestManager::restartOrMarkUnconfirmed(RequestState& request, Timestamp lostAt) {
+void RequestManager::restartOrMarkUnconfirmed(TrackedRequest& request, Timestamp lostAt) {
     if (mayRunTwice(request)) return executor_->start(request.runSpec());
     const bool startMayBeLost = request.runStartedAt > lostAt - kLossWindow;
     if (request.run == RunState::StartUnconfirmed || !startMayBeLost) return;
@@ -221,7 +221,7 @@
 
 // An instruction from before the loss window has arrived: repeated, it might be taken for the answer to the
 // run's next dependency call.
-void RequestManager::repeatLastInstruction(const RequestState& request, Timestamp lostAt) {
+void RequestManager::repeatLastInstruction(const TrackedRequest& request, Timestamp lostAt) {
     const std::optional<RunContinuation>& last = request.continuation;
     if (!last || last->sentAt <= lostAt - kLossWindow) return;
     if (last->reply)
@@ -249,8 +249,8 @@
                                              std::string_view reply) {
     const Table::iterator entry = table_.find(id);
     if (entry == table_.end() || !entry->second.isDependencyCallInProgress()) return;
-    RequestState& request = entry->second;
-    request.dependencyCall = DependencyCallState::NotInProgress;
+    TrackedRequest& request = entry->second;
+    request.dependencyCall = CallProgress::NotInProgress;
     // No run waits for the call: the end of the run is about to be reported, and that is what counts.
     if (outcome == Outcome::Superseded) return;
     if (outcome == Outcome::Ok) {
@@ -264,7 +264,7 @@
 // ---- Control --------------------------------------------------------------------------------------------
 
 void RequestManager::beginShutdown(Timestamp stopAt) {
-    batch_.shutdownAt = stopAt;
+    batch_.processEndsAt = stopAt;
     hasEvents_ = true;
 }
 
@@ -339,8 +339,8 @@
 void RequestManager::carryOut(const CallDependency& decision) {
     const Table::iterator entry = findRunningAndWaiting(decision.id);
     if (entry == table_.end()) return;
-    RequestState& request = entry->second;
-    request.dependencyCall = DependencyCallState::InProgress;
+    TrackedRequest& request = entry->second;
+    request.dependencyCall = CallProgress::InProgress;
     dependencyClient_->startCall(decision.id, request.externalId, decision.timeout,
                                  request.dependencyCallBody);
 }
@@ -368,7 +368,7 @@
 void RequestManager::carryOut(const AdvertiseLoadShare& decision) { advertisedLoadShare_ = decision.share; }
 
 void RequestManager::carryOut(const CloseIdleConnections& decision) {
-    for (ResponseSink* const sink : sinks_) sink->closeIdleConnections(decision.unusedFor);
+    for (ResponseSink* const sink : sinks_) sink->setIdleTimeout(decision.unusedFor);
 }
 
 void RequestManager::carryOut(const ScheduleTick& decision) {
@@ -414,8 +414,8 @@
     recordAnswer(entry, Count::Failed);
 }
 
-void RequestManager::answerUnknownToExecutor(Table::iterator entry) {
-    entry->second.sink->unknownToExecutor(entry->first);
+void RequestManager::answerRefused(Table::iterator entry) {
+    entry->second.sink->refused(entry->first);
     recordAnswer(entry, Count::Failed);
 }
 
@@ -430,14 +430,14 @@
 void RequestManager::abandonDependencyCall(Table::iterator entry) {
     if (!entry->second.isDependencyCallInProgress()) return;
     dependencyClient_->abandonCall(entry->first);
-    entry->second.dependencyCall = DependencyCallState::NotInProgress;
+    entry->second.dependencyCall = CallProgress::NotInProgress;
 }
 
 void RequestManager::eraseIfOver(Table::iterator entry) {
     if (!entry->second.isOver()) return;
     bookedBytes_ -= entry->second.bookedBytes;
     const RequestId id = entry->first;
-    const RequestState request = std::move(entry->second);
+    const TrackedRequest request = std::move(entry->second);
     endedThisTurn_.insert(id);
     table_.erase(entry);
     if (request.idempotencyRole == IdempotencyRole::DuplicateWaiting) keys_.leave(request.idempotencyKey, id);
--- a/src/request/request_manager.h
+++ b/src/request/request_manager.h
@@ -119,7 +119,7 @@
     std::size_t trackedCount() const { return table_.size(); }
 
 private:
-    using Table = std::unordered_map<RequestId, RequestState>;
+    using Table = std::unordered_map<RequestId, TrackedRequest>;
 
     // Steps of accept().
     Table::iterator track(const IncomingRequest& incoming);
@@ -152,7 +152,7 @@
     void answerCompleted(Table::iterator entry, std::string_view result);
     void answerRejected(Table::iterator entry, const Pushback& pushback);
     void answerFailed(Table::iterator entry);
-    void answerUnknownToExecutor(Table::iterator entry);
+    void answerRefused(Table::iterator entry);
     void recordAnswer(Table::iterator entry, telemetry::Count kind);
     void abandonDependencyCall(Table::iterator entry);
     void eraseIfOver(Table::iterator entry);
@@ -164,9 +164,9 @@
     void addRunResult(RequestId id, Outcome outcome, Duration elapsed);
 
     // Recovery of runs after the executor's connection was lost.
-    bool mayRunTwice(const RequestState& request) const;
-    void restartOrMarkUnconfirmed(RequestState& request, Timestamp lostAt);
-    void repeatLastInstruction(const RequestState& request, Timestamp lostAt);
+    bool mayRunTwice(const TrackedRequest& request) const;
+    void restartOrMarkUnconfirmed(TrackedRequest& request, Timestamp lostAt);
+    void repeatLastInstruction(const TrackedRequest& request, Timestamp lostAt);
     void inquireUnconfirmedStarts(Timestamp now);
 
     void controlTick();
--- a/src/request/request_state.cpp
+++ b/src/request/request_state.cpp
@@ -2,11 +2,11 @@
 
 namespace cottonwing::request {
 
-bool RequestState::isRunInProgress() const {
+bool TrackedRequest::isRunInProgress() const {
     return run == RunState::Running || run == RunState::StartUnconfirmed;
 }
 
-RunSpec RequestState::runSpec() const {
+RunSpec TrackedRequest::runSpec() const {
     return {externalId, requestClass, body, format, routingKey, deadline};
 }
 
--- a/src/request/request_state.h
+++ b/src/request/request_state.h
@@ -4,7 +4,7 @@
 /// Five independent aspects, each with one owner that changes it:
 ///  - ClientState: RequestManager, on the answer or on the client's cancellation;
 ///  - RunState: RequestManager, on the controller's decisions and on the executor's reports;
-///  - DependencyCallState: RequestManager, as it starts and abandons calls at the DependencyClient;
+///  - CallProgress: RequestManager, as it starts and abandons calls at the DependencyClient;
 ///  - IdempotencyRole: mirrors what state::IdempotencyKeys holds for this request;
 ///  - RunContinuation: what the run was last sent in place of its dependency call.
 #pragma once
@@ -40,7 +40,7 @@
 };
 
 /// Whether a dependency call of the request is out.
-enum class DependencyCallState { NotInProgress, InProgress };
+enum class CallProgress { NotInProgress, InProgress };
 
 /// The part that the request plays for its idempotency key.
 enum class IdempotencyRole {
@@ -58,7 +58,7 @@
 };
 
 /// One request in the table of the RequestManager.
-struct RequestState {
+struct TrackedRequest {
     std::string externalId;
     std::string body;
     int requestClass = 0;  ///< Index into ControllerConfig::requestClasses.
@@ -75,7 +75,7 @@
     RunState run = RunState::NotStarted;
     Timestamp runStartedAt{0};
 
-    DependencyCallState dependencyCall = DependencyCallState::NotInProgress;
+    CallProgress dependencyCall = CallProgress::NotInProgress;
     std::string dependencyCallBody;  ///< Of the call that the run asked for last.
     std::optional<RunContinuation> continuation;
 
@@ -87,7 +87,7 @@
     bool isClientWaiting() const { return client == ClientState::Waiting; }
     /// Whether the executor has yet to report the end of the run; its start may be unconfirmed.
     bool isRunInProgress() const;
-    bool isDependencyCallInProgress() const { return dependencyCall == DependencyCallState::InProgress; }
+    bool isDependencyCallInProgress() const { return dependencyCall == CallProgress::InProgress; }
     /// Whether nothing is to be awaited: no answer is due and no run is in progress.
     bool isOver() const { return !isClientWaiting() && !isRunInProgress(); }
 
--- a/src/request/response_sink.h
+++ b/src/request/response_sink.h
@@ -29,15 +29,15 @@
     /// @param id of the request.
     virtual void failed(RequestId id) = 0;
 
-    /// The request failed because the executor does not accept it: either it does not know such a request or
-    /// the request's idempotency key belongs to a request with another body. The protocol server may count
-    /// this against the connection.
+    /// The request failed because of its client: the executor does not know such a request, or its
+    /// idempotency key belongs to a request with another body. The protocol server may count this as a
+    /// protocol error of the connection.
     /// @param id of the request.
-    virtual void unknownToExecutor(RequestId id) = 0;
+    virtual void refused(RequestId id) = 0;
 
     /// Sets how long a client connection may stay unused before it is closed.
     /// @param unusedFor the limit.
-    virtual void closeIdleConnections(Duration unusedFor) = 0;
+    virtual void setIdleTimeout(Duration unusedFor) = 0;
 };
 
 }  // namespace cottonwing::request
--- a/src/serve/gateway.h
+++ b/src/serve/gateway.h
@@ -19,7 +19,7 @@
     void readAgain(const std::string& path);
     void print(std::ostream& out) const;
 
-    const request::RequestManager& backend() const { return backend_; }
+    const request::RequestManager& requestManager() const { return backend_; }
     const upstreams::ScgiGroups& groups() const { return groups_; }
     const fronts::ScgiFront* scgi() const { return scgi_.get(); }
     const thrift::ThriftServer* thrift() const { return thrift_.get(); }
--- a/src/server.h
+++ b/src/server.h
@@ -31,9 +31,9 @@
     /// that can't be read is rejected as a whole; changes of other keys are logged as needing a restart.
     void readAgain(const config::Environment& environment);
 
-    const request::RequestManager& backend() const { return requests_; }
-    const dependency::HttpDependencyClient& records() const { return dependencyClient_; }
-    const thrift::ThriftServer& sidecars() const { return thriftServer_; }
+    const request::RequestManager& requestManager() const { return requests_; }
+    const dependency::HttpDependencyClient& dependencyClient() const { return dependencyClient_; }
+    const thrift::ThriftServer& thriftServer() const { return thriftServer_; }
 
 private:
     void turnEnded();
--- a/src/simulator/decision_writer.cpp
+++ b/src/simulator/decision_writer.cpp
@@ -72,7 +72,7 @@
     write(wire::kAdvertiseLoadShare, std::string_view(text, static_cast<std::size_t>(end - text)));
 }
 
-void DecisionWriter::closeIdleConnections(Duration unusedFor) {
+void DecisionWriter::setIdleTimeout(Duration unusedFor) {
     write(wire::kCloseIdleConnections, microseconds(unusedFor));
 }
 
--- a/src/simulator/instance_host.cpp
+++ b/src/simulator/instance_host.cpp
@@ -145,8 +145,8 @@
 
 void InstanceHost::onShutdownNotice(const WireLine& line) {
     line.expectFields(wire::kShutdownFields);
-    const Timestamp shutdownAt = line.microseconds(wire::kShutdownAtUs);
-    instanceOf(line).events.shutdownAt = shutdownAt;
+    const Timestamp processEndsAt = line.microseconds(wire::kShutdownAtUs);
+    instanceOf(line).events.processEndsAt = processEndsAt;
 }
 
 }  // namespace cottonwing::simulator
--- a/src/thrift/connection_table.h
+++ b/src/thrift/connection_table.h
@@ -43,9 +43,9 @@
     /// The one that was accepted first is in front.
     const ConnectionList& newConnections() const { return new_; }
 
-    /// Who may hold a place: one that never sent a whole message may not for long, and not many of them may;
-    /// one with nothing open gives way to whoever comes, the longest unused first. Connections with open
-    /// requests keep theirs.
+    /// Decides whether a connection can be accepted and which one is evicted for it: new connections that
+    /// never sent a whole message first (only a part of the places is for them), then the least recently used
+    /// one without open requests. Connections with open requests are never evicted.
     /// @param closing  connections outside the table that still hold their descriptors
     AcceptDecision decideAccept(std::size_t closing, Timestamp now) const;
 
--- a/src/thrift/thrift_connection.h
+++ b/src/thrift/thrift_connection.h
@@ -22,8 +22,8 @@
 using ConnectionList = std::list<std::shared_ptr<ThriftConnection>>;
 
 /// A connection that a listener accepted. It is new until its first whole message, then identified. Besides
-/// it may be draining, as it was asked to send no new requests, and reading may be stopped, as what it sent
-/// or failed to send can't be borne any longer; then it ends once its open requests are answered.
+/// it may be draining, as it was asked to send no new requests, and reading may be stopped, as it
+/// exceeded a limit on errors or on time; then it ends once its open requests are answered.
 class ThriftConnection : public std::enable_shared_from_this<ThriftConnection>,
                          private net::ConnectionHandler {
 public:
@@ -53,17 +53,18 @@
     void noteIncompleteMessage(bool newMessage, Timestamp now);
     /// A message was begun too long ago and is not whole yet.
     bool isMessageOverdue(Timestamp now) const;
-    /// Reads nothing more. Requests that are open are still answered: those of an honest client are not lost
-    /// for one message that can't be understood.
+    /// Reads nothing more. Requests that are open are still answered: a client's
+    /// earlier requests are not lost for one malformed message.
     void stopReading(net::ConnectionEnd reason);
     /// Why reading was stopped, and the connection will end.
     std::optional<net::ConnectionEnd> readingStopped() const { return readingStopped_; }
 
     // Messages that were refused.
     void addProtocolError() { ++protocolErrors_; }
-    /// A request that was worth serving makes good for earlier errors on a connection that lives for long.
+    /// A completed request resets the count, so that a long-lived connection is not closed for errors far
+    /// apart.
     void forgiveProtocolErrors() { protocolErrors_ = 0; }
-    /// It goes on sending what can't be read, or the same again as soon as it is refused.
+    /// The client keeps sending malformed requests, or repeats refused ones at once.
     bool hasTooManyProtocolErrors() const;
 
     // Open requests, by sequence number.
--- a/src/thrift/thrift_server.cpp
+++ b/src/thrift/thrift_server.cpp
@@ -208,7 +208,7 @@
     answer(id, [&](std::int32_t sequence) { return writeFailed(sequence, loadShareFields()); });
 }
 
-void ThriftServer::unknownToExecutor(RequestId id) {
+void ThriftServer::refused(RequestId id) {
     if (const auto found = inFlight_.find(id); found != inFlight_.end())
         found->second.connection->addProtocolError();
     failed(id);
--- a/src/thrift/thrift_server.h
+++ b/src/thrift/thrift_server.h
@@ -41,9 +41,9 @@
     void rejected(RequestId id, const Pushback& pushback) override;
     void failed(RequestId id) override;
     /// Fails the request, and counts it as a protocol error of its connection.
-    void unknownToExecutor(RequestId id) override;
+    void refused(RequestId id) override;
     /// Drains connections that are unused for this long, from the next sweep on; 0: none.
-    void closeIdleConnections(Duration unusedFor) override { maxIdle_ = unusedFor; }
+    void setIdleTimeout(Duration unusedFor) override { maxIdle_ = unusedFor; }
 
     /// Takes no new connections, and asks the clients for no new requests on those there are.
     void drain();
--- a/tests/config/deployment_variants_test.cpp
+++ b/tests/config/deployment_variants_test.cpp
@@ -7,12 +7,12 @@
 
 using namespace std::chrono_literals;
 using testing::Json;
-using testing::Sidecar;
-using testing::Stage;
+using testing::ServerFixture;
+using testing::ThriftTestClient;
 namespace frames = testing::frames;
 
 Json lastTier() {
-    Json all = testing::plainStart();
+    Json all = testing::plainConfigFile();
     all.erase("records");
     Json& mine = all["settings"]["family_info"];
     mine["below"] = "off";
@@ -23,13 +23,13 @@
 
 // The last tier is given no dependency address; requiring one once refused the start of every such instance.
 TEST(DeploymentVariants, AnInstanceWithoutDependencyNeedsNoAddressForIt) {
-    EXPECT_FALSE(testing::startOf(lastTier()).dependency.has_value());
-    Json all = testing::plainStart();
+    EXPECT_FALSE(testing::processConfigFrom(lastTier()).dependency.has_value());
+    Json all = testing::plainConfigFile();
     all.erase("records");
-    EXPECT_THROW(testing::startOf(all), config::ConfigError);  // with a dependency, it does
+    EXPECT_THROW(testing::processConfigFrom(all), config::ConfigError);  // with a dependency, it does
     all = lastTier();
     all["records"] = "nowhere";
-    EXPECT_THROW(testing::startOf(all), config::ConfigError);
+    EXPECT_THROW(testing::processConfigFrom(all), config::ConfigError);
 }
 
 TEST(DeploymentVariants, ACallWithoutDependencyIsUnreachable) {
@@ -37,59 +37,59 @@
     std::ostringstream lines;
     telemetry::Log log(lines, telemetry::Level::Debug);
     telemetry::Counters counters;
-    const config::ProcessConfig start = testing::startOf(lastTier());
+    const config::ProcessConfig start = testing::processConfigFrom(lastTier());
     request::RequestManager backend(loop, start.controller, 1 << 20, 1 << 20, log, counters);
     dependency::HttpDependencyClient records(loop, start.dependency, start.limits, backend, counters);
-    records.startCall(1, Sidecar::trace(1), 1s, "call");
+    records.startCall(1, ThriftTestClient::trace(1), 1s, "call");
     records.moveTo(std::nullopt);
     EXPECT_EQ(counters.of(telemetry::Count::CallsUnreachable), 1U);
     EXPECT_EQ(records.callsInFlight(), 0U);
 }
 
 TEST(DeploymentVariants, CallsToATierAreServedAsThoseToASharedDependency) {
-    Json all = testing::plainStart();
+    Json all = testing::plainConfigFile();
     all["settings"]["family_info"]["below"] = "tier";
     all["settings"]["family_info"]["dep_share"] = 0;
-    Stage on(all);
+    ServerFixture on(all);
     on.bound();
-    Sidecar sidecar(on.loop, on.port());
+    ThriftTestClient sidecar(on.loop, on.port());
     sidecar.ask(1);
-    on.wait([&] { return on.pool.running.contains(Sidecar::trace(1)); });
-    on.pool.block(Sidecar::trace(1), "call");
-    on.wait([&] { return on.pool.supplied.contains(Sidecar::trace(1)); });
-    EXPECT_EQ(on.pool.supplied.at(Sidecar::trace(1)), "re:call");
+    on.wait([&] { return on.pool.running.contains(ThriftTestClient::trace(1)); });
+    on.pool.block(ThriftTestClient::trace(1), "call");
+    on.wait([&] { return on.pool.supplied.contains(ThriftTestClient::trace(1)); });
+    EXPECT_EQ(on.pool.supplied.at(ThriftTestClient::trace(1)), "re:call");
 }
 
 // Where the settings do not say that clients send how long they wait, the field is absent.
 TEST(DeploymentVariants, ATimeoutIsRequiredOnlyWhereClientsSendIt) {
-    testing::Reply fields = Sidecar::fields(1);
+    testing::FieldMap fields = ThriftTestClient::fields(1);
     fields.erase("patience");
     for (const bool clientsSendTimeout : {true, false}) {
-        Json all = testing::plainStart();
+        Json all = testing::plainConfigFile();
         all["settings"]["family_info"]["passes_deadline"] = clientsSendTimeout;
-        Stage on(all);
+        ServerFixture on(all);
         on.bound();
-        Sidecar sidecar(on.loop, on.port());
+        ThriftTestClient sidecar(on.loop, on.port());
         sidecar.say(frames::serve(1, fields, "body"));
         if (clientsSendTimeout) {
             on.wait([&] { return sidecar.answers.contains(1); });
             EXPECT_EQ(sidecar.answers[1].kind, "refusal");
             continue;
         }
-        on.wait([&] { return on.pool.running.contains(Sidecar::trace(1)); });
-        on.pool.finish(Sidecar::trace(1), "ok", "done");
+        on.wait([&] { return on.pool.running.contains(ThriftTestClient::trace(1)); });
+        on.pool.finish(ThriftTestClient::trace(1), "ok", "done");
         on.wait([&] { return sidecar.answers.contains(1); });
         EXPECT_EQ(sidecar.answers[1].body, "done");
         // A value that is there is read all the same.
-        testing::Reply bad = Sidecar::fields(2);
+        testing::FieldMap bad = ThriftTestClient::fields(2);
         bad["patience"] = "-4";
         sidecar.say(frames::serve(2, bad, "body"));
         on.wait([&] { return sidecar.answers.contains(2); });
         EXPECT_EQ(sidecar.answers[2].kind, "refusal");
     }
-    Json all = testing::plainStart();
+    Json all = testing::plainConfigFile();
     all["settings"]["family_info"]["passes_deadline"] = "yes";
-    EXPECT_THROW(testing::startOf(all), config::ConfigError);
+    EXPECT_THROW(testing::processConfigFrom(all), config::ConfigError);
 }
 
 }  // namespace
--- a/tests/lab_world_test.cpp
+++ b/tests/lab_world_test.cpp
@@ -18,7 +18,7 @@
 namespace {
 
 using namespace std::chrono_literals;
-using cottonwing::testing::until;
+using cottonwing::testing::runUntil;
 
 int upTo(int most) { return *rc::gen::resize(1000, rc::gen::inRange(0, most + 1)); }
 
@@ -213,17 +213,17 @@
     WorkerPool pool(place.loop, 0, place.at, terms, place.checker);
     auto link = std::make_unique<Peer>(place.loop, place.at);
     link->connection->send(worker_pool::bindLine(0) + spawnLine(1, 2000, 1) + spawnLine(2, 1000, 0));
-    until(place.loop, [&] { return link->clientResponse("blocked") && link->clientResponse("finished"); });
+    runUntil(place.loop, [&] { return link->clientResponse("blocked") && link->clientResponse("finished"); });
     EXPECT_TRUE(link->clientResponse("\"bound\""));
     link.reset();
     link = std::make_unique<Peer>(place.loop, place.at);
     link->connection->send(worker_pool::bindLine(0));
-    until(place.loop, [&] { return link->clientResponse("blocked") && link->clientResponse("finished"); });
+    runUntil(place.loop, [&] { return link->clientResponse("blocked") && link->clientResponse("finished"); });
     link->connection->send(worker_pool::supplyLine("0000000000000001", "reply"));
-    until(place.loop, [&] { return link->clientResponse("\"n\":3"); });
+    runUntil(place.loop, [&] { return link->clientResponse("\"n\":3"); });
     EXPECT_EQ(pool.inHand(), 0U);
     link->connection->send("this is no command\n");
-    until(place.loop, [&] { return link->gone; });
+    runUntil(place.loop, [&] { return link->gone; });
 }
 
 TEST(EmulatedPool, ACrowdPastWhatItBearsIsAFallOver) {
@@ -237,7 +237,7 @@
     Peer link(place.loop, place.at);
     link.connection->send(worker_pool::bindLine(0));
     for (int job = 1; job < 8; ++job) link.connection->send(spawnLine(job, 50000000, 0));
-    until(place.loop, [&] { return count(place.checker, Rule::FallOver) > 0; });
+    runUntil(place.loop, [&] { return count(place.checker, Rule::FallOver) > 0; });
 }
 
 std::string callText(const std::string& of, int micros) {
@@ -255,32 +255,32 @@
     RecordsService records(place.loop, {place.at}, terms, place.checker);
     Peer first(place.loop, place.at), second(place.loop, place.at), third(place.loop, place.at);
     first.connection->send(callText("0000000000000001", 100000));
-    until(place.loop, [&] { return records.inHands() == 1; });
+    runUntil(place.loop, [&] { return records.inHands() == 1; });
     second.connection->send(callText("0000000000000002", 1000));
-    until(place.loop, [&] { return records.inHands() == 2; });
+    runUntil(place.loop, [&] { return records.inHands() == 2; });
     third.connection->send(callText("0000000000000003", 1000));
-    until(place.loop, [&] { return third.clientResponse("503"); });
+    runUntil(place.loop, [&] { return third.clientResponse("503"); });
     EXPECT_TRUE(third.clientResponse("Op-Not-Begun: 1"));
-    until(place.loop,
-          [&] { return first.clientResponse("200") && second.clientResponse("re 0000000000000002"); });
+    runUntil(place.loop,
+             [&] { return first.clientResponse("200") && second.clientResponse("re 0000000000000002"); });
     records.spoil(1);
     third.connection->send(callText("0000000000000003", 1000));
-    until(place.loop, [&] { return third.clientResponse("2oo WHAT"); });
+    runUntil(place.loop, [&] { return third.clientResponse("2oo WHAT"); });
     records.spoil(0);
     records.hang(1);
     first.connection->send(callText("0000000000000004", 1000));
-    until(place.loop, [&] { return records.inHands() == 1; });
+    runUntil(place.loop, [&] { return records.inHands() == 1; });
     first.connection.reset();  // given up: in its hands for a while yet, then gone
-    until(place.loop, [&] { return records.inHands() == 0; });
+    runUntil(place.loop, [&] { return records.inHands() == 0; });
     records.down(true);
-    until(place.loop, [&] { return second.gone; });
+    runUntil(place.loop, [&] { return second.gone; });
     Peer refused(place.loop, place.at);
-    until(place.loop, [&] { return refused.gone; });
+    runUntil(place.loop, [&] { return refused.gone; });
     records.hang(0);
     records.down(false);
     Peer again(place.loop, place.at);
     again.connection->send(callText("0000000000000005", 1000));
-    until(place.loop, [&] { return again.clientResponse("200"); });
+    runUntil(place.loop, [&] { return again.clientResponse("200"); });
 }
 
 // ---- a morning ------------------------------------------------------------------------------------------
--- a/tests/net/loop_test.cpp
+++ b/tests/net/loop_test.cpp
@@ -20,7 +20,7 @@
 TEST(Loop, ReportsWhatACallbackThrows) {
     Loop loop;
     std::string trouble;
-    loop.onTrouble([&](const std::string& what) { trouble = what; });
+    loop.onUncaughtException([&](const std::string& what) { trouble = what; });
     Timer timer(loop, [] { throw std::runtime_error("thrown"); });
     timer.start(0ns);
     testing::runUntil(loop, [&] { return !trouble.empty(); });
--- a/tests/overload/controller_rules_test.cpp
+++ b/tests/overload/controller_rules_test.cpp
@@ -15,7 +15,7 @@
 bool oneIn(int n) { return upTo(n - 1) == 0; }
 
 ControllerConfig anyConfig() {
-    ControllerConfig config = plainTerms();
+    ControllerConfig config = plainControllerConfig();
     config.seed = static_cast<std::uint64_t>(upTo(1000000));
     config.startsCold = oneIn(2);
     config.cores = 1 + upTo(5);
@@ -30,7 +30,7 @@
 }
 
 RC_GTEST_PROP(ControllerRules, HoldAfterEveryBatch, ()) {
-    Machine machine(anyConfig());
+    ControllerHarness machine(anyConfig());
     const int batches = 150 + upTo(250), rush = upTo(4), fails = 1 + upTo(9), speed = 1 + upTo(19),
               lag = 1 + upTo(99);
     const int leaveAt = oneIn(2) ? upTo(batches) : -1;
@@ -57,8 +57,8 @@
         std::vector<RequestId> ids;
         for (const auto& [id, w] : machine.work) ids.push_back(id);
         for (const RequestId id : ids) {
-            const Machine::Work& w = machine.work.at(id);
-            if (w.at == Machine::At::Below && (machine.now >= w.callEnds || oneIn(lag))) {
+            const ControllerHarness::Work& w = machine.work.at(id);
+            if (w.at == ControllerHarness::At::Below && (machine.now >= w.callEnds || oneIn(lag))) {
                 const auto outcome = machine.now >= w.callEnds ? Outcome::TimedOut
                                      : oneIn(fails)            ? static_cast<Outcome>(1 + upTo(4))
                                                                : Outcome::Ok;
@@ -66,20 +66,20 @@
                     batch.runResults.push_back({id, Outcome::Cancelled, 100ms});
                 else
                     batch.dependencyResults.push_back({id, outcome, 50ms});
-            } else if (w.at == Machine::At::Call && (w.answered || w.left)) {
+            } else if (w.at == ControllerHarness::At::Call && (w.answered || w.left)) {
                 batch.runResults.push_back({id, Outcome::Cancelled, 100ms});
-            } else if (w.at == Machine::At::Cores && oneIn(speed)) {
+            } else if (w.at == ControllerHarness::At::Cores && oneIn(speed)) {
                 if (oneIn(2) && !w.answered && !w.left)
                     batch.waitingForDependency.push_back(id);
                 else
                     batch.runResults.push_back({id, oneIn(9) ? Outcome::Error : Outcome::Ok, 100ms});
-            } else if (w.at == Machine::At::Joined && oneIn(20)) {
+            } else if (w.at == ControllerHarness::At::Joined && oneIn(20)) {
                 batch.runResults.push_back({id, Outcome::Ok, 100ms});
             } else if (!w.left && !w.answered && oneIn(60)) {
                 batch.clientCancellations.push_back(id);
             }
         }
-        if (i == leaveAt) batch.shutdownAt = machine.now + 2s + 10ms * upTo(300);
+        if (i == leaveAt) batch.processEndsAt = machine.now + 2s + 10ms * upTo(300);
         if (machine.stopAt >= 0ns && machine.now + 60ms > machine.stopAt) break;
         machine.step(batch, oneIn(40) && machine.stopAt < 0ns ? 60ms : 20ms);
     }
--- a/tests/overload/controller_test.cpp
+++ b/tests/overload/controller_test.cpp
@@ -5,7 +5,7 @@
 namespace {
 
 // Brings one request to its first dependency call.
-void toCall(Machine& m, RequestId id, int profile = 0) {
+void toCall(ControllerHarness& m, RequestId id, int profile = 0) {
     EventBatch batch;
     batch.arrivals = {m.command(id, profile)};
     m.step(batch);
@@ -13,19 +13,19 @@
     batch.waitingForDependency = {id};
     m.step(batch);
 }
-void back(Machine& m, RequestId id, Outcome outcome, Duration passed = 20ms, Duration took = 50ms) {
+void back(ControllerHarness& m, RequestId id, Outcome outcome, Duration passed = 20ms, Duration took = 50ms) {
     EventBatch batch;
     batch.dependencyResults = {{id, outcome, took}};
     m.step(batch, passed);
 }
-void end(Machine& m, RequestId id, Outcome outcome = Outcome::Ok) {
+void end(ControllerHarness& m, RequestId id, Outcome outcome = Outcome::Ok) {
     EventBatch batch;
     batch.runResults = {{id, outcome, 100ms}};
     m.step(batch);
 }
 
 TEST(ControllerCalls, AnIdempotentRequestMakesAtMostThreeAttempts) {
-    Machine m(plainTerms());
+    ControllerHarness m(plainControllerConfig());
     toCall(m, 1);
     for (int i = 0; i < 3; ++i) {
         back(m, 1, Outcome::ResourceExhausted);
@@ -36,7 +36,7 @@
 }
 
 TEST(ControllerCalls, AnErrorIsNotRetried) {
-    Machine m(plainTerms());
+    ControllerHarness m(plainControllerConfig());
     toCall(m, 1);
     back(m, 1, Outcome::Error);
     EXPECT_EQ(m.calls, 1);
@@ -44,7 +44,7 @@
 }
 
 TEST(ControllerCalls, WithoutIdempotencyOnlyCallsThatNeverRanAreRetriedAndOthersSkippedWhereAllowed) {
-    Machine m(plainTerms());
+    ControllerHarness m(plainControllerConfig());
     toCall(m, 1, 2);
     back(m, 1, Outcome::Unreachable);
     for (int n = 0; n < 40; ++n) m.step();
@@ -55,7 +55,7 @@
 }
 
 TEST(ControllerCalls, AnAttemptGetsTheAttemptTimeoutOrHalfOfTheRemainingTime) {
-    Machine m(plainTerms());
+    ControllerHarness m(plainControllerConfig());
     toCall(m, 1);
     EXPECT_EQ(m.patience, 1s);
     EventBatch batch;
@@ -69,7 +69,7 @@
 
 // A shared database that gets slow must not keep requests for the time that a tier's long calls need.
 TEST(ControllerCalls, TheAttemptTimeoutFollowsSuccessfulCalls) {
-    Machine m(plainTerms());
+    ControllerHarness m(plainControllerConfig());
     for (RequestId id = 1; id <= 20; ++id) {
         toCall(m, id);
         back(m, id, Outcome::Ok);
@@ -80,7 +80,7 @@
 }
 
 TEST(ControllerCalls, TheRetryBudgetStopsRetriesAtHalfItsTokens) {
-    Machine m(plainTerms());
+    ControllerHarness m(plainControllerConfig());
     int calls = 0;
     // single failures with successes between them, which never earn back what a failure takes
     for (RequestId id = 1; id <= 40; ++id) {
@@ -101,7 +101,7 @@
 }
 
 TEST(ControllerCalls, FiveConsecutiveFailuresOpenTheCircuitBreakerAndThreeSuccessfulProbesCloseIt) {
-    Machine m(plainTerms());
+    ControllerHarness m(plainControllerConfig());
     for (RequestId id = 1; id <= 5; ++id) {
         EXPECT_FALSE(m.logged("circuit breaker opened"));
         toCall(m, id);
@@ -129,12 +129,13 @@
 
 // What a limit of this server held back, and runs that were never started, are no failures.
 TEST(ControllerCalls, LocalLimitsAndSupersededRunsOpenNoCircuitBreaker) {
-    Machine m(plainTerms());
+    ControllerHarness m(plainControllerConfig());
     for (RequestId id = 1; id <= 30; ++id) {
         toCall(m, id);
         back(m, id, Outcome::LocalLimit);
         for (int n = 0; n < 10; ++n) m.step();
-        EXPECT_EQ(m.work.at(id).at, Machine::At::Below) << "it was never sent, so it may be retried";
+        EXPECT_EQ(m.work.at(id).at, ControllerHarness::At::Below)
+            << "it was never sent, so it may be retried";
         back(m, id, Outcome::Ok);
         end(m, id, Outcome::Superseded);
     }
@@ -143,14 +144,14 @@
 
 // A call whose response cannot be parsed has run: the dependency works, and nothing is left running there.
 TEST(ControllerCalls, AMalformedResponseIsRetriedAndOpensNoCircuitBreaker) {
-    Machine m(plainTerms());
+    ControllerHarness m(plainControllerConfig());
     for (RequestId id = 1; id <= 30; ++id) {
         toCall(m, id);
         if (id % 2 == 0) {
             back(m, id, Outcome::MalformedResponse);
             for (int n = 0; n < 10; ++n) m.step();
         }
-        if (m.work.at(id).at == Machine::At::Below) back(m, id, Outcome::Ok);
+        if (m.work.at(id).at == ControllerHarness::At::Below) back(m, id, Outcome::Ok);
         end(m, id);
     }
     EXPECT_GT(m.calls, 33);
@@ -162,10 +163,10 @@
 
 // A call that hangs now and then took a quarter of a latency objective and passed for an overload.
 TEST(ControllerCalls, ACallThatHangsAmongQuickOnesTimesOutSoonAndIsNoOverload) {
-    ControllerConfig config = plainTerms();
+    ControllerConfig config = plainControllerConfig();
     config.dependency = DependencyKind::Shared;
     config.dependencyQuota = 10;
-    Machine m(config);
+    ControllerHarness m(config);
     for (RequestId id = 1; id <= 200; ++id) {
         const bool hangs = id % 20 == 0;
         toCall(m, id);
@@ -175,10 +176,10 @@
     EXPECT_EQ(m.patience, 100ms);  // a twentieth of the latency objective at least
     EventBatch batch;              // as many as the quota allows are sent at once
     for (RequestId id = 300; id < 310; ++id) batch.arrivals.push_back(m.command(id));
-    for (m.step(batch); m.on(Machine::At::Cores) > 0;) {
+    for (m.step(batch); m.on(ControllerHarness::At::Cores) > 0;) {
         EventBatch calls;
         for (const auto& [id, w] : m.work)
-            if (w.at == Machine::At::Cores) calls.waitingForDependency.push_back(id);
+            if (w.at == ControllerHarness::At::Cores) calls.waitingForDependency.push_back(id);
         m.step(calls);
     }
     EXPECT_GE(m.out, 7) << "nothing is overloaded";
@@ -186,7 +187,7 @@
 
 // While calls queue, requests that make none get the cores; the others can be rejected, or start later.
 TEST(ControllerQueue, ARequestThatWouldOnlyWaitForItsCallIsNotStarted) {
-    ControllerConfig config = plainTerms();
+    ControllerConfig config = plainControllerConfig();
     config.dependency = DependencyKind::Shared;
     config.dependencyQuota = 4;
     config.cores = 30;
@@ -194,7 +195,7 @@
     config.requestClasses[0].timeout = 100s;
     config.requestClasses[1] = config.requestClasses[0];
     config.requestClasses[1].callsDependency = false;
-    Machine m(config);
+    ControllerHarness m(config);
     for (RequestId id = 1; id <= 5; ++id) {
         toCall(m, id);
         back(m, id, Outcome::Ok, 20ms, 1s);
@@ -211,12 +212,12 @@
     for (int profile = 0; profile < 2; ++profile)
         batch.arrivals.push_back(m.command(50 + profile, profile, 90s));
     m.step(batch);
-    EXPECT_EQ(m.work.at(50).at, Machine::At::Hold);
-    EXPECT_EQ(m.work.at(51).at, Machine::At::Cores);
+    EXPECT_EQ(m.work.at(50).at, ControllerHarness::At::Hold);
+    EXPECT_EQ(m.work.at(51).at, ControllerHarness::At::Cores);
 }
 
 TEST(ControllerCalls, HalfOfTheLastTwentyOutcomesOpenTheCircuitBreaker) {
-    Machine m(plainTerms());
+    ControllerHarness m(plainControllerConfig());
     for (RequestId id = 1; id <= 20; ++id) {
         EXPECT_FALSE(m.logged("circuit breaker opened"));
         toCall(m, id);
@@ -227,7 +228,7 @@
 }
 
 TEST(ControllerCalls, TimeoutsOfAStalledProcessAreNotTheDependencysFailure) {
-    Machine m(plainTerms());
+    ControllerHarness m(plainControllerConfig());
     for (RequestId id = 1; id <= 8; ++id) {
         toCall(m, id);
         back(m, id, Outcome::TimedOut, 400ms);
@@ -240,22 +241,22 @@
 // Where the quota is below one call, each long call must be followed by a pause: once all servers used nearly
 // their whole quota at a time, abandoned calls not counted, and the dependency collapsed.
 TEST(ControllerCalls, HangingCallsKeepToAQuotaBelowOne) {
-    ControllerConfig config = plainTerms();
+    ControllerConfig config = plainControllerConfig();
     config.dependency = DependencyKind::Shared;
     config.dependencyQuota = 0.25;
     std::vector<Duration> called[2];
     for (int seed = 0; seed < 2; ++seed) {
         config.seed = static_cast<std::uint64_t>(seed);
-        Machine m(config);  // the model of the rules sums up what is in progress
+        ControllerHarness m(config);  // the model of the rules sums up what is in progress
         for (RequestId id = 1; id <= 4000; ++id) {
             EventBatch batch;
             if (id % 10 == 0) batch.arrivals = {m.command(id)};
             for (const auto& [other, w] : m.work)
-                if (w.at == Machine::At::Cores)
+                if (w.at == ControllerHarness::At::Cores)
                     batch.waitingForDependency.push_back(other);
-                else if (w.at != Machine::At::Hold && w.answered)
+                else if (w.at != ControllerHarness::At::Hold && w.answered)
                     batch.runResults.push_back({other, Outcome::Cancelled, 1s});
-                else if (w.at == Machine::At::Below && m.now >= w.callEnds)
+                else if (w.at == ControllerHarness::At::Below && m.now >= w.callEnds)
                     batch.dependencyResults.push_back({other, Outcome::TimedOut, 1s});
             const int before = m.calls;
             m.step(batch);
@@ -268,15 +269,15 @@
 
 // One long call in flight once stood for all of them for seconds, and requests were shed without need.
 TEST(ControllerCalls, OneLongCallIsNoSlowDependency) {
-    ControllerConfig config = plainTerms();
+    ControllerConfig config = plainControllerConfig();
     config.dependency = DependencyKind::Shared;
     config.dependencyQuota = 0.4;
-    Machine m(config);
+    ControllerHarness m(config);
     RequestId id = 1;
     for (int n = 0; n < 20; ++n) m.step();
     for (; id <= 30; ++id) {
         toCall(m, id);
-        ASSERT_EQ(m.work.at(id).at, Machine::At::Below);
+        ASSERT_EQ(m.work.at(id).at, ControllerHarness::At::Below);
         back(m, id, Outcome::Ok);
         end(m, id);
         for (int n = 0; n < 20; ++n) m.step();
@@ -293,10 +294,10 @@
 
 // An abandoned call that was not removed, as no run waited for a call, was charged without end.
 TEST(ControllerCalls, AnAbandonedCallIsChargedOnce) {
-    ControllerConfig config = plainTerms();
+    ControllerConfig config = plainControllerConfig();
     config.dependency = DependencyKind::Shared;
     config.dependencyQuota = 0.4;
-    Machine m(config);
+    ControllerHarness m(config);
     for (int n = 0; n < 20; ++n) m.step();
     toCall(m, 1, 2);
     for (int n = 0; n < 50; ++n) m.step();
@@ -309,7 +310,7 @@
 
 // A server that failed its runs in a millisecond looked quick to clients, and attracted more of them.
 TEST(ControllerRuns, ConsecutiveFailuresRejectRequestsUntilProbesSucceed) {
-    Machine m(plainTerms());
+    ControllerHarness m(plainControllerConfig());
     const auto run = [&](RequestId id, Outcome outcome) {
         EventBatch batch;
         batch.arrivals = {m.command(id)};
@@ -337,12 +338,12 @@
 // Tables full of connections that nobody used again kept clients out and took core time; when the cores are
 // overloaded they are the cheapest rejection.
 TEST(ControllerConnections, AreClosedEarlyWhereClientsComeBackSeldomAndKeptUnderOverload) {
-    ControllerConfig config = plainTerms();
-    Machine few(config);
+    ControllerConfig config = plainControllerConfig();
+    ControllerHarness few(config);
     config.clientCount = 1000;
-    Machine many(config);
+    ControllerHarness many(config);
     for (RequestId id = 1; id <= 40; ++id)
-        for (Machine* m : {&few, &many}) {
+        for (ControllerHarness* m : {&few, &many}) {
             toCall(*m, id);
             back(*m, id, Outcome::Ok);
             end(*m, id);
@@ -360,7 +361,7 @@
 
 // A retry storm feeds on first attempts that are rejected: they all come again.
 TEST(ControllerQueue, RetriesAreShedBeforeFirstAttempts) {
-    Machine m(plainTerms());
+    ControllerHarness m(plainControllerConfig());
     EventBatch batch;
     for (RequestId id = 1; id <= 60; ++id) {
         batch.arrivals.push_back(m.command(id));
@@ -374,18 +375,18 @@
 
 // On two cores a burst of handshakes once delayed runs for a second.
 TEST(ControllerQueue, ABurstOfCoreDemandDoesNotDelayRuns) {
-    Machine m(plainTerms());
+    ControllerHarness m(plainControllerConfig());
     for (int n = 0; n < 100; ++n) {
         EventBatch batch;
         batch.arrivals = {m.command(static_cast<RequestId>(n + 1))};
         m.asking = n % 5 == 0 ? 12.0 : 1.0;
         m.step(batch);
     }
-    EXPECT_GE(m.on(Machine::At::Cores), 4);
+    EXPECT_GE(m.on(ControllerHarness::At::Cores), 4);
 }
 
 TEST(ControllerQueue, StartsByDeadline) {
-    Machine m(plainTerms());
+    ControllerHarness m(plainControllerConfig());
     EventBatch batch;
     for (RequestId id = 1; id <= 8; ++id)
         batch.arrivals.push_back(m.command(id, 0, 5s - 100ms * static_cast<int>(id)));
@@ -395,7 +396,7 @@
 }
 
 TEST(ControllerQueue, ShedsTheLeastValuableAtOnceWhenNotAllCanCompleteInTime) {
-    Machine m(plainTerms());
+    ControllerHarness m(plainControllerConfig());
     EventBatch batch;
     for (RequestId id = 1; id <= 60; ++id) batch.arrivals.push_back(m.command(id, id % 2 == 0 ? 1 : 0));
     m.step(batch);
@@ -407,7 +408,7 @@
 
 // A mean of expected work that grew from zero took a new server's first request for twenty times the usual.
 TEST(ControllerQueue, TheFirstExpectedWorkStandsForTheMean) {
-    Machine m(plainTerms());
+    ControllerHarness m(plainControllerConfig());
     EventBatch batch;
     batch.arrivals = {m.command(1)};
     batch.arrivals[0].expectedWork = 300ms;
@@ -417,7 +418,7 @@
 
 // Requests with little time left once made an idle server report an overload.
 TEST(ControllerQueue, ShortDeadlinesAreNoOverload) {
-    Machine m(plainTerms());
+    ControllerHarness m(plainControllerConfig());
     for (RequestId id = 1; id <= 100; ++id) {
         EventBatch batch;
         batch.arrivals = {m.command(id, 0, 100ms), m.command(1000 + id, 0, 100ms)};
@@ -429,7 +430,7 @@
 
 // Only clients that stay away end a queue of requests that are read too late.
 TEST(ControllerQueue, AQueueingDelayBeforeReadingRaisesRetryAfter) {
-    Machine m(plainTerms());
+    ControllerHarness m(plainControllerConfig());
     for (RequestId id = 1; id <= 30; ++id) {
         EventBatch batch;
         batch.arrivals = {m.command(id)};
@@ -443,38 +444,38 @@
 // The fifth consecutive failure rejects all that is queued; a client that cancelled in that very batch was
 // answered with the others, though nobody was there.
 TEST(ControllerRuns, ACircuitBreakerThatOpensAnswersNoClientThatCancelled) {
-    ControllerConfig config = plainTerms();
+    ControllerConfig config = plainControllerConfig();
     config.cores = 1;
     config.requestClasses[0].callsDependency = false;
-    Machine m(config);
+    ControllerHarness m(config);
     RequestId next = 1;
     EventBatch batch;
     for (int n = 0; n < 12; ++n) batch.arrivals.push_back(m.command(next++));
     m.step(batch);
-    const auto firstAt = [&](Machine::At place) {
+    const auto firstAt = [&](ControllerHarness::At place) {
         for (const auto& [id, w] : m.work)
             if (w.at == place && !w.answered) return id;
         return RequestId{0};
     };
     for (int failed = 0; failed < 5; ++failed) {
-        for (int n = 0; n < 200 && firstAt(Machine::At::Cores) == 0; ++n) m.step();
+        for (int n = 0; n < 200 && firstAt(ControllerHarness::At::Cores) == 0; ++n) m.step();
         batch = {};
-        batch.runResults = {{firstAt(Machine::At::Cores), Outcome::Error, 5ms}};
-        if (failed == 4) batch.clientCancellations = {firstAt(Machine::At::Hold)};
+        batch.runResults = {{firstAt(ControllerHarness::At::Cores), Outcome::Error, 5ms}};
+        if (failed == 4) batch.clientCancellations = {firstAt(ControllerHarness::At::Hold)};
         ASSERT_NE(batch.runResults[0].id, 0U);
         m.step(batch, 1ms);
     }
     EXPECT_TRUE(m.logged("circuit breaker opened: target=runs"));
     EXPECT_GT(m.bounces, 0);
-    EXPECT_EQ(m.on(Machine::At::Hold), 0);
+    EXPECT_EQ(m.on(ControllerHarness::At::Hold), 0);
 }
 
 // A cold server of one core survives 1.6 runs at first: two were started on it, as 1 is below 1.28.
 TEST(ControllerRuns, AColdServerOfOneCoreIsNotOverloadedByRounding) {
-    ControllerConfig config = plainTerms();
+    ControllerConfig config = plainControllerConfig();
     config.cores = 1;
     config.startsCold = true;
-    Machine m(config);
+    ControllerHarness m(config);
     m.asking = 0.2;  // the gauge says that the core is idle
     RequestId next = 1;
     for (int n = 0; n < 150; ++n) {
@@ -483,7 +484,7 @@
         m.step(batch);
         // Two runs are allowed once the server is at half of its capacity.
         if (m.now - m.born < 3s) {
-            EXPECT_LE(m.on(Machine::At::Cores), 1) << n;
+            EXPECT_LE(m.on(ControllerHarness::At::Cores), 1) << n;
         }
     }
     EXPECT_GT(m.starts, 0);
@@ -493,9 +494,9 @@
 // executor does not end them by itself, 26 of them filled a server's limit, and it completed a fifth of its
 // load for good.
 TEST(ControllerCalls, ARunThatIsCancelledDuringItsCallIsStopped) {
-    ControllerConfig config = plainTerms();
+    ControllerConfig config = plainControllerConfig();
     config.runCancellation = RunCancellation::Suspend;
-    Machine m(config);
+    ControllerHarness m(config);
     EventBatch batch;
     batch.arrivals = {m.command(1)};
     m.step(batch);
@@ -503,7 +504,7 @@
     batch.waitingForDependency = {1};
     m.step(batch);
     m.step();
-    ASSERT_EQ(m.on(Machine::At::Below), 1);
+    ASSERT_EQ(m.on(ControllerHarness::At::Below), 1);
     batch = {};
     batch.clientCancellations = {1};
     m.step(batch);
@@ -511,11 +512,11 @@
 }
 
 TEST(ControllerShutdown, TheNoticeEndsHealthAndRejectsLateArrivals) {
-    Machine m(plainTerms());
+    ControllerHarness m(plainControllerConfig());
     m.step();
     EXPECT_TRUE(m.good);
     EventBatch batch;
-    batch.shutdownAt = m.now + 5s;
+    batch.processEndsAt = m.now + 5s;
     m.step(batch);
     EXPECT_FALSE(m.good);
     for (int n = 0; n < 60; ++n) m.step();
--- a/tests/overload/dependency_calls_test.cpp
+++ b/tests/overload/dependency_calls_test.cpp
@@ -34,18 +34,18 @@
     for (int attempt = 0; attempt < 50; ++attempt)
         calls.recordOutcome(endedWith(Outcome::LocalLimit), 10s, random);
     EXPECT_FALSE(calls.breaker().isOpen());
-    EXPECT_TRUE(calls.allowsRetry({Outcome::LocalLimit, Idempotency::None, 1}));
+    EXPECT_TRUE(calls.shouldRetry({Outcome::LocalLimit, Idempotency::None, 1}));
 }
 
 TEST(DependencyCalls, AllowsTwoRetriesWithinTheBudget) {
     DependencyCalls calls = callsToATier();
-    EXPECT_TRUE(calls.allowsRetry({Outcome::TimedOut, Idempotency::Idempotent, 2}));
-    EXPECT_FALSE(calls.allowsRetry({Outcome::TimedOut, Idempotency::Idempotent, 3}));
-    EXPECT_FALSE(calls.allowsRetry({Outcome::TimedOut, Idempotency::WithKey, 1}));
+    EXPECT_TRUE(calls.shouldRetry({Outcome::TimedOut, Idempotency::Idempotent, 2}));
+    EXPECT_FALSE(calls.shouldRetry({Outcome::TimedOut, Idempotency::Idempotent, 3}));
+    EXPECT_FALSE(calls.shouldRetry({Outcome::TimedOut, Idempotency::WithKey, 1}));
     RandomSource random(7);
     for (int failure = 0; failure < 5; ++failure)
         calls.recordOutcome(endedWith(Outcome::ResourceExhausted), 10s, random);
-    EXPECT_FALSE(calls.allowsRetry({Outcome::TimedOut, Idempotency::Idempotent, 1})) << "budget used up";
+    EXPECT_FALSE(calls.shouldRetry({Outcome::TimedOut, Idempotency::Idempotent, 1})) << "budget used up";
 }
 
 }  // namespace
--- a/tests/overload/retry_policy_test.cpp
+++ b/tests/overload/retry_policy_test.cpp
@@ -12,17 +12,17 @@
 TEST(RetryPolicy, IdempotentCallsAreRetriedUnlessTheDependencyReportedAnError) {
     for (const Outcome outcome : {Outcome::TimedOut, Outcome::ConnectionLost, Outcome::MalformedResponse,
                                   Outcome::ResourceExhausted, Outcome::Unreachable, Outcome::LocalLimit})
-        EXPECT_TRUE(mayRetry(outcome, Idempotency::Idempotent));
-    EXPECT_FALSE(mayRetry(Outcome::Error, Idempotency::Idempotent));
+        EXPECT_TRUE(isRetryable(outcome, Idempotency::Idempotent));
+    EXPECT_FALSE(isRetryable(Outcome::Error, Idempotency::Idempotent));
 }
 
 TEST(RetryPolicy, OtherCallsAreRetriedOnlyIfTheyNeverRan) {
     for (const Idempotency idempotency : {Idempotency::WithKey, Idempotency::None}) {
         for (const Outcome outcome : {Outcome::ResourceExhausted, Outcome::Unreachable, Outcome::LocalLimit})
-            EXPECT_TRUE(mayRetry(outcome, idempotency));
+            EXPECT_TRUE(isRetryable(outcome, idempotency));
         for (const Outcome outcome :
              {Outcome::TimedOut, Outcome::ConnectionLost, Outcome::MalformedResponse, Outcome::Error})
-            EXPECT_FALSE(mayRetry(outcome, idempotency));
+            EXPECT_FALSE(isRetryable(outcome, idempotency));
     }
 }
 
--- a/tests/request/crossings_test.cpp
+++ b/tests/request/crossings_test.cpp
@@ -14,13 +14,13 @@
 using telemetry::Count;
 using testing::Json;
 using testing::RawClient;
-using testing::Sidecar;
-using testing::Stage;
-using testing::until;
+using testing::runUntil;
+using testing::ServerFixture;
+using testing::ThriftTestClient;
 namespace frames = testing::frames;
 
 std::string serveRequest(std::int32_t sequence, int number) {
-    return frames::serve(sequence, Sidecar::fields(number), "body");
+    return frames::serve(sequence, ThriftTestClient::fields(number), "body");
 }
 
 // One connection accepted, without a protocol on it.
@@ -46,7 +46,7 @@
     net::Loop loop;
     Accepted server(loop);
     RawClient client(server.listener.port());
-    until(loop, [&] { return server.connection != nullptr; });
+    runUntil(loop, [&] { return server.connection != nullptr; });
     const std::string answer(300000, 'a');  // more than the system takes at once
     server.connection->send(answer);
     client.send("crosses");
@@ -54,25 +54,25 @@
     bool done = false;
     server.connection->finish([&] { done = true; });
     server.connection.reset();
-    until(loop, [&] { return client.over(); });
+    runUntil(loop, [&] { return client.over(); });
     EXPECT_TRUE(client.ended);
     EXPECT_FALSE(client.reset);
     EXPECT_EQ(client.text, answer);
     EXPECT_FALSE(done);
     client.send("too late to be answered");
     client.hangUp();
-    until(loop, [&] { return done; });
+    runUntil(loop, [&] { return done; });
 }
 
 TEST(ConnectionEnding, AnOrderlyEndDoesNotWaitForEverForTheOtherSide) {
     net::Loop loop;
     Accepted server(loop);
     RawClient client(server.listener.port());
-    until(loop, [&] { return server.connection != nullptr; });
+    runUntil(loop, [&] { return server.connection != nullptr; });
     bool done = false;
     server.connection->finish([&] { done = true; });
     server.connection.reset();
-    until(loop, [&] { return done; });  // the client neither reads nor ends
+    runUntil(loop, [&] { return done; });  // the client neither reads nor ends
     EXPECT_TRUE(client.over());
 }
 
@@ -80,7 +80,7 @@
     auto loop = std::make_unique<net::Loop>();
     auto server = std::make_unique<Accepted>(*loop);
     RawClient client(server->listener.port());
-    until(*loop, [&] { return server->connection != nullptr; });
+    runUntil(*loop, [&] { return server->connection != nullptr; });
     server->connection->send(std::string(1 << 19, 'a'));
     server->connection->finish([] {});
     server.reset();
@@ -90,16 +90,16 @@
 // Found in a long run: a client's connection lives for most of an hour, and the eighth malformed request
 // closed it with all that was open on it.
 TEST(Crossings, MalformedRequestsBetweenGoodOnesDoNotEndAConnection) {
-    Stage on;
+    ServerFixture on;
     on.bound();
-    Sidecar sidecar(on.loop, on.port());
-    testing::Reply bad = Sidecar::fields(999);
+    ThriftTestClient sidecar(on.loop, on.port());
+    testing::FieldMap bad = ThriftTestClient::fields(999);
     bad["size"] = "0";
     for (int i = 1; i <= 12; ++i) {
         sidecar.say(frames::serve(++sidecar.sequence, bad, "body"));
         sidecar.ask(i);
-        on.wait([&] { return on.pool.running.contains(Sidecar::trace(i)); });
-        on.pool.finish(Sidecar::trace(i), "ok", "done");
+        on.wait([&] { return on.pool.running.contains(ThriftTestClient::trace(i)); });
+        on.pool.finish(ThriftTestClient::trace(i), "ok", "done");
         on.wait([&] { return sidecar.answers.contains(2 * i); });
         EXPECT_EQ(sidecar.answers[2 * i].body, "done");
     }
@@ -108,16 +108,16 @@
 }
 
 TEST(Crossings, TooManyMalformedRequestsEndAConnectionAfterItsOpenRequests) {
-    Stage on;
+    ServerFixture on;
     on.bound();
-    Sidecar sidecar(on.loop, on.port());
+    ThriftTestClient sidecar(on.loop, on.port());
     const std::int32_t open = sidecar.ask(1);
-    on.wait([&] { return on.pool.running.contains(Sidecar::trace(1)); });
-    testing::Reply bad = Sidecar::fields(999);
+    on.wait([&] { return on.pool.running.contains(ThriftTestClient::trace(1)); });
+    testing::FieldMap bad = ThriftTestClient::fields(999);
     bad["size"] = "0";
     for (int i = 0; i < 20; ++i) sidecar.say(frames::serve(++sidecar.sequence, bad, "body"));
     on.wait([&] { return on.count(Count::MalformedRequests) == 8; });
-    on.pool.finish(Sidecar::trace(1), "ok", "done");
+    on.pool.finish(ThriftTestClient::trace(1), "ok", "done");
     on.wait([&] { return sidecar.gone; });
     EXPECT_EQ(sidecar.answers[open].body, "done");
     EXPECT_EQ(on.count(Count::MalformedRequests), 8U);  // the rest was not read any more
@@ -126,16 +126,16 @@
 }
 
 TEST(Crossings, AnIncompleteMessageEndsAConnectionAfterItsOpenRequests) {
-    Stage on;
+    ServerFixture on;
     on.bound();
-    Sidecar sidecar(on.loop, on.port());
+    ThriftTestClient sidecar(on.loop, on.port());
     const std::int32_t open = sidecar.ask(1);
-    on.wait([&] { return on.pool.running.contains(Sidecar::trace(1)); });
+    on.wait([&] { return on.pool.running.contains(ThriftTestClient::trace(1)); });
     sidecar.say(serveRequest(2, 2).substr(0, 20));
     const Duration from = net::unixNow();
     on.wait([&] { return net::unixNow() - from > 1800ms; });
     EXPECT_FALSE(sidecar.gone);
-    on.pool.finish(Sidecar::trace(1), "ok", "done");
+    on.pool.finish(ThriftTestClient::trace(1), "ok", "done");
     on.wait([&] { return sidecar.gone; });
     EXPECT_EQ(sidecar.answers[open].body, "done");
     EXPECT_EQ(on.count(ConnectionEnd::TimedOut), 1U);
@@ -144,13 +144,13 @@
 // The end of a run and the next request under its id, read in one turn, were one request to the controller;
 // the second was never answered. Where the request is read first, it is refused as it always was.
 TEST(Crossings, AnIdStaysInUseUntilTheControllerHasProcessedItsEnd) {
-    Stage on;
+    ServerFixture on;
     on.bound();
-    Sidecar sidecar(on.loop, on.port());
+    ThriftTestClient sidecar(on.loop, on.port());
     const std::int32_t first = sidecar.ask(1);
-    on.wait([&] { return on.pool.running.contains(Sidecar::trace(1)); });
+    on.wait([&] { return on.pool.running.contains(ThriftTestClient::trace(1)); });
     const std::int32_t second = sidecar.ask(1);
-    on.pool.finish(Sidecar::trace(1), "ok", "done");  // the worker pool's message is read first
+    on.pool.finish(ThriftTestClient::trace(1), "ok", "done");  // the worker pool's message is read first
     on.wait([&] { return sidecar.answers.contains(first) && sidecar.answers.contains(second); });
     EXPECT_EQ(sidecar.answers[first].body, "done");
     EXPECT_EQ(sidecar.answers[second].kind, "refusal");
@@ -159,14 +159,14 @@
 
 // There is no bound for the expected work: rough hints beyond the class's timeout were refused.
 TEST(Crossings, ExpectedWorkBeyondTheTimeoutIsAccepted) {
-    Stage on;
+    ServerFixture on;
     on.bound();
-    Sidecar sidecar(on.loop, on.port());
-    testing::Reply fields = Sidecar::fields(1);
+    ThriftTestClient sidecar(on.loop, on.port());
+    testing::FieldMap fields = ThriftTestClient::fields(1);
     fields["weight"] = "8000.1";
     sidecar.say(frames::serve(1, fields, "body"));
-    on.wait([&] { return on.pool.running.contains(Sidecar::trace(1)); });
-    fields["trace"] = Sidecar::trace(2);
+    on.wait([&] { return on.pool.running.contains(ThriftTestClient::trace(1)); });
+    fields["trace"] = ThriftTestClient::trace(2);
     fields["weight"] = "1e300";
     sidecar.say(frames::serve(2, fields, "body"));
     on.wait([&] { return on.count(Count::RequestsRead) == 2; });
@@ -176,9 +176,9 @@
 // A client connects while the connection limit is reached, and the connection unused for longest has just
 // sent.
 TEST(Crossings, AConnectionWithUnreadInputIsNotEvicted) {
-    Json start = testing::plainStart();
+    Json start = testing::plainConfigFile();
     start["limits"]["sockets"] = 64;
-    Stage on(start);
+    ServerFixture on(start);
     on.bound();
     const std::size_t places = 64 * 11 / 16;
     std::vector<std::unique_ptr<RawClient>> clients;
@@ -193,7 +193,8 @@
     clients.front()->send(serveRequest(2, 7));  // already there when a connection to evict is searched
     late.send(serveRequest(1, 8));
     on.wait([&] {
-        return on.pool.running.contains(Sidecar::trace(7)) && on.pool.running.contains(Sidecar::trace(8));
+        return on.pool.running.contains(ThriftTestClient::trace(7)) &&
+               on.pool.running.contains(ThriftTestClient::trace(8));
     });
     EXPECT_EQ(on.count(Count::ConnectionsEvicted), 1U);
     EXPECT_FALSE(clients.front()->over());
@@ -206,20 +207,20 @@
     std::ostringstream lines;
     telemetry::Log log(lines, telemetry::Level::Debug);
     telemetry::Counters counters;
-    const config::ProcessConfig start = testing::startOf(testing::plainStart());
+    const config::ProcessConfig start = testing::processConfigFrom(testing::plainConfigFile());
     request::RequestManager requests(loop, start.controller, 1 << 20, 1 << 20, log, counters);
     testing::RawServer before;
     testing::RawServer after;
     worker_pool::WorkerPoolClient client(loop, {"127.0.0.1", before.port}, start.limits, {"read", "look"},
                                          start.gaugeNames, 7, requests, log, counters);
     RawClient old(RawClient::Accepted{before.accept()});
-    until(loop, [&] { return old.receive() > 0; });  // bind
+    runUntil(loop, [&] { return old.receive() > 0; });  // bind
     old.send("{\"type\":\"bound\",\"state\":\"warm\",\"took\":1}\n");
-    until(loop, [&] { return counters.of(Count::WorkerPoolConnections) == 1; });
+    runUntil(loop, [&] { return counters.of(Count::WorkerPoolConnections) == 1; });
     client.requestGauges();
     old.send("{\"type\":\"chatter\",\"n\":1,\"state\":\"unread\"}\n");
     client.moveTo({"127.0.0.1", after.port});
-    until(loop, [&] { return old.over(); });
+    runUntil(loop, [&] { return old.over(); });
     EXPECT_TRUE(old.ended);
     EXPECT_NE(old.text.find("poll"), std::string::npos);
 }
@@ -231,24 +232,24 @@
     std::ostringstream lines;
     telemetry::Log log(lines, telemetry::Level::Debug);
     telemetry::Counters counters;
-    const config::ProcessConfig start = testing::startOf(testing::plainStart());
+    const config::ProcessConfig start = testing::processConfigFrom(testing::plainConfigFile());
     request::RequestManager requests(loop, start.controller, 1 << 20, 1 << 20, log, counters);
     testing::Pool pool(loop);
     worker_pool::WorkerPoolClient client(loop, {"127.0.0.1", 1}, start.limits, {"read", "look"},
                                          start.gaugeNames, 7, requests, log, counters);
     client.moveTo({"127.0.0.1", 1});  // while it is being opened
-    until(loop, [&] { return counters.of(ConnectionEnd::ConnectRefused) > 0; });
+    runUntil(loop, [&] { return counters.of(ConnectionEnd::ConnectRefused) > 0; });
     client.moveTo(pool.server.address());  // while it waits to reconnect
-    until(loop, [&] { return counters.of(Count::WorkerPoolConnections) == 1; });
+    runUntil(loop, [&] { return counters.of(Count::WorkerPoolConnections) == 1; });
     EXPECT_EQ(pool.binds.size(), 1U);
 }
 
 // SIGTERM before the worker pool is ready: the server stays reported as draining when the pool comes up.
 TEST(Crossings, ShutdownBeforeTheExecutorIsReadyKeepsReportingDraining) {
-    Stage on;
+    ServerFixture on;
     on.pool.up = false;
     on.wait([&] { return on.pool.binds.size() == 1; });
-    Sidecar sidecar(on.loop, on.port());
+    ThriftTestClient sidecar(on.loop, on.port());
     on.program->leave();
     const std::int32_t early = sidecar.ask(1);
     on.wait([&] { return sidecar.answers.contains(early); });
@@ -269,13 +270,13 @@
 // SIGTERM and SIGHUP together: the registry of the new file learns that the server is draining, and nothing
 // else.
 TEST(Crossings, ANewRegistryAddressLearnsThatTheServerIsDraining) {
-    Stage on;
+    ServerFixture on;
     on.bound();
-    testing::HttpStandIn other(on.loop, [](net::Connection&, const std::string&, const std::string&) {
-        return testing::HttpStandIn::reply(204);
+    testing::FakeHttpServer other(on.loop, [](net::Connection&, const std::string&, const std::string&) {
+        return testing::FakeHttpServer::reply(204);
     });
     const auto text = [](const net::Address& at) { return at.host + ":" + std::to_string(at.port); };
-    Json next = testing::plainStart();
+    Json next = testing::plainConfigFile();
     next["pool"] = text(on.pool.server.address());
     next["records"] = text(on.records.server.address());
     next["registry"] = text(other.server.address());
@@ -288,7 +289,7 @@
 }
 
 Json startWithoutDrainGrace() {
-    Json start = testing::plainStart();
+    Json start = testing::plainConfigFile();
     start["stop_ms"] = 6000;
     start["settings"]["obligations"]["drain_grace_us"] = 0;
     return start;
@@ -296,15 +297,15 @@
 
 // Accepted by the operating system, and not by the server when the listener closed.
 TEST(Crossings, ConnectionsThatWaitAtTheListenerAreAcceptedBeforeItCloses) {
-    Stage on(startWithoutDrainGrace());
+    ServerFixture on(startWithoutDrainGrace());
     on.bound();
     on.program->leave();
     RawClient early(on.port());
     early.send(serveRequest(1, 1));  // the loop has not turned since
     on.wait([&] { return on.count(Count::RequestsRead) == 1; });
     if (on.count(Count::Rejected) == 0) {  // it came in the very millisecond of the notice
-        on.wait([&] { return on.pool.running.contains(Sidecar::trace(1)); });
-        on.pool.finish(Sidecar::trace(1));
+        on.wait([&] { return on.pool.running.contains(ThriftTestClient::trace(1)); });
+        on.pool.finish(ThriftTestClient::trace(1));
     }
     on.wait([&] { return early.receive(), early.text.find("serve") != early.text.npos; });
     on.expectBooksClosed();
@@ -312,7 +313,7 @@
 
 // A turn that begins past the time to close a draining connection, with a request on it unread.
 TEST(Crossings, ADrainingConnectionIsNotClosedWithAnUnreadRequest) {
-    Stage on(startWithoutDrainGrace());
+    ServerFixture on(startWithoutDrainGrace());
     on.bound();
     RawClient client(on.port());
     client.send(frames::isWell(1, false));
--- a/tests/request/decision_queue_test.cpp
+++ b/tests/request/decision_queue_test.cpp
@@ -44,7 +44,7 @@
     queue.joinDuplicate(4);
     queue.setHealth(true);
     queue.advertiseLoadShare(0.25);
-    queue.closeIdleConnections(3s);
+    queue.setIdleTimeout(3s);
     queue.scheduleTick(20ms);
     const auto& decisions = queue.decisions();
     ASSERT_EQ(decisions.size(), 8U);
--- a/tests/request/idempotent_requests_test.cpp
+++ b/tests/request/idempotent_requests_test.cpp
@@ -10,12 +10,12 @@
 using namespace std::chrono_literals;
 using telemetry::Count;
 using testing::Json;
-using testing::Sidecar;
-using testing::Stage;
+using testing::ServerFixture;
+using testing::ThriftTestClient;
 namespace frames = testing::frames;
 
 Json startWithKeyedClass() {
-    Json all = testing::plainStart();
+    Json all = testing::plainConfigFile();
     Json& settings = all["settings"];
     settings["classes"][0]["repeat"] = "guarded";
     settings["classes"][0]["window_us"] = 30000000;
@@ -29,14 +29,14 @@
     return all;
 }
 
-struct IdempotentRequests : Stage {
-    explicit IdempotentRequests(Json start = startWithKeyedClass()) : Stage(std::move(start)) {
+struct IdempotentRequests : ServerFixture {
+    explicit IdempotentRequests(Json start = startWithKeyedClass()) : ServerFixture(std::move(start)) {
         bound();
-        sidecar = std::make_unique<Sidecar>(loop, port());
+        sidecar = std::make_unique<ThriftTestClient>(loop, port());
     }
     // An attempt with the key, under a request id of its own.
     std::int32_t ask(int number, const std::string& key, const std::string& body = "body") {
-        testing::Reply fields = Sidecar::fields(number);
+        testing::FieldMap fields = ThriftTestClient::fields(number);
         if (!key.empty()) fields["nonce"] = key;
         sidecar->say(frames::serve(++sidecar->sequence, fields, body));
         return sidecar->sequence;
@@ -46,9 +46,9 @@
         return sidecar->answers[sequence];
     }
     void running(int number) {
-        wait([&] { return pool.running.contains(Sidecar::trace(number)); });
+        wait([&] { return pool.running.contains(ThriftTestClient::trace(number)); });
     }
-    std::unique_ptr<Sidecar> sidecar;
+    std::unique_ptr<ThriftTestClient> sidecar;
 };
 
 TEST(IdempotentRequestsTest, DuplicatesShareOneRun) {
@@ -57,7 +57,7 @@
     on.running(1);
     const auto second = on.ask(2, "k1");
     on.wait([&] { return on.count(Count::DuplicateRequests) == 1; });
-    on.pool.finish(Sidecar::trace(1), "ok", "result");
+    on.pool.finish(ThriftTestClient::trace(1), "ok", "result");
     EXPECT_EQ(on.answer(first).body, "result");
     EXPECT_EQ(on.answer(second).kind, "answer");
     EXPECT_EQ(on.answer(second).body, "result");
@@ -69,13 +69,13 @@
 
 TEST(IdempotentRequestsTest, ADuplicateReadInTheSameTurnWaitsForTheFirstAttempt) {
     IdempotentRequests on;
-    testing::Reply one = Sidecar::fields(1);
-    testing::Reply two = Sidecar::fields(2);
+    testing::FieldMap one = ThriftTestClient::fields(1);
+    testing::FieldMap two = ThriftTestClient::fields(2);
     one["nonce"] = "k1";
     two["nonce"] = "k1";
     on.sidecar->say(frames::serve(1, one, "body") + frames::serve(2, two, "body"));
     on.running(1);
-    on.pool.finish(Sidecar::trace(1), "ok", "result");
+    on.pool.finish(ThriftTestClient::trace(1), "ok", "result");
     EXPECT_EQ(on.answer(1).body, "result");
     EXPECT_EQ(on.answer(2).body, "result");
     EXPECT_EQ(on.pool.starts, 1);
@@ -85,7 +85,7 @@
     IdempotentRequests on;
     const auto first = on.ask(1, "k1");
     on.running(1);
-    on.pool.finish(Sidecar::trace(1), "failed");
+    on.pool.finish(ThriftTestClient::trace(1), "failed");
     EXPECT_EQ(on.answer(first).kind, "failed");
     EXPECT_EQ(on.answer(on.ask(2, "k1")).kind, "failed");  // a rejection would mean that it never ran
     EXPECT_EQ(on.pool.starts, 1);
@@ -93,11 +93,11 @@
 
 TEST(IdempotentRequestsTest, ARequestThatNeverRanMayBeRetried) {
     IdempotentRequests on;
-    on.pool.refused.push_back(Sidecar::trace(1));
+    on.pool.refused.push_back(ThriftTestClient::trace(1));
     EXPECT_EQ(on.answer(on.ask(1, "k1")).kind, "failed");
     const auto again = on.ask(2, "k1");
     on.running(2);
-    on.pool.finish(Sidecar::trace(2), "ok", "result");
+    on.pool.finish(ThriftTestClient::trace(2), "ok", "result");
     EXPECT_EQ(on.answer(again).body, "result");
 }
 
@@ -107,7 +107,7 @@
     const auto first = on.ask(1, "k1", "mine");
     on.running(1);
     EXPECT_EQ(on.answer(on.ask(2, "k1", "theirs")).kind, "failed");
-    on.pool.finish(Sidecar::trace(1), "ok", "result");
+    on.pool.finish(ThriftTestClient::trace(1), "ok", "result");
     EXPECT_EQ(on.answer(first).body, "result");
     EXPECT_EQ(on.answer(on.ask(3, "k1", "theirs")).kind, "failed");
     EXPECT_EQ(on.count(Count::KeyConflicts), 2U);
@@ -130,7 +130,7 @@
     on.wait([&] { return on.count(Count::DuplicateRequests) == 1; });
     on.sidecar->say(frames::forget(99, second));
     on.wait([&] { return on.count(Count::ClientCancellations) == 1; });
-    on.pool.finish(Sidecar::trace(1), "ok", "result");
+    on.pool.finish(ThriftTestClient::trace(1), "ok", "result");
     EXPECT_EQ(on.answer(first).body, "result");
     EXPECT_FALSE(on.sidecar->answers.contains(second));
     on.expectBooksClosed();
@@ -146,7 +146,7 @@
     on.running(5);
     on.ask(1, "k1");
     on.running(1);
-    on.pool.finish(Sidecar::trace(1), "ok", "result");
+    on.pool.finish(ThriftTestClient::trace(1), "ok", "result");
     on.program->leave();
     on.wait([&] { return on.sidecar->goaways > 0; });
     // Requests tell their arrival in whole milliseconds: one of this millisecond may predate the notice.
@@ -156,21 +156,21 @@
     const auto newRequest = on.ask(3, "k2");
     EXPECT_EQ(on.answer(duplicate).body, "result");
     EXPECT_EQ(on.answer(newRequest).kind, "busy");
-    on.pool.finish(Sidecar::trace(5), "ok", "done");
+    on.pool.finish(ThriftTestClient::trace(5), "ok", "done");
     EXPECT_EQ(on.answer(kept).body, "done");
 }
 
 TEST(IdempotentRequestsTest, AFailedCallIsSkippedWhereTheClassAllowsADegradedResponse) {
     IdempotentRequests on;
     on.records.answer = [](net::Connection&, const std::string&, const std::string&) {
-        return testing::HttpStandIn::reply(500);
+        return testing::FakeHttpServer::reply(500);
     };
     const auto sequence = on.sidecar->ask(1, "body", "pay");
     on.running(1);
-    on.pool.block(Sidecar::trace(1), "call");
+    on.pool.block(ThriftTestClient::trace(1), "call");
     on.wait([&] { return !on.pool.passed.empty(); });
-    EXPECT_EQ(on.pool.passed.front(), Sidecar::trace(1));
-    on.pool.finish(Sidecar::trace(1), "ok", "poorer");
+    EXPECT_EQ(on.pool.passed.front(), ThriftTestClient::trace(1));
+    on.pool.finish(ThriftTestClient::trace(1), "ok", "poorer");
     EXPECT_EQ(on.answer(sequence).body, "poorer");
 }
 
@@ -179,7 +179,7 @@
 // request leaves the table.
 TEST(IdempotentRequestsTest, AnUnconfirmedStartIsInquiredAfterOnceTheRequestIsOver) {
     IdempotentRequests on;
-    testing::Reply fields = Sidecar::fields(1, "pay", 1500);
+    testing::FieldMap fields = ThriftTestClient::fields(1, "pay", 1500);
     on.sidecar->say(frames::serve(++on.sidecar->sequence, fields, "body"));
     on.running(1);
     on.pool.running.clear();  // lost
@@ -187,10 +187,10 @@
     on.wait([&] { return on.count(Count::WorkerPoolConnections) == 2; });
     EXPECT_EQ(on.answer(1).kind, "failed");
     EXPECT_EQ(on.pool.starts, 1);
-    EXPECT_EQ(on.program->backend().trackedCount(), 1U);
+    EXPECT_EQ(on.program->requestManager().trackedCount(), 1U);
     on.wait([&] { return on.pool.starts == 2; });
-    on.pool.finish(Sidecar::trace(1), "void");
-    on.wait([&] { return on.program->backend().trackedCount() == 0; });
+    on.pool.finish(ThriftTestClient::trace(1), "void");
+    on.wait([&] { return on.program->requestManager().trackedCount() == 0; });
     on.expectBooksClosed();
 }
 
--- a/tests/request/request_manager_test.cpp
+++ b/tests/request/request_manager_test.cpp
@@ -55,11 +55,11 @@
         answers[id] = "failed";
         ++answerCount;
     }
-    void unknownToExecutor(RequestId id) override {
+    void refused(RequestId id) override {
         answers[id] = "unknown";
         ++answerCount;
     }
-    void closeIdleConnections(Duration /*unusedFor*/) override {}
+    void setIdleTimeout(Duration /*unusedFor*/) override {}
 
     std::map<RequestId, std::string> answers;
     int answerCount = 0;
--- a/tests/request/request_state_test.cpp
+++ b/tests/request/request_state_test.cpp
@@ -9,24 +9,24 @@
 
 using namespace std::chrono_literals;
 
-TEST(RequestState, ANewRequestWaitsAndIsNotOver) {
-    const RequestState request;
+TEST(TrackedRequest, ANewRequestWaitsAndIsNotOver) {
+    const TrackedRequest request;
     EXPECT_TRUE(request.isClientWaiting());
     EXPECT_FALSE(request.isRunInProgress());
     EXPECT_FALSE(request.isDependencyCallInProgress());
     EXPECT_FALSE(request.isOver());
 }
 
-TEST(RequestState, IsOverOnceAnsweredWhenNothingRuns) {
-    RequestState request;
+TEST(TrackedRequest, IsOverOnceAnsweredWhenNothingRuns) {
+    TrackedRequest request;
     request.client = ClientState::Answered;
     EXPECT_TRUE(request.isOver());
     request.client = ClientState::Cancelled;
     EXPECT_TRUE(request.isOver());
 }
 
-TEST(RequestState, IsNotOverUntilTheEndOfItsRunIsReported) {
-    RequestState request;
+TEST(TrackedRequest, IsNotOverUntilTheEndOfItsRunIsReported) {
+    TrackedRequest request;
     request.client = ClientState::Cancelled;
     request.run = RunState::Running;
     EXPECT_FALSE(request.isOver());
@@ -37,14 +37,14 @@
     EXPECT_TRUE(request.isOver());
 }
 
-TEST(RequestState, IsNotOverAfterItsRunUntilItIsAnswered) {
-    RequestState request;
+TEST(TrackedRequest, IsNotOverAfterItsRunUntilItIsAnswered) {
+    TrackedRequest request;
     request.run = RunState::Ended;
     EXPECT_FALSE(request.isOver());
 }
 
-TEST(RequestState, ItsRunIsStartedWithWhatTheClientSent) {
-    RequestState request;
+TEST(TrackedRequest, ItsRunIsStartedWithWhatTheClientSent) {
+    TrackedRequest request;
     request.externalId = "00000000000000ff";
     request.body = "body";
     request.requestClass = 2;
--- a/tests/scgi_test.cpp
+++ b/tests/scgi_test.cpp
@@ -19,7 +19,7 @@
 namespace {
 
 using namespace std::chrono_literals;
-using cottonwing::testing::until;
+using cottonwing::testing::runUntil;
 using lab::ScgiFault;
 using lab::ScgiServer;
 
@@ -223,7 +223,7 @@
     explicit Hall(const std::vector<lab::ScgiServerTerms>& each, const std::string& front = "",
                   const std::string& group = "")
         : log(lines, telemetry::Level::Debug) {
-        loop.onTrouble([](const std::string& what) { ADD_FAILURE() << what; });
+        loop.onUncaughtException([](const std::string& what) { ADD_FAILURE() << what; });
         for (const auto& terms : each)
             servers.push_back(std::make_unique<ScgiServer>(loop, net::Address{"127.0.0.1", 0}, terms));
         path = ::testing::TempDir() + "cottonwing-serve-" + std::to_string(getpid()) + ".kdl";
@@ -248,7 +248,7 @@
                       const std::string& body = "") {
         const auto one = kiosk();
         one->ask(what, method, {}, body);
-        until(loop, [&] { return one->gone; });
+        runUntil(loop, [&] { return one->gone; });
         return one->text;
     }
     void expectBooksClosed() const {
@@ -273,7 +273,7 @@
     kiosk->ask("/list/supreme?day=2", "GET",
                {{"HTTP_X_TRACE", "00000000000000ab"}, {"HTTP_X_PATIENCE_MS", "900"}, {"HTTP_ODD", "kept"}},
                "body");
-    until(hall.loop, [&] { return kiosk->gone; });
+    runUntil(hall.loop, [&] { return kiosk->gone; });
     EXPECT_EQ(kiosk->text, scgi::writeReply(200, {{"Content-Type", "text/plain"}}, "ok 00000000000000ab"));
     const auto& headers = hall.servers[0]->lastHeaders();
     EXPECT_EQ(scgi::headerOf(headers, "HTTP_ODD"), std::string_view("kept"));
@@ -287,9 +287,9 @@
 
 TEST(Gateway, ThriftAndScgiShareOneCore) {
     Hall hall({lab::ScgiServerTerms{}});
-    testing::Sidecar sidecar(hall.loop, hall.gateway->thrift()->port());
+    testing::ThriftTestClient sidecar(hall.loop, hall.gateway->thrift()->port());
     const auto sequence = sidecar.ask(7, "plain bytes", "cause-list", 1500);
-    until(hall.loop, [&] { return sidecar.answers.contains(sequence); });
+    runUntil(hall.loop, [&] { return sidecar.answers.contains(sequence); });
     EXPECT_EQ(sidecar.answers.at(sequence).body, "ok 0000000000000007");
     EXPECT_EQ(hall.servers[0]->lastBody(), "plain bytes");
     EXPECT_EQ(hall.asked("/board/3").substr(0, 11), "Status: 200");
@@ -331,7 +331,7 @@
     Hall hall({{0ns, 1000, ScgiFault::Silent}});
     const auto kiosk = hall.kiosk();
     kiosk->ask("/filing/1", "POST", {{"HTTP_X_PATIENCE_MS", "300"}});
-    until(hall.loop, [&] { return kiosk->gone; });
+    runUntil(hall.loop, [&] { return kiosk->gone; });
     EXPECT_EQ(kiosk->status(), 504);
     hall.expectBooksClosed();
 }
@@ -340,9 +340,9 @@
     Hall hall({{0ns, 1000, ScgiFault::Silent}});
     auto kiosk = hall.kiosk();
     kiosk->ask("/board/1");
-    until(hall.loop, [&] { return hall.servers[0]->requests() == 1; });
+    runUntil(hall.loop, [&] { return hall.servers[0]->requests() == 1; });
     kiosk.reset();
-    until(hall.loop, [&] { return hall.servers[0]->left() == 1; });
+    runUntil(hall.loop, [&] { return hall.servers[0]->left() == 1; });
     EXPECT_EQ(hall.gateway->groups().flying(), 0U);
     hall.expectBooksClosed();
 }
@@ -367,7 +367,7 @@
     const auto told = [&](const std::string& bytes) {
         const auto kiosk = hall.kiosk();
         kiosk->connection->send(bytes);
-        until(hall.loop, [&] { return kiosk->gone; });
+        runUntil(hall.loop, [&] { return kiosk->gone; });
         return kiosk->status();
     };
     EXPECT_EQ(told("GET / HTTP/1.0\r\n\r\n"), 400);
@@ -390,17 +390,17 @@
     auto early = hall.kiosk(), late = hall.kiosk(), never = hall.kiosk();
     for (Kiosk* kiosk : {early.get(), late.get(), never.get()})
         kiosk->connection->send(bytes.substr(0, bytes.size() - 2));
-    until(hall.loop, [&] { return hall.gateway->scgi()->connections() == 3; });
+    runUntil(hall.loop, [&] { return hall.gateway->scgi()->connections() == 3; });
     hall.gateway->leave();
     early->connection->send(bytes.substr(bytes.size() - 2));
-    until(hall.loop, [&] { return early->gone; });
+    runUntil(hall.loop, [&] { return early->gone; });
     EXPECT_EQ(early->status(), 200);
     bool graceOver = false;
     net::Timer grace(hall.loop, [&] { graceOver = true; });
     grace.start(400ms);
-    until(hall.loop, [&] { return graceOver; });
+    runUntil(hall.loop, [&] { return graceOver; });
     late->connection->send(bytes.substr(bytes.size() - 2));
-    until(hall.loop, [&] { return late->gone && never->gone; });
+    runUntil(hall.loop, [&] { return late->gone && never->gone; });
     EXPECT_EQ(late->status(), 503);
     EXPECT_EQ(never->status(), 503);
     EXPECT_EQ(hall.servers[0]->requests(), 1U);
@@ -411,13 +411,13 @@
     Hall hall({{100ms, 1000, ScgiFault::None}});
     const auto kiosk = hall.kiosk();
     kiosk->ask("/board/1");
-    until(hall.loop, [&] { return hall.servers[0]->requests() == 1; });
+    runUntil(hall.loop, [&] { return hall.servers[0]->requests() == 1; });
     auto old = std::move(hall.servers[0]);
     hall.servers[0] =
         std::make_unique<ScgiServer>(hall.loop, net::Address{"127.0.0.1", 0}, lab::ScgiServerTerms{});
     hall.write("", "");
     hall.gateway->readAgain(hall.path);
-    until(hall.loop, [&] { return kiosk->gone; });
+    runUntil(hall.loop, [&] { return kiosk->gone; });
     EXPECT_EQ(kiosk->status(), 200);
     hall.asked("/board/2");
     EXPECT_EQ(hall.servers[0]->requests(), 1U);
@@ -433,7 +433,7 @@
     for (int n = 0; n < 40; ++n) hall.asked("/board/" + std::to_string(n));
     EXPECT_NE(hall.lines.str().find("is left out, 1 of 3 out"), std::string::npos);
     hall.servers[0]->set({});
-    until(hall.loop, [&] {
+    runUntil(hall.loop, [&] {
         hall.asked("/board/1");
         return hall.gateway->groups().out(0) == 0;
     });
--- a/tests/server_test.cpp
+++ b/tests/server_test.cpp
@@ -192,7 +192,7 @@
     const std::int32_t second = on.sidecar->ask(2);
     on.running(2);
     on.sidecar->say(frames::forget(4, second));
-    on.wait([&] { return on.program->backend().trackedCount() == 0; });
+    on.wait([&] { return on.program->requestManager().trackedCount() == 0; });
     EXPECT_EQ(on.pool.halted, std::vector<std::string>{ThriftTestClient::trace(2)});
     // After.
     on.sidecar->sequence = 4;
@@ -213,7 +213,7 @@
     on.sidecar->ask(2);
     on.running(2);
     on.sidecar->hangUp();
-    on.wait([&] { return on.program->backend().trackedCount() == 0; });
+    on.wait([&] { return on.program->requestManager().trackedCount() == 0; });
     EXPECT_EQ(on.count(Count::ClientCancellations), 2U);
     EXPECT_EQ(on.count(ConnectionEnd::PeerClosed) + on.count(ConnectionEnd::Reset), 1U);
     on.expectBooksClosed();
@@ -225,7 +225,7 @@
     const std::int32_t sequence = on.sidecar->ask(1, "", "read", 900);
     EXPECT_EQ(on.answer(sequence).kind, "failed");
     EXPECT_LT(net::unixNow() - from, 950ms);
-    on.wait([&] { return on.program->backend().trackedCount() == 0; });
+    on.wait([&] { return on.program->requestManager().trackedCount() == 0; });
     EXPECT_EQ(on.pool.halted.size(), 1U);  // the run that nobody waits for any more
     EXPECT_EQ(on.sidecar->twice, 0);
     on.expectBooksClosed();
@@ -257,7 +257,7 @@
     const std::uint64_t seen = on.count(Count::HealthChecks);
     EXPECT_LT(seen * 40, 64U << 20);  // a bounded backlog, far from all that was asked
     close(peer);
-    on.wait([&] { return on.program->sidecars().connections() == 1; });
+    on.wait([&] { return on.program->thriftServer().connections() == 1; });
 }
 
 // Places: those that stay silent, hold half a message or asked once keep nobody out.
@@ -286,7 +286,7 @@
         [&] { return std::all_of(silent.begin(), silent.end(), [](const auto& one) { return one->gone; }); });
     EXPECT_LT(net::unixNow() - from, 3s);
     EXPECT_GT(on.count(Count::ConnectionsEvicted), 20U);
-    EXPECT_LE(on.program->sidecars().connections(), on.server.limits.thriftConnections);
+    EXPECT_LE(on.program->thriftServer().connections(), on.server.limits.thriftConnections);
     // Half a message on one that has spoken before: it is closed, whatever else trickles in.
     ThriftTestClient& half = *once.back();
     half.say(std::string("\0\0\1\0", 4));
@@ -349,11 +349,11 @@
     }
     on.wait([&] { return on.count(Count::RequestsRead) == static_cast<std::uint64_t>(asked); });
     EXPECT_GT(on.count(Count::RejectedForMemory), 20U);
-    EXPECT_LT(on.program->backend().trackedCount() * 3 * body.size(), on.server.limits.requestBytes);
+    EXPECT_LT(on.program->requestManager().trackedCount() * 3 * body.size(), on.server.limits.requestBytes);
     on.wait([&] {
         for (const auto& [job, data] : std::map<std::string, std::string>(on.pool.running))
             on.pool.finish(job);
-        return on.program->backend().trackedCount() == 0;
+        return on.program->requestManager().trackedCount() == 0;
     });
     on.expectBooksClosed();
     const std::int32_t sequence = on.sidecar->ask(1000, body);  // all that was counted has been given back
@@ -467,7 +467,7 @@
         on.pool.refused.push_back(ThriftTestClient::trace(i));
         EXPECT_EQ(on.answer(on.sidecar->ask(i)).kind, "failed");
     }
-    EXPECT_TRUE(on.program->backend().healthy());
+    EXPECT_TRUE(on.program->requestManager().healthy());
     on.expectBooksClosed();
 }
 
@@ -614,7 +614,7 @@
     on.wait([&] { return on.records.server.lines.empty(); });  // its connection was closed
     EXPECT_EQ(on.count(Count::CallsAbandoned), 1U);
     on.finish(1, "halted");
-    on.wait([&] { return on.program->backend().trackedCount() == 0; });
+    on.wait([&] { return on.program->requestManager().trackedCount() == 0; });
     on.expectBooksClosed();
 }
 
@@ -622,9 +622,9 @@
     Served on;
     const std::int32_t sequence = on.atCall(1);
     on.wait([&] { return on.pool.supplied.contains(ThriftTestClient::trace(1)); });
-    EXPECT_EQ(on.program->records().idleConnections(), 1U);
+    EXPECT_EQ(on.program->dependencyClient().idleConnections(), 1U);
     on.records.server.hangUp();
-    on.wait([&] { return on.program->records().idleConnections() == 0; });
+    on.wait([&] { return on.program->dependencyClient().idleConnections() == 0; });
     on.pool.block(ThriftTestClient::trace(1), "second");
     on.wait([&] { return on.pool.supplied.at(ThriftTestClient::trace(1)) == "re:second"; });
     EXPECT_EQ(on.count(Count::CallsOk), 2U);
@@ -765,7 +765,7 @@
     EXPECT_EQ(on.answer(sequence).body, "in time");
     idle.hangUp();
     on.sidecar->hangUp();
-    on.wait([&] { return on.program->sidecars().connections() == 0; });
+    on.wait([&] { return on.program->thriftServer().connections() == 0; });
     EXPECT_EQ(on.pool.starts, 1);
     on.expectBooksClosed();
 }
@@ -817,7 +817,7 @@
     const std::int32_t sequence = on.atCall(1);
     on.wait([&] { return on.pool.supplied.contains(ThriftTestClient::trace(1)); });
     on.records.server.hangUp();
-    on.wait([&] { return on.program->records().idleConnections() == 0; });
+    on.wait([&] { return on.program->dependencyClient().idleConnections() == 0; });
     setrlimit(RLIMIT_NOFILE, &tight);
     on.pool.block(ThriftTestClient::trace(1), "no descriptor for this call");
     // The stand-in's closed end gave a descriptor or two back: several calls are tried until one lacks it.
@@ -839,7 +839,7 @@
     const auto descriptors = [] {
         return std::distance(std::filesystem::directory_iterator("/proc/self/fd"), {});
     };
-    on.wait([&] { return !on.registry.heads.empty() && on.program->sidecars().connections() == 1; });
+    on.wait([&] { return !on.registry.heads.empty() && on.program->thriftServer().connections() == 1; });
     const auto before = descriptors();
     std::mt19937 chance(20261201);
     const auto draw = [&](int below) { return static_cast<int>(chance() % static_cast<unsigned>(below)); };
@@ -916,7 +916,7 @@
     ASSERT_EQ(number, 1500);
     on.wait([&] {
         play();
-        return on.program->backend().trackedCount() == 0;
+        return on.program->requestManager().trackedCount() == 0;
     });
     int answered = 0;
     for (const auto& [id, command] : asked) {
@@ -936,7 +936,7 @@
     EXPECT_GT(on.count(Count::WorkerPoolConnections), 1U);
     sidecars.clear();
     on.sidecar->hangUp();
-    on.wait([&] { return on.program->sidecars().connections() == 0; });
+    on.wait([&] { return on.program->thriftServer().connections() == 0; });
     on.expectBooksClosed();
     // All descriptors are back, and the two ends of the first sidecar's connection.
     on.wait([&] { return descriptors() == before - 2; });
--- a/tests/simulator/event_reader_test.cpp
+++ b/tests/simulator/event_reader_test.cpp
@@ -136,7 +136,7 @@
     writer.joinDuplicate(55);
     writer.setHealth(false);
     writer.advertiseLoadShare(0.25);
-    writer.closeIdleConnections(2s);
+    writer.setIdleTimeout(2s);
     writer.scheduleTick(500ms);
     writer.log("two servers known");
     writer.bug("fault");
--- a/tests/support/controller_harness.h
+++ b/tests/support/controller_harness.h
@@ -94,7 +94,7 @@
         ReferenceModel::skipDependencyCall(id);
     }
     void setHealth(bool healthy) override { good = healthy; }
-    void closeIdleConnections(Duration unusedFor) override { idle = unusedFor; }
+    void setIdleTimeout(Duration unusedFor) override { idle = unusedFor; }
     void scheduleTick(Duration delay) override { nextTickAt_ = now + delay; }
     void log(std::string_view line) override { logs.emplace_back(line); }
 
--- a/tests/support/reference_model.h
+++ b/tests/support/reference_model.h
@@ -70,9 +70,9 @@
 
     /// Follows the events of a batch, before the controller decides on it.
     void observe(const EventBatch& batch) {
-        if (batch.shutdownAt && shutdownNoticeAt < 0ns) {
+        if (batch.processEndsAt && shutdownNoticeAt < 0ns) {
             shutdownNoticeAt = now;
-            stopAt = *batch.shutdownAt;
+            stopAt = *batch.processEndsAt;
         }
         for (const Request& request : batch.arrivals) {
             Work& w = work[request.id];
@@ -182,7 +182,7 @@
     void advertiseLoadShare(double) override {
         rule(terms.loadSignal != LoadSignal::None, "load advertised against the configuration");
     }
-    void closeIdleConnections(Duration) override {}
+    void setIdleTimeout(Duration) override {}
     void scheduleTick(Duration) override {}
     void log(std::string_view) override {}
 
--- a/tests/support/server_fixture.h
+++ b/tests/support/server_fixture.h
@@ -34,12 +34,12 @@
               processConfig.registry = registry.server.address();
               return processConfig;
           }()) {
-        loop.onTrouble([](const std::string& what) { ADD_FAILURE() << what; });
+        loop.onUncaughtException([](const std::string& what) { ADD_FAILURE() << what; });
         program = std::make_unique<Server>(loop, server, log, counters);
     }
     /// Waits until the worker pool is connected and the server healthy.
     void bound() {
-        runUntil(loop, [&] { return program->backend().healthy(); });
+        runUntil(loop, [&] { return program->requestManager().healthy(); });
     }
     template <typename Condition>
     void wait(Condition&& condition) {
@@ -49,7 +49,7 @@
     void readAgain(const Json& file) {
         withConfigFile(file, [&](const auto& environment) { program->readAgain(environment); });
     }
-    int port() const { return program->sidecars().port(); }
+    int port() const { return program->thriftServer().port(); }
     std::uint64_t count(telemetry::Count kind) const { return counters.of(kind); }
     std::uint64_t count(net::ConnectionEnd end) const { return counters.of(end); }
     /// Every request has exactly one kind of end and every dependency call one outcome; nothing is tracked
@@ -64,8 +64,8 @@
                       count(Count::CallsConnectionLost) + count(Count::CallsSuperseded) +
                       count(Count::CallsAbandoned) + count(Count::CallsLocalLimit) +
                       count(Count::CallsMalformedResponse));
-        EXPECT_EQ(program->backend().trackedCount(), 0U);
-        EXPECT_EQ(program->records().callsInFlight(), 0U);
+        EXPECT_EQ(program->requestManager().trackedCount(), 0U);
+        EXPECT_EQ(program->dependencyClient().callsInFlight(), 0U);
     }
 
     net::Loop loop;
--- a/tests/thrift/codec_test.cpp
+++ b/tests/thrift/codec_test.cpp
@@ -18,7 +18,7 @@
 
 std::optional<Message> decode(const std::string& frame) { return thrift::readMessage(frame.substr(4)); }
 
-const testing::Reply kFields = {{"route", "read"}, {"trace", "9b1f03aa5c7e2d41"}};
+const testing::FieldMap kFields = {{"route", "read"}, {"trace", "9b1f03aa5c7e2d41"}};
 
 TEST(Thrift, ReadsWhatThePublishedLibraryWrites) {
     const auto serve = decode(frames::serve(7, kFields, std::string("a\0b", 3)));
--- a/tests/thrift/connection_table_test.cpp
+++ b/tests/thrift/connection_table_test.cpp
@@ -33,7 +33,7 @@
         const net::Address address{"127.0.0.1", listener.port()};
         clients.push_back(
             std::make_unique<net::Connection>(loop, address, clientOwner, net::BufferLimits{1024, 1024}));
-        testing::until(loop, [&] { return table.size() > before; });
+        testing::runUntil(loop, [&] { return table.size() > before; });
         return *table.newConnections().back();
     }
     ThriftConnection& connectIdentified() {
@@ -169,7 +169,7 @@
     connection.observeOutput(11s);
     EXPECT_FALSE(connection.isOutputStalled(11999ms));
     EXPECT_TRUE(connection.isOutputStalled(12s));
-    testing::until(loop, [&] { return !connection.hasOutput(); });
+    testing::runUntil(loop, [&] { return !connection.hasOutput(); });
     connection.observeOutput(13s);
     EXPECT_FALSE(connection.isOutputStalled(99s));
 }
