--- a/src/dependency/http_dependency_client.cpp
+++ b/src/dependency/http_dependency_client.cpp
@@ -118,7 +118,7 @@
     abandonCall(id);
     counters_.add(Count::CallsStarted);
     if (!address_) return report(id, Outcome::Unreachable, 0ns, {});
-    const ConnectionList::iterator reusable = findReusable();
+    const auto reusable = findReusable();
     const bool reused = reusable != idle_.end();
     if (!reused && isAtConnectionLimit()) {
         if (idle_.empty()) return report(id, Outcome::LocalLimit, 0ns, {});
@@ -126,7 +126,7 @@
     }
     const std::string request = formatCall(externalId, timeout, body);
     if (reused) busy_.splice(busy_.end(), idle_, reusable);
-    const ConnectionList::iterator position = reused ? std::prev(busy_.end()) : openConnection();
+    const auto position = reused ? std::prev(busy_.end()) : openConnection();
     (*position)->reusedForCall = reused;
     const Timestamp now = net::unixNow();
     send(position, {id, now, now + timeout}, request);
--- a/src/request/request_manager.cpp
+++ b/src/request/request_manager.cpp
@@ -50,7 +50,7 @@
 
 void RequestManager::accept(IncomingRequest incoming) {
     counters_.add(Count::RequestsRead);
-    const Table::iterator entry = track(incoming);
+    const auto entry = track(incoming);
     const std::size_t bytes = kBodiesPerRequest * incoming.body.size() + kRequestOverheadBytes;
     if (!hasCapacityFor(bytes)) return refuseForCapacity(entry, incoming);
     if (!claimIdempotencyKey(entry, incoming)) return;
@@ -130,7 +130,7 @@
 }
 
 void RequestManager::clientCancelled(RequestId id) {
-    const Table::iterator entry = findWaiting(id);
+    const auto entry = findWaiting(id);
     if (entry == table_.end()) return;
     counters_.add(Count::ClientCancellations);
     --unansweredCount_;
@@ -154,7 +154,7 @@
 }
 
 void RequestManager::runWaitsForDependency(RequestId id, std::string callBody) {
-    const Table::iterator entry = findRunning(id);
+    const auto entry = findRunning(id);
     if (entry == table_.end()) return;
     entry->second.dependencyCallBody = std::move(callBody);
     entry->second.continuation.reset();
@@ -163,7 +163,7 @@
 }
 
 void RequestManager::runCompleted(RequestId id, Outcome outcome, Duration elapsed, std::string_view result) {
-    const Table::iterator entry = findRunning(id);
+    const auto entry = findRunning(id);
     if (entry == table_.end()) return;
     counters_.add(Count::RunsCompleted);
     TrackedRequest& request = entry->second;
@@ -181,7 +181,7 @@
 }
 
 void RequestManager::runUnknownToExecutor(RequestId id) {
-    const Table::iterator entry = findRunning(id);
+    const auto entry = findRunning(id);
     if (entry == table_.end()) return;
     // The entry stays after the answer, as its run has yet to end.
     if (entry->second.isClientWaiting()) answerRefused(entry);
@@ -247,7 +247,7 @@
 
 void RequestManager::dependencyCallCompleted(RequestId id, Outcome outcome, Duration elapsed,
                                              std::string_view reply) {
-    const Table::iterator entry = table_.find(id);
+    const auto entry = table_.find(id);
     if (entry == table_.end() || !entry->second.isDependencyCallInProgress()) return;
     TrackedRequest& request = entry->second;
     request.dependencyCall = CallProgress::NotInProgress;
@@ -296,7 +296,7 @@
         std::visit([this](const auto& kind) { carryOut(kind); }, decision);
     decisions_.clear();
     for (const RequestId id : batch.clientCancellations) {
-        const Table::iterator entry = table_.find(id);
+        const auto entry = table_.find(id);
         if (entry != table_.end()) eraseIfOver(entry);
     }
 }
@@ -305,7 +305,7 @@
 // The request of a decision may have ended since the events that the decision rests on.
 
 void RequestManager::carryOut(const StartRun& decision) {
-    const Table::iterator entry = table_.find(decision.id);
+    const auto entry = table_.find(decision.id);
     if (entry == table_.end() || entry->second.isRunInProgress()) return;
     entry->second.run = RunState::Running;
     entry->second.runStartedAt = net::unixNow();
@@ -314,7 +314,7 @@
 }
 
 void RequestManager::carryOut(const RejectRequest& decision) {
-    const Table::iterator entry = findWaiting(decision.id);
+    const auto entry = findWaiting(decision.id);
     if (entry == table_.end()) return;
     entry->second.sink->rejected(decision.id, decision.pushback);
     abandonDependencyCall(entry);
@@ -322,7 +322,7 @@
 }
 
 void RequestManager::carryOut(const FailRequest& decision) {
-    const Table::iterator entry = findWaiting(decision.id);
+    const auto entry = findWaiting(decision.id);
     if (entry == table_.end()) return;
     entry->second.sink->failed(decision.id);
     abandonDependencyCall(entry);
@@ -330,14 +330,14 @@
 }
 
 void RequestManager::carryOut(const CancelRun& decision) {
-    const Table::iterator entry = findRunning(decision.id);
+    const auto entry = findRunning(decision.id);
     if (entry == table_.end()) return;
     counters_.add(Count::RunsCancelled);
     executor_->cancel(entry->second.externalId);
 }
 
 void RequestManager::carryOut(const CallDependency& decision) {
-    const Table::iterator entry = findRunningAndWaiting(decision.id);
+    const auto entry = findRunningAndWaiting(decision.id);
     if (entry == table_.end()) return;
     TrackedRequest& request = entry->second;
     request.dependencyCall = CallProgress::InProgress;
@@ -346,14 +346,14 @@
 }
 
 void RequestManager::carryOut(const SkipDependencyCall& decision) {
-    const Table::iterator entry = findRunningAndWaiting(decision.id);
+    const auto entry = findRunningAndWaiting(decision.id);
     if (entry == table_.end()) return;
     entry->second.continuation = RunContinuation{std::nullopt, net::unixNow()};
     executor_->skipDependencyCall(entry->second.externalId);
 }
 
 void RequestManager::carryOut(const JoinDuplicate& decision) {
-    const Table::iterator entry = findWaiting(decision.id);
+    const auto entry = findWaiting(decision.id);
     if (entry == table_.end()) return;
     resolveDuplicate(decision.id, keys_.join(entry->second.idempotencyKey, decision.id));
 }
@@ -383,17 +383,17 @@
 }
 
 RequestManager::Table::iterator RequestManager::findWaiting(RequestId id) {
-    const Table::iterator entry = table_.find(id);
+    const auto entry = table_.find(id);
     return entry != table_.end() && entry->second.isClientWaiting() ? entry : table_.end();
 }
 
 RequestManager::Table::iterator RequestManager::findRunning(RequestId id) {
-    const Table::iterator entry = table_.find(id);
+    const auto entry = table_.find(id);
     return entry != table_.end() && entry->second.isRunInProgress() ? entry : table_.end();
 }
 
 RequestManager::Table::iterator RequestManager::findRunningAndWaiting(RequestId id) {
-    const Table::iterator entry = findRunning(id);
+    const auto entry = findRunning(id);
     return entry != table_.end() && entry->second.isClientWaiting() ? entry : table_.end();
 }
 
@@ -470,7 +470,7 @@
 // A duplicate is answered with what became of the attempt that holds its key; while that is pending, it
 // waits.
 void RequestManager::resolveDuplicate(RequestId id, state::KeyResult result) {
-    const Table::iterator entry = findWaiting(id);
+    const auto entry = findWaiting(id);
     if (entry == table_.end()) return;
     if (result.outcome == KeyOutcome::Pending) {
         entry->second.idempotencyRole = IdempotencyRole::DuplicateWaiting;
--- a/src/thrift/binary_protocol.h
+++ b/src/thrift/binary_protocol.h
@@ -16,24 +16,29 @@
 /// A map of texts, as all structs of the service carry their fields.
 using Fields = std::map<std::string, std::string, std::less<>>;
 
-/// The types of values, with their codes on the wire.
-enum Type : std::uint8_t {
-    kStop = 0,  ///< The end of a struct.
-    kBool = 2,
-    kByte = 3,
-    kDouble = 4,
-    kI16 = 6,
-    kI32 = 8,
-    kI64 = 10,
-    kString = 11,
-    kStruct = 12,
-    kMap = 13,
-    kSet = 14,
-    kList = 15
-};
-
-/// The kinds of messages, with their codes on the wire.
-enum Kind : std::uint8_t { kCall = 1, kReply = 2, kException = 3, kOneway = 4 };
+/// The type of a value: its code on the wire.
+using TypeCode = std::uint8_t;
+
+inline constexpr TypeCode kStop = 0;  ///< The end of a struct.
+inline constexpr TypeCode kBool = 2;
+inline constexpr TypeCode kByte = 3;
+inline constexpr TypeCode kDouble = 4;
+inline constexpr TypeCode kI16 = 6;
+inline constexpr TypeCode kI32 = 8;
+inline constexpr TypeCode kI64 = 10;
+inline constexpr TypeCode kString = 11;
+inline constexpr TypeCode kStruct = 12;
+inline constexpr TypeCode kMap = 13;
+inline constexpr TypeCode kSet = 14;
+inline constexpr TypeCode kList = 15;
+
+/// The kind of a message: its code on the wire.
+using MessageKind = std::uint8_t;
+
+inline constexpr MessageKind kCall = 1;
+inline constexpr MessageKind kReply = 2;
+inline constexpr MessageKind kException = 3;
+inline constexpr MessageKind kOneway = 4;
 
 /// The upper 24 bits of a message's first word; the kind is in the lower 8.
 inline constexpr std::uint32_t kVersion = 0x80010000U;
@@ -184,7 +189,7 @@
 /// Writes one message as a whole frame.
 class Writer {
 public:
-    Writer(Kind kind, std::string_view method, std::int32_t sequence) {
+    Writer(MessageKind kind, std::string_view method, std::int32_t sequence) {
         number(0, kFrameHeaderBytes);  // the frame's length, known at the end
         number(kVersion | kind, 4);
         string(method);
@@ -201,7 +206,7 @@
         bytes_.append(text);
     }
     /// The head of a struct's field; its value follows.
-    void field(Type type, std::uint16_t id) {
+    void field(TypeCode type, std::uint16_t id) {
         number(type, 1);
         number(id, 2);
     }
--- a/src/thrift/request_decoder.cpp
+++ b/src/thrift/request_decoder.cpp
@@ -110,7 +110,7 @@
         if (text(wire::kExpectedWorkMs).empty()) return std::nullopt;
         const auto workMs = number<double>(wire::kExpectedWorkMs);
         if (!workMs || *workMs < 0) return RequestError::MalformedExpectedWork;
-        const double longest = static_cast<double>(requestClass_->timeout.count());
+        const auto longest = static_cast<double>(requestClass_->timeout.count());
         incoming_.request.expectedWork =
             Duration(static_cast<std::int64_t>(std::min(*workMs * kNanosecondsPerMillisecond, longest)));
         return std::nullopt;
