--- a/benchmarks/decide_benchmark.cpp
+++ b/benchmarks/routing_benchmark.cpp
@@ -4,14 +4,14 @@
 
 #include <random>
 
-#include "decide/choice/choice.h"
-#include "decide/members/members.h"
-#include "decide/routes/routes.h"
+#include "routing/load_balancer.h"
+#include "routing/outlier_detection.h"
+#include "routing/route_table.h"
 
 namespace {
 
 using namespace cottonwing;
-using namespace cottonwing::decide;
+using namespace cottonwing::routing;
 
 std::vector<Route> routesOf(std::int64_t count) {
     std::vector<Route> all;
--- a/src/lab/process.cpp
+++ b/src/loadtest/child_process.cpp
@@ -1,4 +1,4 @@
-#include "lab/process.h"
+#include "loadtest/child_process.h"
 
 #include <fcntl.h>
 #include <unistd.h>
@@ -10,7 +10,7 @@
 #include <fstream>
 #include <stdexcept>
 
-namespace cottonwing::lab {
+namespace cottonwing::loadtest {
 
 struct Process::Handle {
     uv_process_t process;
@@ -101,4 +101,4 @@
     return resident * static_cast<double>(sysconf(_SC_PAGESIZE)) / (1 << 20);
 }
 
-}  // namespace cottonwing::lab
+}  // namespace cottonwing::loadtest
--- a/src/lab/process.h
+++ b/src/loadtest/child_process.h
@@ -9,7 +9,7 @@
 
 #include "net/loop.h"
 
-namespace cottonwing::lab {
+namespace cottonwing::loadtest {
 
 class Process {
 public:
@@ -35,4 +35,4 @@
     Handle* handle_;
 };
 
-}  // namespace cottonwing::lab
+}  // namespace cottonwing::loadtest
--- a/src/lab/emulate/cores.cpp
+++ b/src/loadtest/emulators/cores.cpp
@@ -1,9 +1,9 @@
-#include "lab/emulate/cores.h"
+#include "loadtest/emulators/cores.h"
 
 #include <algorithm>
 #include <utility>
 
-namespace cottonwing::lab {
+namespace cottonwing::loadtest {
 
 namespace {
 
@@ -114,4 +114,4 @@
 
 double Cores::busy() const { return std::min(1.0, static_cast<double>(endAt_.size()) / terms_.cores); }
 
-}  // namespace cottonwing::lab
+}  // namespace cottonwing::loadtest
--- a/src/lab/emulate/cores.h
+++ b/src/loadtest/emulators/cores.h
@@ -11,7 +11,7 @@
 
 #include "overload/types.h"
 
-namespace cottonwing::lab {
+namespace cottonwing::loadtest {
 
 struct CoreTerms {
     double cores = 4;
@@ -71,4 +71,4 @@
     std::vector<std::uint64_t> ended_;                  // not returned yet
 };
 
-}  // namespace cottonwing::lab
+}  // namespace cottonwing::loadtest
--- a/src/lab/emulate/http_door.cpp
+++ b/src/loadtest/emulators/http_server.cpp
@@ -1,8 +1,8 @@
-#include "lab/emulate/http_door.h"
+#include "loadtest/emulators/http_server.h"
 
 #include <utility>
 
-namespace cottonwing::lab {
+namespace cottonwing::loadtest {
 
 std::string HttpDoor::Request::header(const std::string& name) const {
     const std::size_t at = ("\n" + headers).find("\n" + name + ":");
@@ -102,4 +102,4 @@
 
 HttpDoor::~HttpDoor() = default;
 
-}  // namespace cottonwing::lab
+}  // namespace cottonwing::loadtest
--- a/src/lab/emulate/http_door.h
+++ b/src/loadtest/emulators/http_server.h
@@ -11,7 +11,7 @@
 
 #include "net/connection.h"
 
-namespace cottonwing::lab {
+namespace cottonwing::loadtest {
 
 class HttpDoor {
 public:
@@ -45,4 +45,4 @@
     std::unique_ptr<net::Listener> listener_;
 };
 
-}  // namespace cottonwing::lab
+}  // namespace cottonwing::loadtest
--- a/src/lab/emulate/services.cpp
+++ b/src/loadtest/emulators/http_services.cpp
@@ -1,10 +1,10 @@
-#include "lab/emulate/services.h"
+#include "loadtest/emulators/http_services.h"
 
 #include <algorithm>
 #include <cstdio>
 #include <cstdlib>
 
-namespace cottonwing::lab {
+namespace cottonwing::loadtest {
 
 using namespace std::chrono_literals;
 
@@ -213,4 +213,4 @@
     return found == states_.end() ? "" : found->second;
 }
 
-}  // namespace cottonwing::lab
+}  // namespace cottonwing::loadtest
--- a/src/lab/emulate/services.h
+++ b/src/loadtest/emulators/http_services.h
@@ -9,11 +9,11 @@
 #include <unordered_map>
 #include <vector>
 
-#include "lab/audit/books.h"
-#include "lab/emulate/http_door.h"
-#include "lab/pace.h"
+#include "loadtest/emulators/http_server.h"
+#include "loadtest/invariants/invariant_checker.h"
+#include "loadtest/precise_timer.h"
 
-namespace cottonwing::lab {
+namespace cottonwing::loadtest {
 
 struct RecordsTerms {
     int slots = 20;         // calls served at once
@@ -107,4 +107,4 @@
     HttpDoor door_;
 };
 
-}  // namespace cottonwing::lab
+}  // namespace cottonwing::loadtest
--- a/src/lab/emulate/scgi_server.cpp
+++ b/src/loadtest/emulators/scgi_server.cpp
@@ -1,8 +1,8 @@
-#include "lab/emulate/scgi_server.h"
+#include "loadtest/emulators/scgi_server.h"
 
 #include <cstdio>
 
-namespace cottonwing::lab {
+namespace cottonwing::loadtest {
 
 using namespace std::chrono_literals;
 
@@ -136,4 +136,4 @@
     pace_.ringAt(steadyNow());
 }
 
-}  // namespace cottonwing::lab
+}  // namespace cottonwing::loadtest
--- a/src/lab/emulate/scgi_server.h
+++ b/src/loadtest/emulators/scgi_server.h
@@ -9,11 +9,11 @@
 #include <memory>
 #include <string>
 
-#include "lab/pace.h"
+#include "loadtest/precise_timer.h"
 #include "net/connection.h"
 #include "scgi/message.h"
 
-namespace cottonwing::lab {
+namespace cottonwing::loadtest {
 
 enum class ScgiFault {
     None,
@@ -79,4 +79,4 @@
     std::unique_ptr<net::Listener> listener_;
 };
 
-}  // namespace cottonwing::lab
+}  // namespace cottonwing::loadtest
--- a/src/lab/emulate/answering.cpp
+++ b/src/loadtest/emulators/thrift_server.cpp
@@ -1,8 +1,8 @@
-#include "lab/emulate/answering.h"
+#include "loadtest/emulators/thrift_server.h"
 
 #include <algorithm>
 
-namespace cottonwing::lab {
+namespace cottonwing::loadtest {
 
 using namespace std::chrono_literals;
 
@@ -112,4 +112,4 @@
         line.connection->send(thrift::writeAnswer("serve", sequence + 100000, "ok " + trace, {}, true));
 }
 
-}  // namespace cottonwing::lab
+}  // namespace cottonwing::loadtest
--- a/src/lab/emulate/answering.h
+++ b/src/loadtest/emulators/thrift_server.h
@@ -10,11 +10,11 @@
 #include <string>
 #include <unordered_map>
 
-#include "lab/pace.h"
+#include "loadtest/precise_timer.h"
 #include "net/connection.h"
 #include "thrift/codec.h"
 
-namespace cottonwing::lab {
+namespace cottonwing::loadtest {
 
 struct AnsweringTerms {
     Duration takes{0};                   // from a request's arrival to its answer
@@ -71,4 +71,4 @@
     std::unique_ptr<net::Listener> listener_;
 };
 
-}  // namespace cottonwing::lab
+}  // namespace cottonwing::loadtest
--- a/src/lab/emulate/worker_pool.cpp
+++ b/src/loadtest/emulators/worker_pool.cpp
@@ -1,4 +1,4 @@
-#include "lab/emulate/worker_pool.h"
+#include "loadtest/emulators/worker_pool.h"
 
 #include <algorithm>
 #include <cstdio>
@@ -6,7 +6,7 @@
 
 #include "worker_pool/protocol.h"
 
-namespace cottonwing::lab {
+namespace cottonwing::loadtest {
 
 using namespace std::chrono_literals;
 using Json = nlohmann::json;
@@ -278,4 +278,4 @@
     pace_.ringAt(upAt_);
 }
 
-}  // namespace cottonwing::lab
+}  // namespace cottonwing::loadtest
--- a/src/lab/emulate/worker_pool.h
+++ b/src/loadtest/emulators/worker_pool.h
@@ -7,11 +7,11 @@
 #include <string>
 #include <unordered_map>
 
-#include "lab/audit/books.h"
-#include "lab/emulate/cores.h"
+#include "loadtest/emulators/cores.h"
+#include "loadtest/invariants/invariant_checker.h"
 #include "net/connection.h"
 
-namespace cottonwing::lab {
+namespace cottonwing::loadtest {
 
 struct PoolTerms {
     CoreTerms cores;
@@ -90,4 +90,4 @@
     std::unique_ptr<net::Listener> listener_;
 };
 
-}  // namespace cottonwing::lab
+}  // namespace cottonwing::loadtest
--- a/src/lab/experiment.cpp
+++ b/src/loadtest/experiment.cpp
@@ -1,4 +1,4 @@
-#include "lab/experiment.h"
+#include "loadtest/experiment.h"
 
 #include <sys/stat.h>
 #include <unistd.h>
@@ -9,9 +9,9 @@
 #include <filesystem>
 #include <fstream>
 
-#include "lab/process.h"
+#include "loadtest/child_process.h"
 
-namespace cottonwing::lab {
+namespace cottonwing::loadtest {
 
 using namespace std::chrono_literals;
 using Json = nlohmann::json;
@@ -291,7 +291,7 @@
                                {"signal", "share_of"}};
     char seed[20];
     std::snprintf(seed, sizeof seed, "%016llx",
-                  static_cast<unsigned long long>(decide::spread(
+                  static_cast<unsigned long long>(routing::spread(
                       plan.seed * 1000 + at + 1000000 * static_cast<std::uint64_t>(backend.crashes))));
     return {
         {"name", backend.name},
@@ -666,4 +666,4 @@
     return all;
 }
 
-}  // namespace cottonwing::lab
+}  // namespace cottonwing::loadtest
--- a/src/lab/experiment.h
+++ b/src/loadtest/experiment.h
@@ -9,12 +9,12 @@
 #include <string>
 #include <vector>
 
-#include "lab/emulate/scgi_server.h"
-#include "lab/emulate/services.h"
-#include "lab/emulate/worker_pool.h"
-#include "lab/load.h"
+#include "loadtest/emulators/http_services.h"
+#include "loadtest/emulators/scgi_server.h"
+#include "loadtest/emulators/worker_pool.h"
+#include "loadtest/load_run.h"
 
-namespace cottonwing::lab {
+namespace cottonwing::loadtest {
 
 struct Fault {
     enum class Kind {
@@ -105,4 +105,4 @@
     std::unique_ptr<World> world_;
 };
 
-}  // namespace cottonwing::lab
+}  // namespace cottonwing::loadtest
--- a/src/lab/audit/books.cpp
+++ b/src/loadtest/invariants/invariant_checker.cpp
@@ -1,8 +1,8 @@
-#include "lab/audit/books.h"
+#include "loadtest/invariants/invariant_checker.h"
 
 #include <utility>
 
-namespace cottonwing::lab {
+namespace cottonwing::loadtest {
 
 namespace {
 constexpr std::size_t kMaxViolations = 50;
@@ -187,4 +187,4 @@
     return tries_.size();
 }
 
-}  // namespace cottonwing::lab
+}  // namespace cottonwing::loadtest
--- a/src/lab/audit/books.h
+++ b/src/loadtest/invariants/invariant_checker.h
@@ -11,9 +11,9 @@
 #include <unordered_map>
 #include <vector>
 
-#include "lab/callers.h"
+#include "loadtest/load_clients.h"
 
-namespace cottonwing::lab {
+namespace cottonwing::loadtest {
 
 enum class Rule { Lost, Twice, Drain, FallOver };
 inline constexpr std::size_t kRules = 4;
@@ -87,4 +87,4 @@
     double completedWork_ = 0;
 };
 
-}  // namespace cottonwing::lab
+}  // namespace cottonwing::loadtest
--- a/src/lab/latencies.cpp
+++ b/src/loadtest/latency_histogram.cpp
@@ -1,9 +1,9 @@
-#include "lab/latencies.h"
+#include "loadtest/latency_histogram.h"
 
 #include <algorithm>
 #include <cmath>
 
-namespace cottonwing::lab {
+namespace cottonwing::loadtest {
 
 namespace bh = boost::histogram;
 
@@ -63,4 +63,4 @@
     return points;
 }
 
-}  // namespace cottonwing::lab
+}  // namespace cottonwing::loadtest
--- a/src/lab/latencies.h
+++ b/src/loadtest/latency_histogram.h
@@ -10,7 +10,7 @@
 
 #include "overload/types.h"
 
-namespace cottonwing::lab {
+namespace cottonwing::loadtest {
 
 class Latencies {
 public:
@@ -44,4 +44,4 @@
     double least_ = 1e300, most_ = 0, sum_ = 0;
 };
 
-}  // namespace cottonwing::lab
+}  // namespace cottonwing::loadtest
--- a/src/lab/callers.cpp
+++ b/src/loadtest/load_clients.cpp
@@ -1,4 +1,4 @@
-#include "lab/callers.h"
+#include "loadtest/load_clients.h"
 
 #include <algorithm>
 #include <charconv>
@@ -9,10 +9,10 @@
 #include "scgi/message.h"
 #include "thrift/codec.h"
 
-namespace cottonwing::lab {
+namespace cottonwing::loadtest {
 
 using namespace std::chrono_literals;
-using decide::Began;
+using routing::Began;
 
 namespace {
 
@@ -44,7 +44,7 @@
 std::string traceOf(std::uint64_t seed, std::uint64_t number, int attempt) {
     // spread() takes no two numbers to one, and a seed shifts all of a run's
     // numbers alike.
-    return hex16(decide::spread(decide::spread(seed) + number * 16 + static_cast<std::uint64_t>(attempt)));
+    return hex16(routing::spread(routing::spread(seed) + number * 16 + static_cast<std::uint64_t>(attempt)));
 }
 
 std::string bodyOf(const Planned& planned, int calls, const std::string& firstTrace) {
@@ -136,7 +136,8 @@
 struct Clients::Client {
     Client(const Habits& habits, std::size_t theNumber, std::uint64_t seed)
         : number(theNumber),
-          chance(static_cast<std::mt19937::result_type>(decide::spread(seed ^ (theNumber + 1) * 0x9E3779B9))),
+          chance(
+              static_cast<std::mt19937::result_type>(routing::spread(seed ^ (theNumber + 1) * 0x9E3779B9))),
           choice(habits.way),
           members(habits.members),
           budget(habits.attempts),
@@ -150,9 +151,9 @@
     }
     const std::size_t number;
     std::mt19937 chance;
-    decide::Choice choice;
-    decide::Members members;
-    decide::Budget budget;
+    routing::Choice choice;
+    routing::Members members;
+    routing::Budget budget;
     std::vector<std::vector<std::unique_ptr<Line>>> lines;  // by target
     std::vector<std::unique_ptr<Line>> checks;
     std::vector<std::deque<std::uint64_t>>
@@ -416,7 +417,7 @@
     std::snprintf(text, sizeof text, "%.4f", std::min(planned.rank, 0.9999));
     fields["order"] = text;
     if (requestClass.repeat == Idempotency::Idempotent)
-        fields["entity"] = hex16(decide::spread(planned.subject));
+        fields["entity"] = hex16(routing::spread(planned.subject));
     return writeServe(request.sequence, fields, bodyOf(planned, requestClass.calls, request.first));
 }
 
@@ -468,7 +469,7 @@
     Client& client = *clients_[request.client];
     request.worst = how;
     client.budget.failed();
-    decide::Tried tried;
+    routing::Tried tried;
     tried.idempotency = terms_.requestClasses[static_cast<std::size_t>(request.planned.requestClass)].repeat;
     tried.began = began;
     tried.attempts = request.attempts;
@@ -477,9 +478,9 @@
     tried.noRetryElsewhere = noRetryElsewhere;
     tried.stopsAt = request.stopsAt;
     tried.useful = kUseful;
-    const auto verdict = decide::again(habits_.attempts, client.budget, tried, now, client.chance);
+    const auto verdict = routing::again(habits_.attempts, client.budget, tried, now, client.chance);
     ++tally_.links.notAgain[static_cast<std::size_t>(verdict.why)];
-    if (verdict.why != decide::Why::Again || (stopped_ && habits_.closed > 0)) return finish(id, how, now);
+    if (verdict.why != routing::Why::Again || (stopped_ && habits_.closed > 0)) return finish(id, how, now);
     request.waited = verdict.at - now;
     agenda(id, request, verdict.at);
 }
@@ -733,4 +734,4 @@
         }
 }
 
-}  // namespace cottonwing::lab
+}  // namespace cottonwing::loadtest
--- a/src/lab/callers.h
+++ b/src/loadtest/load_clients.h
@@ -12,24 +12,24 @@
 #include <unordered_set>
 #include <vector>
 
-#include "decide/attempts/attempts.h"
-#include "decide/choice/choice.h"
-#include "decide/members/members.h"
-#include "lab/pace.h"
-#include "lab/sidecar_thrift.h"
-#include "lab/tally.h"
+#include "loadtest/load_statistics.h"
+#include "loadtest/precise_timer.h"
+#include "loadtest/thrift_client_codec.h"
 #include "net/connection.h"
+#include "routing/load_balancer.h"
+#include "routing/outlier_detection.h"
+#include "routing/retry_policy.h"
 
-namespace cottonwing::lab {
+namespace cottonwing::loadtest {
 
 struct Habits {
     int clients = 4;  // each with a budget, connections and a view of the servers of its own
     std::vector<net::Address> targets;
     std::vector<net::Address> kiosks;  // where each of them takes SCGI, in the
                                        // same order; for request classes that speak it
-    decide::Way way = decide::Way::TwoChoices;
-    decide::AttemptTerms attempts;
-    decide::MemberTerms members;
+    routing::Way way = routing::Way::TwoChoices;
+    routing::AttemptTerms attempts;
+    routing::MemberTerms members;
     int connections = 8;  // to one server, of one client, at most
     int openEach = 32;    // requests on one connection
     Duration closesIdle{std::chrono::seconds(10)};
@@ -104,7 +104,7 @@
     void take(const Planned& planned, Duration scheduled, Duration now);
     void begin(std::uint64_t id, Duration now);
     bool put(std::uint64_t id, TrackedRequest& request, std::size_t target, Duration now);
-    void tryFailed(std::uint64_t id, Duration now, decide::Began began, End how,
+    void tryFailed(std::uint64_t id, Duration now, routing::Began began, End how,
                    std::optional<Duration> retryAfter = {}, bool noRetryElsewhere = false);
     void patienceOver(std::uint64_t id, Duration now);
     void finish(std::uint64_t id, End end, Duration now);
@@ -142,4 +142,4 @@
     Pace pace_;
 };
 
-}  // namespace cottonwing::lab
+}  // namespace cottonwing::loadtest
--- a/src/lab/shape.cpp
+++ b/src/loadtest/load_curve.cpp
@@ -1,10 +1,10 @@
-#include "lab/shape.h"
+#include "loadtest/load_curve.h"
 
 #include <algorithm>
 #include <cmath>
 #include <functional>
 
-namespace cottonwing::lab {
+namespace cottonwing::loadtest {
 
 namespace {
 
@@ -167,4 +167,4 @@
     }
 }
 
-}  // namespace cottonwing::lab
+}  // namespace cottonwing::loadtest
--- a/src/lab/shape.h
+++ b/src/loadtest/load_curve.h
@@ -6,10 +6,10 @@
 #include <memory>
 #include <vector>
 
-#include "lab/draw.h"
+#include "loadtest/random_distributions.h"
 #include "overload/types.h"
 
-namespace cottonwing::lab {
+namespace cottonwing::loadtest {
 
 // A rate over time. Asked at times that never go back.
 class Shape {
@@ -48,4 +48,4 @@
     double end_, at_ = 0, sliceEnd_ = 0, rate_ = 0, owed_ = 0;
 };
 
-}  // namespace cottonwing::lab
+}  // namespace cottonwing::loadtest
--- a/src/lab/load.cpp
+++ b/src/loadtest/load_run.cpp
@@ -1,10 +1,10 @@
-#include "lab/load.h"
+#include "loadtest/load_run.h"
 
 #include <algorithm>
 #include <future>
 #include <nlohmann/json.hpp>
 
-namespace cottonwing::lab {
+namespace cottonwing::loadtest {
 
 using namespace std::chrono_literals;
 using Json = nlohmann::json;
@@ -93,29 +93,29 @@
     }
     if (const kdl::Node* const choose = in.child("choose")) {
         kdl::Fields inner(*choose);
-        habits.way = kdl::Fields::choice<decide::Way>(inner.argument(0, "a way to choose"),
-                                                      {{"round-robin", decide::Way::RoundRobin},
-                                                       {"least", decide::Way::Least},
-                                                       {"two-choices", decide::Way::TwoChoices},
-                                                       {"by-subject", decide::Way::BySubject},
-                                                       {"fastest", decide::Way::Fastest}});
+        habits.way = kdl::Fields::choice<routing::Way>(inner.argument(0, "a way to choose"),
+                                                       {{"round-robin", routing::Way::RoundRobin},
+                                                        {"least", routing::Way::Least},
+                                                        {"two-choices", routing::Way::TwoChoices},
+                                                        {"by-subject", routing::Way::BySubject},
+                                                        {"fastest", routing::Way::Fastest}});
         inner.done();
     }
     if (const kdl::Node* const attempts = in.child("attempts")) {
         kdl::Fields inner(*attempts);
-        decide::AttemptTerms& terms = habits.attempts;
+        routing::AttemptTerms& terms = habits.attempts;
         terms.most =
             static_cast<int>(kdl::whole(inner.argument(0, "how many attempts there are in all"), 1, 6));
         inner.property("growth", terms.growth, [](const kdl::Value& value) {
-            return kdl::Fields::choice<decide::Growth>(
-                value, {{"fixed", decide::Growth::Fixed}, {"exponential", decide::Growth::Exponential}});
+            return kdl::Fields::choice<routing::Growth>(
+                value, {{"fixed", routing::Growth::Fixed}, {"exponential", routing::Growth::Exponential}});
         });
         inner.property("jitter", terms.jitter, [](const kdl::Value& value) {
-            return kdl::Fields::choice<decide::Jitter>(value,
-                                                       {{"none", decide::Jitter::None},
-                                                        {"equal", decide::Jitter::Equal},
-                                                        {"full", decide::Jitter::Full},
-                                                        {"decorrelated", decide::Jitter::Decorrelated}});
+            return kdl::Fields::choice<routing::Jitter>(value,
+                                                        {{"none", routing::Jitter::None},
+                                                         {"equal", routing::Jitter::Equal},
+                                                         {"full", routing::Jitter::Full},
+                                                         {"decorrelated", routing::Jitter::Decorrelated}});
         });
         inner.property("least", terms.least, kdl::duration);
         inner.property("longest", terms.longest, kdl::duration);
@@ -463,7 +463,7 @@
                           {"forgets", links.forgets}, {"sent again", links.sentAgain}};
     Json again;
     for (std::size_t why = 0; why < links.notAgain.size(); ++why)
-        again[decide::nameOf(static_cast<decide::Why>(why))] = links.notAgain[why];
+        again[routing::nameOf(static_cast<routing::Why>(why))] = links.notAgain[why];
     all["after_failed_tries"] = again;
     all["broken"] = {{"twice", tally.broken.twice},
                      {"to nothing", tally.broken.toNothing},
@@ -548,4 +548,4 @@
     return text;
 }
 
-}  // namespace cottonwing::lab
+}  // namespace cottonwing::loadtest
--- a/src/lab/load.h
+++ b/src/loadtest/load_run.h
@@ -11,9 +11,9 @@
 #include <thread>
 #include <vector>
 
-#include "lab/callers.h"
+#include "loadtest/load_clients.h"
 
-namespace cottonwing::lab {
+namespace cottonwing::loadtest {
 
 struct LoadTerms {
     PlanTerms plan;
@@ -68,4 +68,4 @@
     bool stopped_ = false;
 };
 
-}  // namespace cottonwing::lab
+}  // namespace cottonwing::loadtest
--- a/src/lab/tally.cpp
+++ b/src/loadtest/load_statistics.cpp
@@ -1,9 +1,9 @@
-#include "lab/tally.h"
+#include "loadtest/load_statistics.h"
 
 #include <algorithm>
 #include <numeric>
 
-namespace cottonwing::lab {
+namespace cottonwing::loadtest {
 
 namespace {
 
@@ -133,4 +133,4 @@
     return all;
 }
 
-}  // namespace cottonwing::lab
+}  // namespace cottonwing::loadtest
--- a/src/lab/tally.h
+++ b/src/loadtest/load_statistics.h
@@ -9,10 +9,10 @@
 #include <string>
 #include <vector>
 
-#include "lab/latencies.h"
-#include "lab/plan.h"
+#include "loadtest/latency_histogram.h"
+#include "loadtest/request_schedule.h"
 
-namespace cottonwing::lab {
+namespace cottonwing::loadtest {
 
 enum class End { Completed, Late, Rejected, Failed, NoAnswer, ConnectionLost, NeverSent };
 inline constexpr std::size_t kEnds = 7;
@@ -70,7 +70,7 @@
 struct Links {
     std::uint64_t opened = 0, refused = 0, reset = 0, closed = 0, goaways = 0, idleClosed = 0;
     std::uint64_t checks = 0, badChecks = 0, forgets = 0, sentAgain = 0;
-    std::array<std::uint64_t, 6> notAgain{};  // by decide::Why
+    std::array<std::uint64_t, 6> notAgain{};  // by routing::Why
     void add(const Links& other);
 };
 
@@ -91,4 +91,4 @@
     Latencies completed() const;
 };
 
-}  // namespace cottonwing::lab
+}  // namespace cottonwing::loadtest
--- a/src/lab/main.cpp
+++ b/src/loadtest/main.cpp
@@ -9,17 +9,17 @@
 #include <iostream>
 #include <nlohmann/json.hpp>
 
-#include "lab/compare.h"
-#include "lab/emulate/answering.h"
-#include "lab/emulate/scgi_server.h"
-#include "lab/experiment.h"
-#include "lab/report.h"
+#include "loadtest/emulators/scgi_server.h"
+#include "loadtest/emulators/thrift_server.h"
+#include "loadtest/experiment.h"
+#include "loadtest/paired_comparison.h"
+#include "loadtest/report.h"
 #include "net/signal.h"
 
 namespace {
 
 using namespace cottonwing;
-using namespace cottonwing::lab;
+using namespace cottonwing::loadtest;
 using namespace std::chrono_literals;
 
 // Turns a loop of its own until all is done, with a line of progress on a
--- a/src/lab/compare.cpp
+++ b/src/loadtest/paired_comparison.cpp
@@ -1,11 +1,11 @@
-#include "lab/compare.h"
+#include "loadtest/paired_comparison.h"
 
 #include <algorithm>
 #include <boost/math/distributions/students_t.hpp>
 #include <cmath>
 #include <limits>
 
-namespace cottonwing::lab {
+namespace cottonwing::loadtest {
 
 Ratio ratioOf(const std::vector<double>& a, const std::vector<double>& b) {
     constexpr double kLeast = 1e-9;  // nothing earned is no reason for no figure
@@ -35,4 +35,4 @@
     return ratio;
 }
 
-}  // namespace cottonwing::lab
+}  // namespace cottonwing::loadtest
--- a/src/lab/compare.h
+++ b/src/loadtest/paired_comparison.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-namespace cottonwing::lab {
+namespace cottonwing::loadtest {
 
 struct Ratio {
     double mean = 1, low = 1,
@@ -18,4 +18,4 @@
 // there is. By Student's t on the logarithms, as the days differ by factors.
 Ratio ratioOf(const std::vector<double>& a, const std::vector<double>& b);
 
-}  // namespace cottonwing::lab
+}  // namespace cottonwing::loadtest
--- a/src/lab/pace.cpp
+++ b/src/loadtest/precise_timer.cpp
@@ -1,4 +1,4 @@
-#include "lab/pace.h"
+#include "loadtest/precise_timer.h"
 
 #include <sys/timerfd.h>
 #include <unistd.h>
@@ -8,7 +8,7 @@
 #include <cstring>
 #include <stdexcept>
 
-namespace cottonwing::lab {
+namespace cottonwing::loadtest {
 
 Duration steadyNow() {
     return std::chrono::duration_cast<Duration>(std::chrono::steady_clock::now().time_since_epoch());
@@ -80,4 +80,4 @@
 
 void Bell::ring() { uv_async_send(&handle_->async); }
 
-}  // namespace cottonwing::lab
+}  // namespace cottonwing::loadtest
--- a/src/lab/pace.h
+++ b/src/loadtest/precise_timer.h
@@ -6,7 +6,7 @@
 
 #include "net/loop.h"
 
-namespace cottonwing::lab {
+namespace cottonwing::loadtest {
 
 // The clock that never goes back.
 Duration steadyNow();
@@ -39,4 +39,4 @@
     Handle* handle_;
 };
 
-}  // namespace cottonwing::lab
+}  // namespace cottonwing::loadtest
--- a/src/lab/draw.cpp
+++ b/src/loadtest/random_distributions.cpp
@@ -1,9 +1,9 @@
-#include "lab/draw.h"
+#include "loadtest/random_distributions.h"
 
 #include <algorithm>
 #include <cmath>
 
-namespace cottonwing::lab {
+namespace cottonwing::loadtest {
 
 namespace {
 constexpr double kP99 = 2.3263478740408408;  // standard deviations above the median
@@ -152,4 +152,4 @@
     }
 }
 
-}  // namespace cottonwing::lab
+}  // namespace cottonwing::loadtest
--- a/src/lab/draw.h
+++ b/src/loadtest/random_distributions.h
@@ -9,7 +9,7 @@
 
 #include "kdl/fields.h"
 
-namespace cottonwing::lab {
+namespace cottonwing::loadtest {
 
 // A stream of its own for each matter, by number, so that a change in one moves
 // nothing in another.
@@ -69,4 +69,4 @@
 double secondsOf(const kdl::Value& value);  // a duration
 double bytesOf(const kdl::Value& value);    // a size
 
-}  // namespace cottonwing::lab
+}  // namespace cottonwing::loadtest
--- a/src/lab/report.cpp
+++ b/src/loadtest/report.cpp
@@ -1,4 +1,4 @@
-#include "lab/report.h"
+#include "loadtest/report.h"
 
 #include <algorithm>
 #include <cmath>
@@ -8,9 +8,9 @@
 #include <nlohmann/json.hpp>
 #include <stdexcept>
 
-#include "lab/report_template.h"
+#include "loadtest/report_template.h"
 
-namespace cottonwing::lab {
+namespace cottonwing::loadtest {
 
 using Json = nlohmann::json;
 
@@ -384,4 +384,4 @@
                                                      {"made", made}});
 }
 
-}  // namespace cottonwing::lab
+}  // namespace cottonwing::loadtest
--- a/src/lab/report.h
+++ b/src/loadtest/report.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-namespace cottonwing::lab {
+namespace cottonwing::loadtest {
 
 // runs: the figures of experiments as they were written, in the order they were
 // played, of one build or of two
@@ -32,4 +32,4 @@
 };
 std::string svgOf(const Plot& plot);
 
-}  // namespace cottonwing::lab
+}  // namespace cottonwing::loadtest
--- a/src/lab/plan.cpp
+++ b/src/loadtest/request_schedule.cpp
@@ -1,4 +1,4 @@
-#include "lab/plan.h"
+#include "loadtest/request_schedule.h"
 
 #include <algorithm>
 #include <cctype>
@@ -10,7 +10,7 @@
 #include <nlohmann/json.hpp>
 #include <queue>
 
-namespace cottonwing::lab {
+namespace cottonwing::loadtest {
 
 namespace {
 
@@ -361,4 +361,4 @@
     return out_.good();
 }
 
-}  // namespace cottonwing::lab
+}  // namespace cottonwing::loadtest
--- a/src/lab/plan.h
+++ b/src/loadtest/request_schedule.h
@@ -9,11 +9,11 @@
 #include <string>
 #include <vector>
 
-#include "lab/draw.h"
-#include "lab/shape.h"
+#include "loadtest/load_curve.h"
+#include "loadtest/random_distributions.h"
 #include "overload/types.h"
 
-namespace cottonwing::lab {
+namespace cottonwing::loadtest {
 
 struct RequestClassLoad {
     std::string name;
@@ -92,4 +92,4 @@
 
 std::string tenantName(std::uint64_t tenant);
 
-}  // namespace cottonwing::lab
+}  // namespace cottonwing::loadtest
--- a/src/lab/sidecar_thrift.cpp
+++ b/src/loadtest/thrift_client_codec.cpp
@@ -1,6 +1,6 @@
-#include "lab/sidecar_thrift.h"
+#include "loadtest/thrift_client_codec.h"
 
-namespace cottonwing::lab {
+namespace cottonwing::loadtest {
 
 using namespace thrift;
 
@@ -79,4 +79,4 @@
     return clientResponse;
 }
 
-}  // namespace cottonwing::lab
+}  // namespace cottonwing::loadtest
--- a/src/lab/sidecar_thrift.h
+++ b/src/loadtest/thrift_client_codec.h
@@ -8,7 +8,7 @@
 
 #include "thrift/binary_protocol.h"
 
-namespace cottonwing::lab {
+namespace cottonwing::loadtest {
 
 struct ClientResponse {
     enum class Kind { Answer, Busy, Failed, Exception, Goaway } kind = Kind::Exception;
@@ -28,4 +28,4 @@
 // send.
 std::optional<ClientResponse> readClientResponse(std::string_view frame);
 
-}  // namespace cottonwing::lab
+}  // namespace cottonwing::loadtest
--- a/src/decide/limit/limit.cpp
+++ b/src/routing/concurrency_limit.cpp
@@ -1,9 +1,9 @@
-#include "decide/limit/limit.h"
+#include "routing/concurrency_limit.h"
 
 #include <algorithm>
 #include <cmath>
 
-namespace cottonwing::decide {
+namespace cottonwing::routing {
 
 namespace {
 double seconds(Duration time) { return std::chrono::duration<double>(time).count(); }
@@ -67,4 +67,4 @@
     lastFall_ = Duration(0);
 }
 
-}  // namespace cottonwing::decide
+}  // namespace cottonwing::routing
--- a/src/decide/limit/limit.h
+++ b/src/routing/concurrency_limit.h
@@ -12,7 +12,7 @@
 
 #include "overload/types.h"
 
-namespace cottonwing::decide {
+namespace cottonwing::routing {
 
 struct LimitTerms {
     double most = 100;     // the operator's
@@ -49,4 +49,4 @@
     Duration nextLook_{0}, lastFall_{0};
 };
 
-}  // namespace cottonwing::decide
+}  // namespace cottonwing::routing
--- a/src/decide/choice/choice.cpp
+++ b/src/routing/load_balancer.cpp
@@ -1,9 +1,9 @@
-#include "decide/choice/choice.h"
+#include "routing/load_balancer.h"
 
 #include <algorithm>
 #include <cmath>
 
-namespace cottonwing::decide {
+namespace cottonwing::routing {
 
 std::uint64_t spread(std::uint64_t number) {
     number += 0x9E3779B97F4A7C15ULL;
@@ -179,4 +179,4 @@
     return equals[std::uniform_int_distribution<std::size_t>(0, equals.size() - 1)(chance)];
 }
 
-}  // namespace cottonwing::decide
+}  // namespace cottonwing::routing
--- a/src/decide/choice/choice.h
+++ b/src/routing/load_balancer.h
@@ -13,7 +13,7 @@
 
 #include "overload/types.h"
 
-namespace cottonwing::decide {
+namespace cottonwing::routing {
 
 enum class Way {
     RoundRobin,
@@ -80,4 +80,4 @@
 // A good spread of any number over 64 bits.
 std::uint64_t spread(std::uint64_t number);
 
-}  // namespace cottonwing::decide
+}  // namespace cottonwing::routing
--- a/src/decide/members/members.cpp
+++ b/src/routing/outlier_detection.cpp
@@ -1,9 +1,9 @@
-#include "decide/members/members.h"
+#include "routing/outlier_detection.h"
 
 #include <algorithm>
 #include <bit>
 
-namespace cottonwing::decide {
+namespace cottonwing::routing {
 
 Members::Index Members::add() {
     ++present_;
@@ -127,4 +127,4 @@
     member.backAt = now;
 }
 
-}  // namespace cottonwing::decide
+}  // namespace cottonwing::routing
--- a/src/decide/members/members.h
+++ b/src/routing/outlier_detection.h
@@ -15,7 +15,7 @@
 
 #include "overload/types.h"
 
-namespace cottonwing::decide {
+namespace cottonwing::routing {
 
 struct MemberTerms {
     int failuresInARow = 5;  // of real requests
@@ -81,4 +81,4 @@
     std::uint64_t changes_ = 0;
 };
 
-}  // namespace cottonwing::decide
+}  // namespace cottonwing::routing
--- a/src/decide/attempts/attempts.cpp
+++ b/src/routing/retry_policy.cpp
@@ -1,9 +1,9 @@
-#include "decide/attempts/attempts.h"
+#include "routing/retry_policy.h"
 
 #include <algorithm>
 #include <cmath>
 
-namespace cottonwing::decide {
+namespace cottonwing::routing {
 
 namespace {
 
@@ -63,4 +63,4 @@
     return {Why::Again, now + pause};
 }
 
-}  // namespace cottonwing::decide
+}  // namespace cottonwing::routing
--- a/src/decide/attempts/attempts.h
+++ b/src/routing/retry_policy.h
@@ -12,7 +12,7 @@
 
 #include "overload/types.h"
 
-namespace cottonwing::decide {
+namespace cottonwing::routing {
 
 enum class Growth { Fixed, Exponential };
 enum class Jitter {
@@ -83,4 +83,4 @@
 // The wait before attempt number `attempts` + 1.
 Duration wait(const AttemptTerms& terms, int attempts, Duration before, std::mt19937& chance);
 
-}  // namespace cottonwing::decide
+}  // namespace cottonwing::routing
--- a/src/decide/routes/routes.cpp
+++ b/src/routing/route_table.cpp
@@ -1,10 +1,10 @@
-#include "decide/routes/routes.h"
+#include "routing/route_table.h"
 
 #include <algorithm>
 #include <stdexcept>
 #include <unordered_map>
 
-namespace cottonwing::decide {
+namespace cottonwing::routing {
 
 namespace {
 
@@ -155,4 +155,4 @@
     return taken;
 }
 
-}  // namespace cottonwing::decide
+}  // namespace cottonwing::routing
--- a/src/decide/routes/routes.h
+++ b/src/routing/route_table.h
@@ -16,7 +16,7 @@
 #include <string_view>
 #include <vector>
 
-namespace cottonwing::decide {
+namespace cottonwing::routing {
 
 struct Route {
     std::string path;                                          // the pattern, beginning with a slash
@@ -61,4 +61,4 @@
 std::optional<Taken> findPlainly(const std::vector<Route>& routes, std::string_view path,
                                  std::string_view method, const HeaderOf& header);
 
-}  // namespace cottonwing::decide
+}  // namespace cottonwing::routing
--- a/src/fronts/scgi/front.cpp
+++ b/src/scgi/scgi_server.cpp
@@ -1,11 +1,11 @@
-#include "fronts/scgi/front.h"
+#include "scgi/scgi_server.h"
 
 #include <algorithm>
 #include <charconv>
 #include <cmath>
 #include <cstdio>
 
-namespace cottonwing::fronts {
+namespace cottonwing::scgi {
 
 using namespace std::chrono_literals;
 
@@ -80,7 +80,7 @@
     std::unique_ptr<net::Connection> connection;
 };
 
-ScgiFront::ScgiFront(net::Loop& loop, ScgiFrontTerms terms, decide::Routes routes,
+ScgiFront::ScgiFront(net::Loop& loop, ScgiFrontTerms terms, routing::Routes routes,
                      std::vector<RequestClass> requestClasses, std::uint64_t seed,
                      request::RequestManager& backend, telemetry::Log& log)
     : loop_(loop),
@@ -274,4 +274,4 @@
         }
 }
 
-}  // namespace cottonwing::fronts
+}  // namespace cottonwing::scgi
--- a/src/fronts/scgi/front.h
+++ b/src/scgi/scgi_server.h
@@ -9,12 +9,12 @@
 #include <string>
 #include <unordered_map>
 
-#include "decide/routes/routes.h"
 #include "net/connection.h"
 #include "request/request_manager.h"
+#include "routing/route_table.h"
 #include "scgi/message.h"
 
-namespace cottonwing::fronts {
+namespace cottonwing::scgi {
 
 // What a route says of a request. Names of headers are as CGI has them (HTTP_X_CUSTOMER); empty: not read.
 struct Meaning {
@@ -42,7 +42,7 @@
 
 class ScgiFront : public request::ResponseSink {
 public:
-    ScgiFront(net::Loop& loop, ScgiFrontTerms terms, decide::Routes routes,
+    ScgiFront(net::Loop& loop, ScgiFrontTerms terms, routing::Routes routes,
               std::vector<RequestClass> requestClasses, std::uint64_t seed, request::RequestManager& backend,
               telemetry::Log& log);
     ~ScgiFront() override;
@@ -74,7 +74,7 @@
 
     net::Loop& loop_;
     const ScgiFrontTerms terms_;
-    const decide::Routes routes_;
+    const routing::Routes routes_;
     const std::vector<RequestClass> requestClasses_;
     const std::shared_ptr<net::MemoryBudget> total_;
     std::mt19937_64 chance_;
@@ -90,4 +90,4 @@
     std::unique_ptr<net::Listener> listener_;
 };
 
-}  // namespace cottonwing::fronts
+}  // namespace cottonwing::scgi
--- a/src/upstreams/scgi/groups.cpp
+++ b/src/scgi/upstream_groups.cpp
@@ -1,12 +1,12 @@
-#include "upstreams/scgi/groups.h"
+#include "scgi/upstream_groups.h"
 
 #include <algorithm>
 
-namespace cottonwing::upstreams {
+namespace cottonwing::scgi {
 
 using namespace std::chrono_literals;
-using decide::Began;
-using State = decide::Members::State;
+using routing::Began;
+using State = routing::Members::State;
 
 namespace {
 
@@ -59,9 +59,9 @@
       timer_(loop, [this] { pump(); }) {
     for (const GroupTerms& terms : groups) {
         groups_.push_back(std::unique_ptr<Group>(new Group{terms,
-                                                           decide::Members(terms.members),
-                                                           decide::Choice(terms.way),
-                                                           decide::Budget(terms.attempts),
+                                                           routing::Members(terms.members),
+                                                           routing::Choice(terms.way),
+                                                           routing::Budget(terms.attempts),
                                                            {},
                                                            {}}));
         for (const ServerTerms& server : terms.servers) addServer(*groups_.back(), server);
@@ -73,9 +73,9 @@
 
 void ScgiGroups::addServer(Group& group, const ServerTerms& terms) {
     const std::size_t at = group.members.add();
-    decide::LimitTerms limit;
+    routing::LimitTerms limit;
     limit.most = terms.most;
-    Server server{terms, decide::Limit(limit), 0, false, false, nullptr};
+    Server server{terms, routing::Limit(limit), 0, false, false, nullptr};
     if (at < group.servers.size())
         group.servers[at] = server;
     else
@@ -108,9 +108,9 @@
             } else if (!(*still == server.terms)) {
                 if (still->weight != server.terms.weight) group.choice.setWeight(at, still->weight);
                 if (still->most != server.terms.most) {
-                    decide::LimitTerms limit;
+                    routing::LimitTerms limit;
                     limit.most = still->most;
-                    server.limit = decide::Limit(limit);
+                    server.limit = routing::Limit(limit);
                 }
                 server.terms = *still;
             }
@@ -315,20 +315,20 @@
     Job& job = jobs_.at(id);
     Group& group = *groups_[job.group];
     group.budget.failed();
-    decide::Tried tried;
+    routing::Tried tried;
     tried.idempotency = requestClasses_[static_cast<std::size_t>(job.requestClass)].idempotency;
     tried.began = began;
     tried.attempts = job.attempts;
     tried.waited = job.waited;
     tried.stopsAt = job.due;
     tried.useful = kUseful;
-    const auto verdict = decide::again(group.terms.attempts, group.budget, tried, at, chance_);
+    const auto verdict = routing::again(group.terms.attempts, group.budget, tried, at, chance_);
     ++counts_.notAgain[static_cast<std::size_t>(verdict.why)];
-    if (verdict.why == decide::Why::Again) {
+    if (verdict.why == routing::Why::Again) {
         job.waited = verdict.at - at;
         return agenda(id, job, verdict.at);
     }
-    log_.debug("group", job.name + " not tried again (" + decide::nameOf(verdict.why) + "): " + why);
+    log_.debug("group", job.name + " not tried again (" + routing::nameOf(verdict.why) + "): " + why);
     // What a server said of its failure is said on as it is; a client of another
     // protocol gets the failure alone.
     if (!job.said.empty() && job.format == request::PayloadFormat::Scgi)
@@ -466,4 +466,4 @@
     told(any);
 }
 
-}  // namespace cottonwing::upstreams
+}  // namespace cottonwing::scgi
--- a/src/upstreams/scgi/groups.h
+++ b/src/scgi/upstream_groups.h
@@ -1,6 +1,6 @@
 // Groups of SCGI servers that run requests, in place of a worker pool: a
 // connection for each attempt, as the protocol has it. Which server, who is
-// left out, how many at once, what is tried again is decided in src/decide;
+// left out, how many at once, what is tried again is decided in src/routing;
 // here it is carried out.
 #pragma once
 
@@ -14,15 +14,15 @@
 #include <unordered_map>
 #include <vector>
 
-#include "decide/attempts/attempts.h"
-#include "decide/choice/choice.h"
-#include "decide/limit/limit.h"
-#include "decide/members/members.h"
 #include "net/connection.h"
 #include "request/request_manager.h"
+#include "routing/concurrency_limit.h"
+#include "routing/load_balancer.h"
+#include "routing/outlier_detection.h"
+#include "routing/retry_policy.h"
 #include "scgi/message.h"
 
-namespace cottonwing::upstreams {
+namespace cottonwing::scgi {
 
 struct ServerTerms {
     net::Address at;
@@ -34,9 +34,9 @@
 struct GroupTerms {
     std::string name;
     std::vector<ServerTerms> servers;
-    decide::Way way = decide::Way::TwoChoices;
-    decide::AttemptTerms attempts;
-    decide::MemberTerms members;
+    routing::Way way = routing::Way::TwoChoices;
+    routing::AttemptTerms attempts;
+    routing::MemberTerms members;
     Duration connectsWithin{std::chrono::milliseconds(500)};
     Duration checksEvery{0};  // 0: none
     std::string checkPath = "/";
@@ -84,16 +84,16 @@
     struct Line;
     struct Server {
         ServerTerms terms;
-        decide::Limit limit;
+        routing::Limit limit;
         int flying = 0;
         bool leaving = false, gone = false;
         Line* check = nullptr;
     };
     struct Group {
         GroupTerms terms;
-        decide::Members members;
-        decide::Choice choice;
-        decide::Budget budget;
+        routing::Members members;
+        routing::Choice choice;
+        routing::Budget budget;
         std::vector<Server> servers;    // by the members' places
         std::deque<RequestId> waiting;  // for a server that may be used; emptied by
                                         // that, by time and halts
@@ -114,7 +114,7 @@
     void agenda(RequestId id, Job& job, Duration at);
     void pump();
     void begin(RequestId id, Duration now);
-    void attemptFailed(RequestId id, decide::Began began, Duration now, const char* why);
+    void attemptFailed(RequestId id, routing::Began began, Duration now, const char* why);
     // The result by value: it may be the job's own, which ends here.
     void finish(RequestId id, Outcome outcome, std::string result);
     void replied(Line& line);
@@ -123,7 +123,7 @@
     void sendWaiting(Group& group, Duration now);
     void check(Duration now);
     void addServer(Group& group, const ServerTerms& terms);
-    void tellStates(Group& group, std::size_t at, decide::Members::State before, Duration now);
+    void tellStates(Group& group, std::size_t at, routing::Members::State before, Duration now);
 
     net::Loop& loop_;
     const std::vector<std::size_t> groupOf_;
@@ -147,4 +147,4 @@
     net::Timer timer_;
 };
 
-}  // namespace cottonwing::upstreams
+}  // namespace cottonwing::scgi
--- a/src/serve/gateway.cpp
+++ b/src/serve/gateway.cpp
@@ -45,15 +45,15 @@
                                                          terms_.terms.requestClasses, true, backend_, log,
                                                          counters);
     if (terms_.scgi) {
-        decide::Routes routes;
-        for (const decide::Route& route : terms_.routes)
-            if (const decide::Route* before = routes.add(route))
+        routing::Routes routes;
+        for (const routing::Route& route : terms_.routes)
+            if (const routing::Route* before = routes.add(route))
                 log.warn("routes",
                          route.path +
                              " is never taken: an earlier route has the same path and conditions as " +
                              before->path);
-        scgi_ = std::make_unique<fronts::ScgiFront>(loop, *terms_.scgi, std::move(routes),
-                                                    terms_.terms.requestClasses, terms_.seed, backend_, log);
+        scgi_ = std::make_unique<scgi::ScgiFront>(loop, *terms_.scgi, std::move(routes),
+                                                  terms_.terms.requestClasses, terms_.seed, backend_, log);
     }
     request::ResponseSink& first = thrift_ ? static_cast<request::ResponseSink&>(*thrift_) : *scgi_;
     backend_.connect(first, groups_, noCalls_);
--- a/src/serve/gateway.h
+++ b/src/serve/gateway.h
@@ -2,7 +2,7 @@
 // from the operator's file, until it has left.
 #pragma once
 
-#include "serve/terms.h"
+#include "serve/gateway_config.h"
 #include "thrift/thrift_server.h"
 
 namespace cottonwing::serve {
@@ -20,8 +20,8 @@
     void print(std::ostream& out) const;
 
     const request::RequestManager& requestManager() const { return backend_; }
-    const upstreams::ScgiGroups& groups() const { return groups_; }
-    const fronts::ScgiFront* scgi() const { return scgi_.get(); }
+    const scgi::ScgiGroups& groups() const { return groups_; }
+    const scgi::ScgiFront* scgi() const { return scgi_.get(); }
     const thrift::ThriftServer* thrift() const { return thrift_.get(); }
 
 private:
@@ -39,9 +39,9 @@
     telemetry::Counters& counters_;
     request::RequestManager backend_;
     NoCalls noCalls_;
-    upstreams::ScgiGroups groups_;
+    scgi::ScgiGroups groups_;
     std::unique_ptr<thrift::ThriftServer> thrift_;
-    std::unique_ptr<fronts::ScgiFront> scgi_;
+    std::unique_ptr<scgi::ScgiFront> scgi_;
     net::Timer drainTimer_, lastCall_, stopTimer_;
     bool leaving_ = false, draining_ = false;
 };
--- a/src/serve/terms.cpp
+++ b/src/serve/gateway_config.cpp
@@ -1,4 +1,4 @@
-#include "serve/terms.h"
+#include "serve/gateway_config.h"
 
 #include <algorithm>
 
@@ -22,11 +22,11 @@
 }
 
 // "board-item=1" as KDL has it: the properties of one node are conditions, all of them.
-decide::Route readRoute(kdl::Fields& in, fronts::Meaning& meaning, const config::NameTables& names) {
-    decide::Route route;
+routing::Route readRoute(kdl::Fields& in, scgi::Meaning& meaning, const config::NameTables& names) {
+    routing::Route route;
     const kdl::Value& path = in.argument(0, "a path such as /board/:hall");
     route.path = kdl::text(path);
-    if (const auto wrong = decide::Routes::wrong(route.path))
+    if (const auto wrong = routing::Routes::wrong(route.path))
         throw kdl::Problem(path.at, "'" + route.path + "' was found", *wrong);
     for (const kdl::Value* method : in.rest(1)) route.methods.push_back(kdl::text(*method));
     const kdl::Value& requestClass = need(in, "profile");
@@ -50,13 +50,13 @@
     return route;
 }
 
-upstreams::GroupTerms readGroup(const kdl::Node& node) {
+scgi::GroupTerms readGroup(const kdl::Node& node) {
     kdl::Fields in(node);
-    upstreams::GroupTerms group;
+    scgi::GroupTerms group;
     group.name = kdl::text(in.argument(0, "the name of a group"));
     for (const kdl::Node* found : in.children("server")) {
         kdl::Fields inner(*found);
-        upstreams::ServerTerms server;
+        scgi::ServerTerms server;
         server.at = addressOf(inner.argument(0, "an address such as \"127.0.0.1:9000\""), 1);
         inner.property("weight", server.weight, kdl::number);
         inner.property("most", server.most, kdl::wholeFrom(1, 100000));
@@ -78,11 +78,11 @@
         throw kdl::Problem(node.at, "more than 2000 servers were found", "at most 2000 were expected");
     if (const kdl::Node* const choose = in.child("choose")) {
         kdl::Fields inner(*choose);
-        group.way = kdl::Fields::choice<decide::Way>(inner.argument(0, "a way to choose"),
-                                                     {{"round-robin", decide::Way::RoundRobin},
-                                                      {"least", decide::Way::Least},
-                                                      {"two-choices", decide::Way::TwoChoices},
-                                                      {"by-subject", decide::Way::BySubject}});
+        group.way = kdl::Fields::choice<routing::Way>(inner.argument(0, "a way to choose"),
+                                                      {{"round-robin", routing::Way::RoundRobin},
+                                                       {"least", routing::Way::Least},
+                                                       {"two-choices", routing::Way::TwoChoices},
+                                                       {"by-subject", routing::Way::BySubject}});
         inner.done();
     }
     if (const kdl::Node* const found = in.child("leave-out")) {
@@ -229,7 +229,7 @@
     }
     if (const kdl::Node* const found = in.child("scgi")) {
         kdl::Fields inner(*found);
-        fronts::ScgiFrontTerms front;
+        scgi::ScgiFrontTerms front;
         front.listen = addressOf(need(inner, "listen"), 0);
         inner.property("head-at-most", front.bounds.head, kdl::bytes);
         inner.property("body-at-most", front.bounds.body, kdl::bytes);
@@ -238,8 +238,8 @@
         inner.property("takes-within", front.takesWithin, kdl::duration);
         for (const kdl::Node* node : inner.children("route")) {
             kdl::Fields one(*node);
-            fronts::Meaning meaning;
-            decide::Route route = readRoute(one, meaning, all.names);
+            scgi::Meaning meaning;
+            routing::Route route = readRoute(one, meaning, all.names);
             route.target = front.meanings.size();
             front.meanings.push_back(meaning);
             all.routes.push_back(std::move(route));
--- a/src/serve/terms.h
+++ b/src/serve/gateway_config.h
@@ -6,9 +6,9 @@
 #include <vector>
 
 #include "config/process_config.h"
-#include "fronts/scgi/front.h"
 #include "kdl/fields.h"
-#include "upstreams/scgi/groups.h"
+#include "scgi/scgi_server.h"
+#include "scgi/upstream_groups.h"
 
 namespace cottonwing::serve {
 
@@ -18,11 +18,11 @@
     Duration stopAfter{std::chrono::milliseconds(3200)}, grace{std::chrono::milliseconds(800)};
     std::uint64_t seed = 0;  // 0: from the system
     std::optional<net::Address> thrift;
-    std::optional<fronts::ScgiFrontTerms> scgi;
-    std::vector<decide::Route> routes;  // their targets are places in scgi->meanings
-    std::vector<upstreams::GroupTerms> groups;
+    std::optional<scgi::ScgiFrontTerms> scgi;
+    std::vector<routing::Route> routes;  // their targets are places in scgi->meanings
+    std::vector<scgi::GroupTerms> groups;
     std::vector<std::size_t> groupOf;  // by request class
-    upstreams::GroupBounds groupBounds;
+    scgi::GroupBounds groupBounds;
     ControllerConfig terms;
     config::NameTables names;
     std::vector<std::string> requestClassNames;
--- a/tests/lab_world_test.cpp
+++ b/tests/loadtest/experiment_test.cpp
@@ -1,5 +1,7 @@
 // The emulated world: that its cores share as they say, that its books notice each broken rule, that its
 // services have the faults they are told to have; and a short morning with real backends in it.
+#include "loadtest/experiment.h"
+
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 #include <rapidcheck/gtest.h>
@@ -11,12 +13,11 @@
 #include <set>
 
 #include "helpers.h"
-#include "lab/compare.h"
-#include "lab/experiment.h"
-#include "lab/report.h"
+#include "loadtest/paired_comparison.h"
+#include "loadtest/report.h"
 #include "support/processor_sharing_reference.h"
 
-namespace cottonwing::lab {
+namespace cottonwing::loadtest {
 namespace {
 
 using namespace std::chrono_literals;
@@ -437,4 +438,4 @@
 }
 
 }  // namespace
-}  // namespace cottonwing::lab
+}  // namespace cottonwing::loadtest
--- a/tests/lab_test.cpp
+++ b/tests/loadtest/load_run_test.cpp
@@ -1,5 +1,7 @@
 // The load generator: what it draws, what it counts, and that it tells the truth of servers that stall, are
 // deaf, break off, answer twice or are not there, of clocks that step back, and of itself.
+#include "loadtest/load_run.h"
+
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 #include <rapidcheck/gtest.h>
@@ -14,10 +16,9 @@
 #include <nlohmann/json.hpp>
 #include <thread>
 
-#include "lab/emulate/answering.h"
-#include "lab/load.h"
+#include "loadtest/emulators/thrift_server.h"
 
-namespace cottonwing::lab {
+namespace cottonwing::loadtest {
 namespace {
 
 using namespace std::chrono_literals;
@@ -574,7 +575,7 @@
         const LoadResult result = play(*terms, {&schedule});
         expectAddsUp(result);
         std::uint64_t sum = 0;
-        for (const auto& [number, due] : schedule.due) sum += decide::spread(number);
+        for (const auto& [number, due] : schedule.due) sum += routing::spread(number);
         sums.push_back(sum);
     }
     EXPECT_EQ(sums[0], sums[1]);
@@ -655,4 +656,4 @@
 }
 
 }  // namespace
-}  // namespace cottonwing::lab
+}  // namespace cottonwing::loadtest
--- a/tests/net/connection_test.cpp
+++ b/tests/net/connection_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Connections and listeners on loopback. How connections end in order is in crossings_test.cpp too.
+/// Connections and listeners on loopback. How connections end in order is in event_ordering_test.cpp too.
 #include "net/connection.h"
 
 #include <gtest/gtest.h>
--- a/tests/decide_test.cpp
+++ b/tests/routing/routing_test.cpp
@@ -5,11 +5,11 @@
 
 #include <map>
 
-#include "decide/attempts/attempts.h"
-#include "decide/choice/choice.h"
-#include "decide/members/members.h"
+#include "routing/load_balancer.h"
+#include "routing/outlier_detection.h"
+#include "routing/retry_policy.h"
 
-namespace cottonwing::decide {
+namespace cottonwing::routing {
 namespace {
 
 using namespace std::chrono_literals;
@@ -292,4 +292,4 @@
 }
 
 }  // namespace
-}  // namespace cottonwing::decide
+}  // namespace cottonwing::routing
--- a/tests/scgi_test.cpp
+++ b/tests/scgi/scgi_test.cpp
@@ -9,12 +9,12 @@
 #include <fstream>
 #include <thread>
 
-#include "decide/limit/limit.h"
-#include "decide/routes/routes.h"
 #include "helpers.h"
-#include "lab/emulate/scgi_server.h"
-#include "lab/sidecar_thrift.h"
+#include "loadtest/emulators/scgi_server.h"
+#include "loadtest/thrift_client_codec.h"
 #include "raw_client.h"
+#include "routing/concurrency_limit.h"
+#include "routing/route_table.h"
 #include "serve/gateway.h"
 #include "support/before_each_poll.h"
 
@@ -23,8 +23,8 @@
 
 using namespace std::chrono_literals;
 using cottonwing::testing::runUntil;
-using lab::ScgiFault;
-using lab::ScgiServer;
+using loadtest::ScgiFault;
+using loadtest::ScgiServer;
 
 int upTo(int most) { return *rc::gen::resize(1000, rc::gen::inRange(0, most + 1)); }
 
@@ -120,10 +120,10 @@
 // paths, methods and headers.
 RC_GTEST_PROP(RoutesTaken, AsByLookingAtEachInTurn, ()) {
     static const std::vector<std::string> kWords = {"a", "b", "c", "", ":x", ":y"};
-    decide::Routes trie;
-    std::vector<decide::Route> list;
+    routing::Routes trie;
+    std::vector<routing::Route> list;
     for (int n = 1 + upTo(25); n > 0; --n) {
-        decide::Route route;
+        routing::Route route;
         for (int depth = 1 + upTo(3); depth > 0; --depth) route.path += "/" + *rc::gen::elementOf(kWords);
         if (upTo(3) == 0) route.path += "/*";
         if (upTo(2) == 0) route.methods = {upTo(1) ? "GET" : "POST"};
@@ -141,7 +141,7 @@
             return name == "K" ? std::optional<std::string_view>(value) : std::nullopt;
         };
         const auto one = trie.find(path, method, header),
-                   other = decide::findPlainly(list, path, method, header);
+                   other = routing::findPlainly(list, path, method, header);
         RC_ASSERT(one.has_value() == other.has_value());
         if (one) RC_ASSERT(one->route->target == other->route->target);
         if (one) RC_ASSERT(one->names == other->names);
@@ -149,12 +149,12 @@
 }
 
 TEST(RoutesTaken, WrongPatternsAreNamed) {
-    EXPECT_FALSE(decide::Routes::wrong("/a/:b/*"));
-    EXPECT_TRUE(decide::Routes::wrong("a"));
-    EXPECT_TRUE(decide::Routes::wrong("/a/*/b"));
-    EXPECT_TRUE(decide::Routes::wrong("/a*"));
-    EXPECT_TRUE(decide::Routes::wrong("/:"));
-    decide::Routes routes;
+    EXPECT_FALSE(routing::Routes::wrong("/a/:b/*"));
+    EXPECT_TRUE(routing::Routes::wrong("a"));
+    EXPECT_TRUE(routing::Routes::wrong("/a/*/b"));
+    EXPECT_TRUE(routing::Routes::wrong("/a*"));
+    EXPECT_TRUE(routing::Routes::wrong("/:"));
+    routing::Routes routes;
     EXPECT_THROW(routes.add({"nowhere", {}, {}, 0}), std::invalid_argument);
 }
 
@@ -164,7 +164,7 @@
 TEST(LearnedLimit, FindsWhatAServerBearsAndStaysThere) {
     std::mt19937 chance(3);
     std::exponential_distribution<double> work(1 / 0.01);
-    decide::Limit limit(decide::LimitTerms{});
+    routing::Limit limit(routing::LimitTerms{});
     Duration now{0};
     double least = 1e9, most = 0;
     for (int n = 0; n < 30000; ++n) {
@@ -223,7 +223,7 @@
 
 class Hall {
 public:
-    explicit Hall(const std::vector<lab::ScgiServerTerms>& each, const std::string& front = "",
+    explicit Hall(const std::vector<loadtest::ScgiServerTerms>& each, const std::string& front = "",
                   const std::string& group = "")
         : log(lines, telemetry::Level::Debug) {
         loop.onUncaughtException([](const std::string& what) { ADD_FAILURE() << what; });
@@ -271,7 +271,7 @@
 };
 
 TEST(Gateway, PassesRequestAndReplyOnUnchangedAndTheDeadlineWithThem) {
-    Hall hall({lab::ScgiServerTerms{}});
+    Hall hall({loadtest::ScgiServerTerms{}});
     const auto kiosk = hall.kiosk();
     kiosk->ask("/list/supreme?day=2", "GET",
                {{"HTTP_X_TRACE", "00000000000000ab"}, {"HTTP_X_PATIENCE_MS", "900"}, {"HTTP_ODD", "kept"}},
@@ -289,7 +289,7 @@
 }
 
 TEST(Gateway, ThriftAndScgiShareOneCore) {
-    Hall hall({lab::ScgiServerTerms{}});
+    Hall hall({loadtest::ScgiServerTerms{}});
     testing::ThriftTestClient sidecar(hall.loop, hall.gateway->thrift()->port());
     const auto sequence = sidecar.ask(7, "plain bytes", "cause-list", 1500);
     runUntil(hall.loop, [&] { return sidecar.answers.contains(sequence); });
@@ -302,7 +302,7 @@
 
 // Guards against a request that is reset as its connection still waits at the listener when that closes.
 TEST(Gateway, AnScgiConnectionThatWaitsAtTheListenerIsAnsweredAtTheDrain) {
-    Hall hall({lab::ScgiServerTerms{}});
+    Hall hall({loadtest::ScgiServerTerms{}});
     const Duration from = net::unixNow();
     hall.gateway->leave();
     while (net::unixNow() < from + 296ms) hall.loop.turnWithoutWaiting();
@@ -318,7 +318,7 @@
 
 // Guards against a request that is read in the turn in which the process stops, and never answered.
 TEST(Gateway, AThriftRequestReadInTheLastTurnIsAnswered) {
-    Hall hall({lab::ScgiServerTerms{}});
+    Hall hall({loadtest::ScgiServerTerms{}});
     testing::RawClient client(hall.gateway->thrift()->port());
     client.send(testing::frames::isWell(1, false));
     runUntil(hall.loop, [&] { return client.receive() > 0; });
@@ -388,7 +388,7 @@
 }
 
 TEST(Gateway, WithAllServersDownRequestsAreRejectedAtOnceWithRetryAfter) {
-    Hall hall({lab::ScgiServerTerms{}});
+    Hall hall({loadtest::ScgiServerTerms{}});
     const std::string before = hall.asked("/board/1");
     EXPECT_EQ(before.substr(0, 11), "Status: 200");
     hall.servers.clear();
@@ -401,7 +401,7 @@
 }
 
 TEST(Gateway, WrongRequestsCostTheirOwnConnectionAlone) {
-    Hall hall({lab::ScgiServerTerms{}},
+    Hall hall({loadtest::ScgiServerTerms{}},
               "head-at-most=1KiB body-at-most=1KiB "
               "head-within=200ms body-within=200ms");
     const auto told = [&](const std::string& bytes) {
@@ -424,7 +424,7 @@
 // whole after it, it is answered and never run; never whole, it is answered
 // before the stop.
 TEST(Gateway, ABodyThatArrivesSlowlyWhileTheNoticeComes) {
-    Hall hall({lab::ScgiServerTerms{}});
+    Hall hall({loadtest::ScgiServerTerms{}});
     const std::string bytes =
         scgi::writeRequest({{"REQUEST_METHOD", "POST"}, {"REQUEST_URI", "/filing/1"}}, "abcdef");
     auto early = hall.kiosk(), late = hall.kiosk(), never = hall.kiosk();
@@ -454,7 +454,7 @@
     runUntil(hall.loop, [&] { return hall.servers[0]->requests() == 1; });
     auto old = std::move(hall.servers[0]);
     hall.servers[0] =
-        std::make_unique<ScgiServer>(hall.loop, net::Address{"127.0.0.1", 0}, lab::ScgiServerTerms{});
+        std::make_unique<ScgiServer>(hall.loop, net::Address{"127.0.0.1", 0}, loadtest::ScgiServerTerms{});
     hall.write("", "");
     hall.gateway->readAgain(hall.path);
     runUntil(hall.loop, [&] { return kiosk->gone; });
--- a/tests/soak/soak_run.cpp
+++ b/tests/soak/soak_run.cpp
@@ -147,7 +147,7 @@
     registry_.behave(plan.registrySilent, plan.registryDelay);
     writeConfig(PlannedSignal::File::Same);
     recorder_.note("process", "starts, life " + std::to_string(number));
-    process_ = std::make_unique<lab::Process>(
+    process_ = std::make_unique<loadtest::Process>(
         loop_, program_, std::vector<std::string>{},
         std::map<std::string, std::string>{{"GW_NAME", "n3"},
                                            {"GW_LISTEN", textOf(listen_)},
--- a/tests/soak/soak_run.h
+++ b/tests/soak/soak_run.h
@@ -6,7 +6,7 @@
 #include <optional>
 #include <string>
 
-#include "lab/process.h"
+#include "loadtest/child_process.h"
 #include "net/loop.h"
 #include "net/timer.h"
 #include "soak/clients.h"
@@ -65,7 +65,7 @@
     DependencyPeer dependency_;
     RegistryPeer registry_;
     Clients clients_;
-    std::unique_ptr<lab::Process> process_;
+    std::unique_ptr<loadtest::Process> process_;
     net::Timer timer_;
     net::Address listen_;
     Duration lastTick_{0}, nextLook_{0};
--- a/tests/soak/worker_pool_process.cpp
+++ b/tests/soak/worker_pool_process.cpp
@@ -20,8 +20,8 @@
 constexpr Duration kBetweenPieces = 3ms;
 constexpr int kPiecesOneIn = 6, kTwiceOneIn = 12;  // of the notices
 
-lab::CoreTerms coreTerms(const WorkerPoolSettings& settings) {
-    lab::CoreTerms terms;
+loadtest::CoreTerms coreTerms(const WorkerPoolSettings& settings) {
+    loadtest::CoreTerms terms;
     terms.cores = settings.cores;
     return terms;
 }
--- a/tests/soak/worker_pool_process.h
+++ b/tests/soak/worker_pool_process.h
@@ -11,7 +11,7 @@
 #include <string>
 #include <vector>
 
-#include "lab/emulate/cores.h"
+#include "loadtest/emulators/cores.h"
 #include "soak/plan.h"
 #include "soak/recorder.h"
 #include "support/fake_server.h"
@@ -81,7 +81,7 @@
     const WorkerPoolSettings settings_;
     Chance& chance_;
     Recorder& recorder_;
-    lab::Cores cores_;
+    loadtest::Cores cores_;
     std::unique_ptr<testing::FakeServer> first_, second_;
     // The connection that sent `bind` last.
     testing::FakeServer* server_ = nullptr;
--- a/tests/support/processor_sharing_reference.h
+++ b/tests/support/processor_sharing_reference.h
@@ -8,7 +8,7 @@
 #include <map>
 #include <optional>
 
-#include "lab/emulate/cores.h"
+#include "loadtest/emulators/cores.h"
 
 namespace cottonwing::testing {
 
@@ -16,7 +16,7 @@
 /// seconds, as `double` nanoseconds would not add up to the last digit.
 class ProcessorSharingReference {
 public:
-    explicit ProcessorSharingReference(const lab::CoreTerms& terms) : terms_(terms) {}
+    explicit ProcessorSharingReference(const loadtest::CoreTerms& terms) : terms_(terms) {}
 
     void add(std::uint64_t id, double work) { left_[id] = work; }
     void remove(std::uint64_t id) { left_.erase(id); }
@@ -73,7 +73,7 @@
         }
     }
 
-    const lab::CoreTerms terms_;
+    const loadtest::CoreTerms terms_;
     long double now_ = 0;
     long double slow_ = 1;
     std::map<std::uint64_t, long double> left_;  // seconds of work by run
