--- a/src/kdl/document.cpp
+++ b/src/kdl/document.cpp
@@ -167,7 +167,7 @@
     bool dropNode = false, dropEntry = false, dropBlock = false;
 
     template <typename Input>
-    Place place(const Input& in) const {
+    SourceLocation place(const Input& in) const {
         const auto at = in.position();
         return {file, at.line, at.column};
     }
@@ -253,7 +253,7 @@
     template <typename Input>
     static void apply(const Input& in, Builder& to) {
         to.word = contentOf(in.string_view());
-        to.plain = {Value::Kind::Text, to.word, 0, "", false, to.place(in)};
+        to.plain = {Value::Kind::String, to.word, 0, "", false, to.place(in)};
     }
 };
 template <>
@@ -263,9 +263,9 @@
         to.word = in.string();
         for (const char* keyword : {"true", "false", "null", "inf", "-inf", "nan"})
             if (to.word == keyword)
-                throw Problem(to.place(in), "'" + to.word + "' was found",
-                              "'#" + to.word + "' or a text in quotes was expected");
-        to.plain = {Value::Kind::Text, to.word, 0, "", false, to.place(in)};
+                throw DocumentError(to.place(in), "'" + to.word + "' was found",
+                                    "'#" + to.word + "' or a text in quotes was expected");
+        to.plain = {Value::Kind::String, to.word, 0, "", false, to.place(in)};
     }
 };
 template <>
@@ -297,9 +297,9 @@
         const std::string written = in.string();
         to.plain = {Value::Kind::Number, written, 0, "", false, to.place(in)};
         if (written == "#true" || written == "#false")
-            to.plain.kind = Value::Kind::Truth, to.plain.truth = written == "#true";
+            to.plain.kind = Value::Kind::Boolean, to.plain.boolean = written == "#true";
         else if (written == "#null")
-            to.plain.kind = Value::Kind::Nothing;
+            to.plain.kind = Value::Kind::Null;
         else
             to.plain.number = written == "#nan" ? std::nan("") : written == "#inf" ? HUGE_VAL : -HUGE_VAL;
     }
@@ -345,7 +345,7 @@
         Node node;
         node.name = to.word;
         node.type = std::exchange(to.type, "");
-        node.at = to.place(in);
+        node.location = to.place(in);
         to.open.push_back(std::move(node));
         to.dropped.push_back(std::exchange(to.dropNode, false));
     }
@@ -355,9 +355,9 @@
     template <typename Input>
     static void apply(const Input& in, Builder& to) {
         to.blockDropped.push_back(std::exchange(to.dropBlock, false));
-        if (to.blockDropped.size() > kDeepest)
-            throw Problem(to.place(in), "'{' was found",
-                          "at most " + std::to_string(kDeepest) + " nodes in nodes were expected");
+        if (to.blockDropped.size() > kMaxDepth)
+            throw DocumentError(to.place(in), "'{' was found",
+                                "at most " + std::to_string(kMaxDepth) + " nodes in nodes were expected");
     }
 };
 template <>
@@ -389,37 +389,37 @@
 
 }  // namespace
 
-Problem::Problem(const Place& at, const std::string& found, const std::string& expected)
-    : Problem(at, found + ", " + expected) {}
-Problem::Problem(const Place& at, const std::string& what)
+DocumentError::DocumentError(const SourceLocation& at, const std::string& found, const std::string& expected)
+    : DocumentError(at, found + ", " + expected) {}
+DocumentError::DocumentError(const SourceLocation& at, const std::string& what)
     : runtime_error(at.file +
                     (at.line > 0 ? ":" + std::to_string(at.line) + ":" + std::to_string(at.column) : "") +
                     ": " + what) {}
 
-std::vector<Node> read(std::string_view text, const std::string& file) {
-    if (text.size() > kLongest)
-        throw Problem({file, 0, 0}, std::to_string(text.size()) + " bytes were found",
-                      "at most " + std::to_string(kLongest) + " were expected");
+std::vector<Node> parse(std::string_view text, const std::string& file) {
+    if (text.size() > kMaxDocumentBytes)
+        throw DocumentError({file, 0, 0}, std::to_string(text.size()) + " bytes were found",
+                            "at most " + std::to_string(kMaxDocumentBytes) + " were expected");
     Builder builder;
     builder.file = file;
     p::memory_input in(text.data(), text.size(), file);
     try {
         if (!p::parse<Document, Action, Control>(in, builder))
-            throw Problem({file, 1, 1}, "no KDL document was found");
+            throw DocumentError({file, 1, 1}, "no KDL document was found");
     } catch (const p::parse_error& error) {
         const auto& at = error.positions().front();
-        throw Problem({file, at.line, at.column}, foundAt(text, at.byte), std::string(error.message()));
+        throw DocumentError({file, at.line, at.column}, foundAt(text, at.byte), std::string(error.message()));
     }
     return std::move(builder.open.front().children);
 }
 
-std::vector<Node> readFile(const std::string& path) {
+std::vector<Node> parseFile(const std::string& path) {
     std::ifstream in(path, std::ios::binary);
-    if (!in) throw Problem({path, 0, 0}, "the file can't be opened");
+    if (!in) throw DocumentError({path, 0, 0}, "the file can't be opened");
     std::ostringstream all;
     all << in.rdbuf();
-    if (in.bad() || !all) throw Problem({path, 0, 0}, "the file can't be read");
-    return read(all.str(), path);
+    if (in.bad() || !all) throw DocumentError({path, 0, 0}, "the file can't be read");
+    return parse(all.str(), path);
 }
 
 }  // namespace cottonwing::kdl
--- a/src/kdl/document.h
+++ b/src/kdl/document.h
@@ -14,26 +14,26 @@
 namespace cottonwing::kdl {
 
 // Where something stands; lines and columns count from 1, columns in bytes.
-struct Place {
+struct SourceLocation {
     std::string file;
     std::size_t line = 0, column = 0;
 };
 
 // What can't be taken, as `file:line:column: what was found, what was expected`.
-class Problem : public std::runtime_error {
+class DocumentError : public std::runtime_error {
 public:
-    Problem(const Place& at, const std::string& found, const std::string& expected);
-    Problem(const Place& at, const std::string& what);
+    DocumentError(const SourceLocation& at, const std::string& found, const std::string& expected);
+    DocumentError(const SourceLocation& at, const std::string& what);
 };
 
 struct Value {
-    enum class Kind { Text, Number, Truth, Nothing };
-    Kind kind = Kind::Nothing;
+    enum class Kind { String, Number, Boolean, Null };
+    Kind kind = Kind::Null;
     std::string text;  // of a Text its content, else as it is written
     double number = 0;
     std::string unit;  // of a Number: what follows its digits, or its type in round brackets; else empty
-    bool truth = false;
-    Place at;
+    bool boolean = false;
+    SourceLocation location;
 };
 
 struct Node {
@@ -41,15 +41,15 @@
     std::vector<Value> arguments;
     std::map<std::string, Value> properties;  // of one given twice the last counts, as KDL has it
     std::vector<Node> children;
-    Place at;
+    SourceLocation location;
 };
 
-inline constexpr std::size_t kDeepest = 64;       // nodes in nodes
-inline constexpr std::size_t kLongest = 4 << 20;  // bytes of one document
+inline constexpr std::size_t kMaxDepth = 64;               // nodes in nodes
+inline constexpr std::size_t kMaxDocumentBytes = 4 << 20;  // bytes of one document
 
-// Throws Problem. file is only a name for messages.
-std::vector<Node> read(std::string_view text, const std::string& file);
-// Throws Problem also where the file can't be opened or is longer than kLongest.
-std::vector<Node> readFile(const std::string& path);
+// Throws DocumentError. file is only a name for messages.
+std::vector<Node> parse(std::string_view text, const std::string& file);
+// Throws DocumentError also where the file can't be opened or is longer than kMaxDocumentBytes.
+std::vector<Node> parseFile(const std::string& path);
 
 }  // namespace cottonwing::kdl
--- a/src/kdl/fields.cpp
+++ b/src/kdl/fields.cpp
@@ -21,8 +21,8 @@
 
 [[noreturn]] void refuse(const Value& value, const std::string& expected) {
     const std::string what =
-        value.kind == Value::Kind::Text ? "the text '" + value.text + "'" : "'" + value.text + "'";
-    throw Problem(value.at, what + " was found", expected + " was expected");
+        value.kind == Value::Kind::String ? "the text '" + value.text + "'" : "'" + value.text + "'";
+    throw DocumentError(value.location, what + " was found", expected + " was expected");
 }
 
 std::string listed(const Units& units) {
@@ -34,16 +34,16 @@
 
 // In quotes the same is written as in plain KDL, which knows no units: "250ms".
 Value unquoted(const Value& value) {
-    if (value.kind != Value::Kind::Text) return value;
+    if (value.kind != Value::Kind::String) return value;
     try {
-        const auto nodes = read("v " + value.text, value.at.file);
+        const auto nodes = parse("v " + value.text, value.location.file);
         if (nodes.size() == 1 && nodes[0].arguments.size() == 1 &&
             nodes[0].arguments[0].kind == Value::Kind::Number) {
             Value inner = nodes[0].arguments[0];
-            inner.at = value.at;
+            inner.location = value.location;
             return inner;
         }
-    } catch (const Problem&) {
+    } catch (const DocumentError&) {
     }
     return value;
 }
@@ -56,8 +56,8 @@
         if (value.unit == unit) return value.number * factor;
     if (value.number == 0 && value.unit.empty()) return 0;
     if (value.unit.empty()) refuse(given, expected + " with a unit (" + listed(units) + ")");
-    throw Problem(given.at, "the unit '" + value.unit + "' was found",
-                  expected + " in " + listed(units) + " was expected");
+    throw DocumentError(given.location, "the unit '" + value.unit + "' was found",
+                        expected + " in " + listed(units) + " was expected");
 }
 
 }  // namespace
@@ -68,7 +68,7 @@
     return Duration(static_cast<std::int64_t>(std::llround(nanos)));
 }
 
-double share(const Value& given) {
+double fraction(const Value& given) {
     const Value value = unquoted(given);
     if (value.kind != Value::Kind::Number || !std::isfinite(value.number) || value.number < 0 ||
         (!value.unit.empty() && value.unit != "%"))
@@ -90,7 +90,7 @@
     return value.number;
 }
 
-std::int64_t whole(const Value& value, std::int64_t least, std::int64_t most) {
+std::int64_t integer(const Value& value, std::int64_t least, std::int64_t most) {
     const std::string expected =
         "a whole number from " + std::to_string(least) + " to " + std::to_string(most);
     if (value.kind != Value::Kind::Number || !value.unit.empty() ||
@@ -101,51 +101,52 @@
 }
 
 const std::string& text(const Value& value) {
-    if (value.kind != Value::Kind::Text) refuse(value, "a text");
+    if (value.kind != Value::Kind::String) refuse(value, "a text");
     return value.text;
 }
 
-bool truth(const Value& value) {
-    if (value.kind != Value::Kind::Truth) refuse(value, "#true or #false");
-    return value.truth;
+bool boolean(const Value& value) {
+    if (value.kind != Value::Kind::Boolean) refuse(value, "#true or #false");
+    return value.boolean;
 }
 
-void Fields::complain(const std::string& what) const { throw Problem(node_.at, what); }
+void NodeReader::fail(const std::string& what) const { throw DocumentError(node_.location, what); }
 
-const Value& Fields::argument(std::size_t at, const std::string& what) {
+const Value& NodeReader::argument(std::size_t at, const std::string& what) {
     arguments_.insert(at);
     if (at < node_.arguments.size()) return node_.arguments[at];
-    throw Problem(node_.at,
-                  "'" + node_.name + "' was found with " + std::to_string(node_.arguments.size()) + " values",
-                  what + " was expected behind it");
+    throw DocumentError(
+        node_.location,
+        "'" + node_.name + "' was found with " + std::to_string(node_.arguments.size()) + " values",
+        what + " was expected behind it");
 }
 
-const Value* Fields::mayArgument(std::size_t at) {
+const Value* NodeReader::optionalArgument(std::size_t at) {
     arguments_.insert(at);
     return at < node_.arguments.size() ? &node_.arguments[at] : nullptr;
 }
 
-std::vector<const Value*> Fields::rest(std::size_t from) {
+std::vector<const Value*> NodeReader::remainingArguments(std::size_t from) {
     std::vector<const Value*> result;
-    for (std::size_t at = from; at < node_.arguments.size(); ++at) result.push_back(mayArgument(at));
+    for (std::size_t at = from; at < node_.arguments.size(); ++at) result.push_back(optionalArgument(at));
     return result;
 }
 
-const Value* Fields::property(const std::string& name) {
+const Value* NodeReader::property(const std::string& name) {
     properties_.insert(name);
     const auto found = node_.properties.find(name);
     return found == node_.properties.end() ? nullptr : &found->second;
 }
 
-const Node* Fields::child(const std::string& name) {
+const Node* NodeReader::child(const std::string& name) {
     const auto all = children(name);
     if (all.size() > 1)
-        throw Problem(all[1]->at, "a second '" + name + "' was found",
-                      "one was expected, as on line " + std::to_string(all[0]->at.line));
+        throw DocumentError(all[1]->location, "a second '" + name + "' was found",
+                            "one was expected, as on line " + std::to_string(all[0]->location.line));
     return all.empty() ? nullptr : all[0];
 }
 
-std::vector<const Node*> Fields::children(const std::string& name) {
+std::vector<const Node*> NodeReader::children(const std::string& name) {
     children_.insert(name);
     std::vector<const Node*> result;
     for (const Node& child : node_.children)
@@ -153,14 +154,14 @@
     return result;
 }
 
-std::vector<const Node*> Fields::anyChildren() {
+std::vector<const Node*> NodeReader::allChildren() {
     any_ = true;
     std::vector<const Node*> result;
     for (const Node& child : node_.children) result.push_back(&child);
     return result;
 }
 
-void Fields::done() const {
+void NodeReader::rejectUnknown() const {
     const auto known = [](const std::set<std::string>& names, const char* what) {
         std::string all;
         for (const std::string& name : names) all += (all.empty() ? "" : ", ") + name;
@@ -168,14 +169,14 @@
     };
     for (std::size_t at = 0; at < node_.arguments.size(); ++at)
         if (!arguments_.contains(at))
-            throw Problem(node_.arguments[at].at, "'" + node_.arguments[at].text + "' was found",
-                          "no further value was expected behind '" + node_.name + "'");
+            throw DocumentError(node_.arguments[at].location, "'" + node_.arguments[at].text + "' was found",
+                                "no further value was expected behind '" + node_.name + "'");
     for (const auto& [name, value] : node_.properties)
         if (!properties_.contains(name))
-            throw Problem(value.at, "'" + name + "=' was found", known(properties_, "property"));
+            throw DocumentError(value.location, "'" + name + "=' was found", known(properties_, "property"));
     for (const Node& child : node_.children)
         if (!any_ && !children_.contains(child.name))
-            throw Problem(child.at, "'" + child.name + "' was found", known(children_, "node"));
+            throw DocumentError(child.location, "'" + child.name + "' was found", known(children_, "node"));
 }
 
 }  // namespace cottonwing::kdl
--- a/src/kdl/fields.h
+++ b/src/kdl/fields.h
@@ -16,34 +16,35 @@
 
 using Duration = std::chrono::nanoseconds;
 
-// Values with their units. Each throws Problem where another kind of value stands, or one outside its range.
+// Values with their units. Each throws DocumentError where another kind of value stands, or one outside its
+// range.
 Duration duration(const Value& value);    // ns, us, ms, s, min, h, d; 0 may stand alone; never below 0
-double share(const Value& value);         // 35% or 0.35; at least 0
+double fraction(const Value& value);      // 35% or 0.35; at least 0
 double rate(const Value& value);          // a second: 120/s, 90/min, 3600/h; at least 0
 std::uint64_t bytes(const Value& value);  // B, kB, KiB, MB, MiB, GB, GiB
 double number(const Value& value);        // without a unit
-std::int64_t whole(const Value& value, std::int64_t least, std::int64_t most);
+std::int64_t integer(const Value& value, std::int64_t least, std::int64_t most);
 const std::string& text(const Value& value);
-bool truth(const Value& value);
+bool boolean(const Value& value);
 // whole() for a setting or a property.
-inline auto wholeFrom(std::int64_t least, std::int64_t most) {
-    return [=](const Value& value) { return whole(value, least, most); };
+inline auto integerBetween(std::int64_t least, std::int64_t most) {
+    return [=](const Value& value) { return integer(value, least, most); };
 }
 
-class Fields {
+class NodeReader {
 public:
-    explicit Fields(const Node& node) : node_(node) {}
-    Fields(const Fields&) = delete;
-    Fields& operator=(const Fields&) = delete;
+    explicit NodeReader(const Node& node) : node_(node) {}
+    NodeReader(const NodeReader&) = delete;
+    NodeReader& operator=(const NodeReader&) = delete;
 
     const Node& node() const { return node_; }
-    [[noreturn]] void complain(const std::string& what) const;
+    [[noreturn]] void fail(const std::string& what) const;
 
     // The argument at that place, counted from 0. what tells what is expected, as "a duration such as 250ms".
     const Value& argument(std::size_t at, const std::string& what);
-    const Value* mayArgument(std::size_t at);
-    std::vector<const Value*> rest(std::size_t from);  // the arguments from there on
-    const Value* property(const std::string& name);    // nothing where there is none
+    const Value* optionalArgument(std::size_t at);
+    std::vector<const Value*> remainingArguments(std::size_t from);  // the arguments from there on
+    const Value* property(const std::string& name);                  // nothing where there is none
     // Read into `to`, which keeps its value where there is none.
     template <typename T, typename Read>
     void property(const std::string& name, T& to, Read&& reads) {
@@ -52,16 +53,16 @@
     // The one child of that name; more than one is an error.
     const Node* child(const std::string& name);
     std::vector<const Node*> children(const std::string& name);
-    std::vector<const Node*> anyChildren();  // whatever their names
+    std::vector<const Node*> allChildren();  // whatever their names
 
     // The only argument of the child of that name, read by one of the above, or else otherwise.
     template <typename Read, typename T>
     T setting(const std::string& name, Read&& read, T otherwise) {
         const Node* const found = child(name);
         if (found == nullptr) return otherwise;
-        Fields inner(*found);
+        NodeReader inner(*found);
         T result = static_cast<T>(read(inner.argument(0, "a value")));
-        inner.done();
+        inner.rejectUnknown();
         return result;
     }
     // One of the words, as its place in the list.
@@ -69,14 +70,15 @@
     static T choice(const Value& value, const std::vector<std::pair<std::string, T>>& words) {
         std::string known;
         for (const auto& [word, meant] : words) {
-            if (value.kind == Value::Kind::Text && value.text == word) return meant;
+            if (value.kind == Value::Kind::String && value.text == word) return meant;
             known += (known.empty() ? "" : ", ") + word;
         }
-        throw Problem(value.at, "'" + value.text + "' was found", "one of " + known + " was expected");
+        throw DocumentError(value.location, "'" + value.text + "' was found",
+                            "one of " + known + " was expected");
     }
 
-    // Everything in the node was asked for; throws Problem at the first that was not.
-    void done() const;
+    // Everything in the node was asked for; throws DocumentError at the first that was not.
+    void rejectUnknown() const;
 
 private:
     const Node& node_;
--- a/src/loadtest/experiment.cpp
+++ b/src/loadtest/experiment.cpp
@@ -28,81 +28,82 @@
         {"link-break", Fault::Kind::LinkBreak}, {"reload", Fault::Kind::Reload},
         {"release", Fault::Kind::Release},      {"registry", Fault::Kind::Registry},
         {"server", Fault::Kind::Server}};
-    kdl::Fields in(node);
+    kdl::NodeReader in(node);
     Fault fault;
     const kdl::Value& kind = in.argument(0, "what the trouble is");
-    fault.kind = kdl::Fields::choice(kind, kKinds);
+    fault.kind = kdl::NodeReader::choice(kind, kKinds);
     fault.text = kind.text;
     for (const auto& [name, value] : node.properties)
         if (name != "at") fault.text += " " + name + "=" + value.text;
     const kdl::Value* const at = in.property("at");
     if (at == nullptr)
-        throw kdl::Problem(node.at, "a trouble was found without 'at='", "'at=10s' was expected");
+        throw kdl::DocumentError(node.location, "a trouble was found without 'at='", "'at=10s' was expected");
     fault.at = kdl::duration(*at);
     in.property("for", fault.lasts, kdl::duration);
     in.property("each", fault.each, kdl::duration);
     in.property("slow", fault.slow, kdl::number);
-    in.property("hang", fault.hang, kdl::share);
-    in.property("spoil", fault.spoil, kdl::share);
-    in.property("share", fault.share, kdl::share);
-    in.property("down", fault.down, kdl::truth);
-    in.property("cold", fault.cold, kdl::truth);
-    in.property("silent", fault.silent, kdl::truth);
-    in.property("fails", fault.fails, kdl::truth);
+    in.property("hang", fault.hang, kdl::fraction);
+    in.property("spoil", fault.spoil, kdl::fraction);
+    in.property("share", fault.share, kdl::fraction);
+    in.property("down", fault.down, kdl::boolean);
+    in.property("cold", fault.cold, kdl::boolean);
+    in.property("silent", fault.silent, kdl::boolean);
+    in.property("fails", fault.fails, kdl::boolean);
     const std::size_t count = fault.kind == Fault::Kind::Server ? servers : backends;
     if (count == 0)
-        throw kdl::Problem(kind.at, "'server' was found without servers",
-                           "'servers 20' was expected in the experiment");
+        throw kdl::DocumentError(kind.location, "'server' was found without servers",
+                                 "'servers 20' was expected in the experiment");
     if (const kdl::Value* const on = in.property("on"))
-        fault.on = {static_cast<std::size_t>(kdl::whole(*on, 1, static_cast<std::int64_t>(count))) - 1};
-    in.done();
+        fault.on = {static_cast<std::size_t>(kdl::integer(*on, 1, static_cast<std::int64_t>(count))) - 1};
+    in.rejectUnknown();
     return fault;
 }
 
 }  // namespace
 
 std::unique_ptr<WorldTerms> readExperiment(const std::string& path) {
-    const auto document = kdl::readFile(path);
+    const auto document = kdl::parseFile(path);
     auto terms = std::make_unique<WorldTerms>();
     const kdl::Node* experiment = nullptr;
     for (const kdl::Node& node : document) {
         if (node.name == "experiment" && experiment == nullptr)
             experiment = &node;
         else if (node.name != "load")
-            throw kdl::Problem(node.at, "'" + node.name + "' was found",
-                               "one 'experiment' and one 'load' were expected");
+            throw kdl::DocumentError(node.location, "'" + node.name + "' was found",
+                                     "one 'experiment' and one 'load' were expected");
     }
     if (experiment == nullptr)
-        throw kdl::Problem({path, 1, 1}, "no 'experiment' was found", "'experiment NAME { … }' was expected");
-    kdl::Fields in(*experiment);
+        throw kdl::DocumentError({path, 1, 1}, "no 'experiment' was found",
+                                 "'experiment NAME { … }' was expected");
+    kdl::NodeReader in(*experiment);
     terms->name = kdl::text(in.argument(0, "the name of the experiment"));
     if (terms->name.empty() ||
         terms->name.find_first_not_of("abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_") !=
             std::string::npos)
-        throw kdl::Problem(experiment->at, "the name '" + terms->name + "' was found",
-                           "letters, digits, - and _ were expected");
+        throw kdl::DocumentError(experiment->location, "the name '" + terms->name + "' was found",
+                                 "letters, digits, - and _ were expected");
     terms->about = in.setting("about", kdl::text, std::string());
     if (const kdl::Node* const found = in.child("backends")) {
-        kdl::Fields inner(*found);
-        terms->backends = static_cast<std::size_t>(kdl::whole(inner.argument(0, "how many"), 1, 200));
+        kdl::NodeReader inner(*found);
+        terms->backends = static_cast<std::size_t>(kdl::integer(inner.argument(0, "how many"), 1, 200));
         inner.property("cores", terms->cores, kdl::number);
         inner.property("memory", terms->memoryMb, [](const kdl::Value& value) {
             return static_cast<double>(kdl::bytes(value)) / (1 << 20);
         });
-        inner.property("sockets", terms->sockets, kdl::wholeFrom(64, 1000000));
+        inner.property("sockets", terms->sockets, kdl::integerBetween(64, 1000000));
         inner.property("stop", terms->stop, kdl::duration);
         inner.property("grace", terms->grace, kdl::duration);
         inner.property("come-back", terms->maxRetryAfter, kdl::duration);
-        inner.done();
+        inner.rejectUnknown();
     }
     if (const kdl::Node* const found = in.child("pool")) {
-        kdl::Fields inner(*found);
+        kdl::NodeReader inner(*found);
         PoolTerms& pool = terms->pool;
         inner.property("cores", pool.cores.cores, kdl::number);
         inner.property("speed", pool.cores.speed, kdl::number);
         inner.property("thrash-at", pool.cores.thrashAt, kdl::number);
-        inner.property("thrash-to", pool.cores.thrashTo, kdl::share);
-        inner.property("cold", pool.cores.coldPart, kdl::share);
+        inner.property("thrash-to", pool.cores.thrashTo, kdl::fraction);
+        inner.property("cold", pool.cores.coldPart, kdl::fraction);
         inner.property("warms-over", pool.cores.warmsOver, kdl::duration);
         inner.property("heap", pool.heapKb,
                        [](const kdl::Value& value) { return static_cast<double>(kdl::bytes(value)) / 1024; });
@@ -110,44 +111,44 @@
         inner.property("fall-multiple", pool.fallMultiple, kdl::number);
         inner.property("fall-over", pool.fallOver, kdl::duration);
         inner.property("starts-after", pool.startsAfter, kdl::duration);
-        inner.property("ends-at-calls", pool.endsAtCalls, kdl::truth);
-        inner.property("pieces-every", pool.piecesEvery, kdl::wholeFrom(1, 1000000));
-        inner.property("twice-every", pool.twiceEvery, kdl::wholeFrom(1, 1000000));
-        inner.done();
+        inner.property("ends-at-calls", pool.endsAtCalls, kdl::boolean);
+        inner.property("pieces-every", pool.piecesEvery, kdl::integerBetween(1, 1000000));
+        inner.property("twice-every", pool.twiceEvery, kdl::integerBetween(1, 1000000));
+        inner.rejectUnknown();
         if (pool.cores.cores < 1 || pool.cores.speed <= 0 || pool.heapKb <= 0)
-            throw kdl::Problem(found->at, "a pool without cores, speed or heap was found",
-                               "a core, a speed and a heap above 0 were expected");
+            throw kdl::DocumentError(found->location, "a pool without cores, speed or heap was found",
+                                     "a core, a speed and a heap above 0 were expected");
     }
     if (const kdl::Node* const found = in.child("records")) {
-        kdl::Fields inner(*found);
+        kdl::NodeReader inner(*found);
         RecordsTerms& records = terms->records;
-        inner.property("slots", records.slots, kdl::wholeFrom(1, 1000000));
-        inner.property("line", records.line, kdl::wholeFrom(0, 1000000));
+        inner.property("slots", records.slots, kdl::integerBetween(1, 1000000));
+        inner.property("line", records.line, kdl::integerBetween(0, 1000000));
         inner.property("crowd-slows", records.crowdSlows, kdl::number);
         inner.property("falls-at", records.fallsAt, kdl::number);
         inner.property("down-for", records.downFor, kdl::duration);
         inner.property("share", records.share, kdl::number);
         inner.property("share-over", records.callsOver, kdl::duration);
         inner.property("linger", records.linger, kdl::duration);
-        inner.done();
+        inner.rejectUnknown();
     }
     if (const kdl::Node* const found = in.child("registry")) {
-        kdl::Fields inner(*found);
+        kdl::NodeReader inner(*found);
         inner.property("late", terms->registryLate, kdl::duration);
-        inner.done();
+        inner.rejectUnknown();
     }
     if (const kdl::Node* const found = in.child("servers")) {
-        kdl::Fields inner(*found);
-        terms->servers.count = static_cast<std::size_t>(kdl::whole(inner.argument(0, "how many"), 1, 150));
-        inner.property("slots", terms->servers.slots, kdl::wholeFrom(1, 10000));
-        inner.property("most", terms->servers.most, kdl::wholeFrom(1, 10000));
+        kdl::NodeReader inner(*found);
+        terms->servers.count = static_cast<std::size_t>(kdl::integer(inner.argument(0, "how many"), 1, 150));
+        inner.property("slots", terms->servers.slots, kdl::integerBetween(1, 10000));
+        inner.property("most", terms->servers.most, kdl::integerBetween(1, 10000));
         inner.property("choose", terms->servers.choose, kdl::text);
         inner.property("checks", terms->servers.checks, kdl::duration);
-        inner.done();
+        inner.rejectUnknown();
     }
     for (const kdl::Node* node : in.children("trouble"))
         terms->faults.push_back(readFault(*node, terms->backends, terms->servers.count));
-    in.done();
+    in.rejectUnknown();
     std::vector<kdl::Node> loads;
     for (const kdl::Node& node : document)
         if (node.name == "load") loads.push_back(node);
--- a/src/loadtest/experiment.h
+++ b/src/loadtest/experiment.h
@@ -60,7 +60,7 @@
     std::unique_ptr<LoadTerms> load;
 };
 
-// Throws kdl::Problem.
+// Throws kdl::DocumentError.
 std::unique_ptr<WorldTerms> readExperiment(const std::string& path);
 
 struct Sample {
--- a/src/loadtest/load_curve.cpp
+++ b/src/loadtest/load_curve.cpp
@@ -12,7 +12,7 @@
 
 double amount(const kdl::Value& value, bool factors) {
     if (factors && value.kind == kdl::Value::Kind::Number && (value.unit.empty() || value.unit == "%"))
-        return kdl::share(value);
+        return kdl::fraction(value);
     return kdl::rate(value);
 }
 
@@ -48,15 +48,15 @@
     bool multiplies = false;
 };
 
-std::unique_ptr<Shape> together(kdl::Fields& node, bool multiplies, bool factors, std::uint64_t seed,
+std::unique_ptr<Shape> together(kdl::NodeReader& node, bool multiplies, bool factors, std::uint64_t seed,
                                 std::uint64_t& number);
 
 std::unique_ptr<Shape> one(const kdl::Node& node, bool factors, std::uint64_t seed, std::uint64_t& number) {
-    kdl::Fields in(node);
+    kdl::NodeReader in(node);
     const auto need = [&](const char* name) -> const kdl::Value& {
         if (const kdl::Value* value = in.property(name)) return *value;
-        throw kdl::Problem(node.at, "'" + node.name + "' was found without '" + name + "='",
-                           "'" + std::string(name) + "=' was expected behind it");
+        throw kdl::DocumentError(node.location, "'" + node.name + "' was found without '" + name + "='",
+                                 "'" + std::string(name) + "=' was expected behind it");
     };
     const auto rateOf = [&](const char* name) { return amount(need(name), factors); };
     const auto timeOf = [&](const char* name) { return secondsOf(need(name)); };
@@ -91,7 +91,7 @@
             std::make_unique<Drawn>([=](double t) { return mean + swing * std::sin(2 * M_PI * t / period); });
     } else if (node.name == "steps") {
         std::vector<double> rates;
-        for (const kdl::Value* value : in.rest(0)) rates.push_back(amount(*value, factors));
+        for (const kdl::Value* value : in.remainingArguments(0)) rates.push_back(amount(*value, factors));
         if (rates.empty()) in.argument(0, "one rate or more");
         const double each = std::max(timeOf("each"), 1e-9);
         result = std::make_unique<Drawn>([=](double t) {
@@ -109,30 +109,31 @@
     } else if (node.name == "times") {
         result = together(in, true, factors, seed, number);
     } else {
-        throw kdl::Problem(node.at, "'" + node.name + "' was found",
-                           "one of steady, ramp, climb, spike, wave, steps, "
-                           "bursts, plus, times was expected");
+        throw kdl::DocumentError(node.location, "'" + node.name + "' was found",
+                                 "one of steady, ramp, climb, spike, wave, steps, "
+                                 "bursts, plus, times was expected");
     }
-    in.done();
+    in.rejectUnknown();
     return result;
 }
 
-std::unique_ptr<Shape> together(kdl::Fields& node, bool multiplies, bool factors, std::uint64_t seed,
+std::unique_ptr<Shape> together(kdl::NodeReader& node, bool multiplies, bool factors, std::uint64_t seed,
                                 std::uint64_t& number) {
     auto result = std::make_unique<Together>();
     result->multiplies = multiplies;
-    for (const kdl::Node* part : node.anyChildren())
+    for (const kdl::Node* part : node.allChildren())
         result->parts.push_back(one(*part, factors || (multiplies && !result->parts.empty()), seed, number));
     if (result->parts.empty())
-        throw kdl::Problem(node.node().at, "'" + node.node().name + "' was found with nothing in it",
-                           "one of steady, ramp, climb, spike, wave, steps, "
-                           "bursts, plus, times was expected in it");
+        throw kdl::DocumentError(node.node().location,
+                                 "'" + node.node().name + "' was found with nothing in it",
+                                 "one of steady, ramp, climb, spike, wave, steps, "
+                                 "bursts, plus, times was expected in it");
     return result;
 }
 
 }  // namespace
 
-std::unique_ptr<Shape> Shape::of(kdl::Fields& node, std::uint64_t seed) {
+std::unique_ptr<Shape> Shape::of(kdl::NodeReader& node, std::uint64_t seed) {
     std::uint64_t number = 0;
     return together(node, false, false, seed, number);
 }
--- a/src/loadtest/load_curve.h
+++ b/src/loadtest/load_curve.h
@@ -16,7 +16,7 @@
 public:
     virtual ~Shape() = default;
     virtual double at(double seconds) = 0;  // requests a second, or a plain factor
-    // The parts of a `rate` node, added up; throws kdl::Problem.
+    // The parts of a `rate` node, added up; throws kdl::DocumentError.
     //   steady 200/s
     //   ramp from=100/s to=800/s at=5s over=30s          a straight line, held
     //   after it climb from=100/s to=800/s at=5s over=30s         an evening
@@ -29,7 +29,7 @@
     //   multiplied; the first is a rate, factors follow
     // Inside `times` a value without unit is a factor: steady 1.5, wave mean=1
     // swing=0.3 period=10s.
-    static std::unique_ptr<Shape> of(kdl::Fields& node, std::uint64_t seed);
+    static std::unique_ptr<Shape> of(kdl::NodeReader& node, std::uint64_t seed);
 };
 
 enum class Spacing { Even, Poisson };
--- a/src/loadtest/load_run.cpp
+++ b/src/loadtest/load_run.cpp
@@ -14,8 +14,8 @@
 net::Address addressOf(const kdl::Value& value) {
     const std::string& text = kdl::text(value);
     if (const auto address = net::Address::parse(text, 1)) return *address;
-    throw kdl::Problem(value.at, "'" + text + "' was found",
-                       "an address such as \"127.0.0.1:8080\" was expected");
+    throw kdl::DocumentError(value.location, "'" + text + "' was found",
+                             "an address such as \"127.0.0.1:8080\" was expected");
 }
 
 const std::vector<std::pair<std::string, Idempotency>> kRepeats = {{"repeatable", Idempotency::Idempotent},
@@ -23,135 +23,138 @@
                                                                    {"once-only", Idempotency::None}};
 
 RequestClassLoad readRequestClass(const kdl::Node& node) {
-    kdl::Fields in(node);
+    kdl::NodeReader in(node);
     RequestClassLoad requestClass;
     requestClass.name = kdl::text(in.argument(0, "the name of a profile"));
     const auto distribution = [&](const char* name, Distribution& to, double (*reads)(const kdl::Value&)) {
         const kdl::Node* const found = in.child(name);
         if (found == nullptr) return;
-        kdl::Fields inner(*found);
+        kdl::NodeReader inner(*found);
         to = Distribution::of(inner, reads);
-        inner.done();
+        inner.rejectUnknown();
     };
-    requestClass.share = in.setting("share", kdl::share, requestClass.share);
+    requestClass.share = in.setting("share", kdl::fraction, requestClass.share);
     requestClass.value = in.setting("worth", kdl::number, requestClass.value);
-    requestClass.lateShare = in.setting("late-share", kdl::share, requestClass.lateShare);
+    requestClass.lateShare = in.setting("late-share", kdl::fraction, requestClass.lateShare);
     requestClass.latencyObjective = in.setting("promised", kdl::duration, requestClass.latencyObjective);
     requestClass.timeout = in.setting("hard-stop", kdl::duration, requestClass.timeout);
     if (const kdl::Node* const found = in.child("repeat")) {
-        kdl::Fields inner(*found);
+        kdl::NodeReader inner(*found);
         requestClass.repeat =
-            kdl::Fields::choice(inner.argument(0, "repeatable, tagged or once-only"), kRepeats);
-        inner.done();
+            kdl::NodeReader::choice(inner.argument(0, "repeatable, tagged or once-only"), kRepeats);
+        inner.rejectUnknown();
     }
     requestClass.calls = in.setting(
-        "calls", [](const kdl::Value& value) { return kdl::whole(value, 0, 100); }, requestClass.calls);
-    requestClass.hintError = in.setting("hint-error", kdl::share, requestClass.hintError);
-    requestClass.failing = in.setting("failing", kdl::share, requestClass.failing);
+        "calls", [](const kdl::Value& value) { return kdl::integer(value, 0, 100); }, requestClass.calls);
+    requestClass.hintError = in.setting("hint-error", kdl::fraction, requestClass.hintError);
+    requestClass.failing = in.setting("failing", kdl::fraction, requestClass.failing);
     requestClass.claims = in.setting("claims", kdl::text, requestClass.claims);
     if (const kdl::Node* const found = in.child("over")) {
-        kdl::Fields inner(*found);
-        requestClass.scgi = kdl::Fields::choice<bool>(inner.argument(0, "thrift or scgi"),
-                                                      {{"thrift", false}, {"scgi", true}});
-        inner.done();
+        kdl::NodeReader inner(*found);
+        requestClass.scgi = kdl::NodeReader::choice<bool>(inner.argument(0, "thrift or scgi"),
+                                                          {{"thrift", false}, {"scgi", true}});
+        inner.rejectUnknown();
     }
     distribution("work", requestClass.work, secondsOf);
     distribution("call", requestClass.call, secondsOf);
     distribution("body", requestClass.body, bytesOf);
     distribution("held", requestClass.held, bytesOf);
     distribution("patience", requestClass.attemptTimeout, secondsOf);
-    in.done();
+    in.rejectUnknown();
     if (requestClass.latencyObjective <= 0ns || requestClass.timeout < requestClass.latencyObjective)
-        throw kdl::Problem(
-            node.at,
+        throw kdl::DocumentError(
+            node.location,
             "profile '" + requestClass.name + "' was found with a hard stop before its promised time",
             "promised above 0 and hard-stop not below it were expected");
     return requestClass;
 }
 
 void readClients(const kdl::Node& node, Habits& habits, bool targets) {
-    kdl::Fields in(node);
-    habits.clients = static_cast<int>(kdl::whole(in.argument(0, "how many callers there are"), 1, 100000));
+    kdl::NodeReader in(node);
+    habits.clients = static_cast<int>(kdl::integer(in.argument(0, "how many callers there are"), 1, 100000));
     if (targets) {
         if (const kdl::Node* const to = in.child("to")) {
-            kdl::Fields inner(*to);
-            for (const kdl::Value* value : inner.rest(0)) habits.targets.push_back(addressOf(*value));
-            inner.done();
+            kdl::NodeReader inner(*to);
+            for (const kdl::Value* value : inner.remainingArguments(0))
+                habits.targets.push_back(addressOf(*value));
+            inner.rejectUnknown();
         }
         if (const kdl::Node* const to = in.child("scgi")) {
-            kdl::Fields inner(*to);
-            for (const kdl::Value* value : inner.rest(0)) habits.kiosks.push_back(addressOf(*value));
-            inner.done();
+            kdl::NodeReader inner(*to);
+            for (const kdl::Value* value : inner.remainingArguments(0))
+                habits.kiosks.push_back(addressOf(*value));
+            inner.rejectUnknown();
             if (habits.targets.empty()) habits.targets = habits.kiosks;
             if (habits.kiosks.size() != habits.targets.size())
-                throw kdl::Problem(to->at, std::to_string(habits.kiosks.size()) + " addresses were found",
-                                   "as many as behind 'to' were expected, in the same order");
+                throw kdl::DocumentError(to->location,
+                                         std::to_string(habits.kiosks.size()) + " addresses were found",
+                                         "as many as behind 'to' were expected, in the same order");
         }
         if (habits.targets.empty())
-            throw kdl::Problem(node.at, "'callers' was found without a server",
-                               "'to \"127.0.0.1:8080\"' was expected in it");
+            throw kdl::DocumentError(node.location, "'callers' was found without a server",
+                                     "'to \"127.0.0.1:8080\"' was expected in it");
     }
     if (const kdl::Node* const choose = in.child("choose")) {
-        kdl::Fields inner(*choose);
-        habits.way = kdl::Fields::choice<routing::Way>(inner.argument(0, "a way to choose"),
-                                                       {{"round-robin", routing::Way::RoundRobin},
-                                                        {"least", routing::Way::Least},
-                                                        {"two-choices", routing::Way::TwoChoices},
-                                                        {"by-subject", routing::Way::BySubject},
-                                                        {"fastest", routing::Way::Fastest}});
-        inner.done();
+        kdl::NodeReader inner(*choose);
+        habits.way = kdl::NodeReader::choice<routing::Way>(inner.argument(0, "a way to choose"),
+                                                           {{"round-robin", routing::Way::RoundRobin},
+                                                            {"least", routing::Way::Least},
+                                                            {"two-choices", routing::Way::TwoChoices},
+                                                            {"by-subject", routing::Way::BySubject},
+                                                            {"fastest", routing::Way::Fastest}});
+        inner.rejectUnknown();
     }
     if (const kdl::Node* const attempts = in.child("attempts")) {
-        kdl::Fields inner(*attempts);
+        kdl::NodeReader inner(*attempts);
         routing::AttemptTerms& terms = habits.attempts;
         terms.most =
-            static_cast<int>(kdl::whole(inner.argument(0, "how many attempts there are in all"), 1, 6));
+            static_cast<int>(kdl::integer(inner.argument(0, "how many attempts there are in all"), 1, 6));
         inner.property("growth", terms.growth, [](const kdl::Value& value) {
-            return kdl::Fields::choice<routing::Growth>(
+            return kdl::NodeReader::choice<routing::Growth>(
                 value, {{"fixed", routing::Growth::Fixed}, {"exponential", routing::Growth::Exponential}});
         });
         inner.property("jitter", terms.jitter, [](const kdl::Value& value) {
-            return kdl::Fields::choice<routing::Jitter>(value,
-                                                        {{"none", routing::Jitter::None},
-                                                         {"equal", routing::Jitter::Equal},
-                                                         {"full", routing::Jitter::Full},
-                                                         {"decorrelated", routing::Jitter::Decorrelated}});
+            return kdl::NodeReader::choice<routing::Jitter>(
+                value, {{"none", routing::Jitter::None},
+                        {"equal", routing::Jitter::Equal},
+                        {"full", routing::Jitter::Full},
+                        {"decorrelated", routing::Jitter::Decorrelated}});
         });
         inner.property("least", terms.least, kdl::duration);
         inner.property("longest", terms.longest, kdl::duration);
-        inner.property("budget", terms.budgeted, kdl::truth);
+        inner.property("budget", terms.budgeted, kdl::boolean);
         inner.property("tokens", terms.tokens, kdl::number);
         inner.property("per-good", terms.perGood, kdl::number);
-        inner.property("above", terms.above, kdl::share);
-        inner.done();
+        inner.property("above", terms.above, kdl::fraction);
+        inner.rejectUnknown();
     }
     if (const kdl::Node* const connections = in.child("connections")) {
-        kdl::Fields inner(*connections);
+        kdl::NodeReader inner(*connections);
         habits.connections =
-            static_cast<int>(kdl::whole(inner.argument(0, "how many to one server"), 1, 10000));
-        inner.property("open", habits.openEach, kdl::wholeFrom(1, 32));
+            static_cast<int>(kdl::integer(inner.argument(0, "how many to one server"), 1, 10000));
+        inner.property("open", habits.openEach, kdl::integerBetween(1, 32));
         inner.property("idle", habits.closesIdle, kdl::duration);
         inner.property("within", habits.connectsWithin, kdl::duration);
-        inner.done();
+        inner.rejectUnknown();
     }
     if (const kdl::Node* const checks = in.child("checks")) {
-        kdl::Fields inner(*checks);
+        kdl::NodeReader inner(*checks);
         habits.checksEvery = kdl::duration(inner.argument(0, "how often, such as 1s"));
-        inner.property("thorough", habits.thorough, kdl::truth);
-        inner.done();
+        inner.property("thorough", habits.thorough, kdl::boolean);
+        inner.rejectUnknown();
     }
     if (const kdl::Node* const honours = in.child("honours")) {
-        kdl::Fields inner(*honours);
-        inner.property("come-back", habits.attempts.honorsRetryAfter, kdl::truth);
-        inner.property("advice", habits.honoursAdvice, kdl::truth);
-        inner.done();
+        kdl::NodeReader inner(*honours);
+        inner.property("come-back", habits.attempts.honorsRetryAfter, kdl::boolean);
+        inner.property("advice", habits.honoursAdvice, kdl::boolean);
+        inner.rejectUnknown();
     }
-    habits.forgets = in.setting("forgets", kdl::truth, habits.forgets);
-    habits.checksResults = in.setting("check-results", kdl::truth, habits.checksResults);
-    habits.openMost = static_cast<std::size_t>(
-        in.setting("open-at-most", kdl::wholeFrom(1, 10000000), static_cast<std::int64_t>(habits.openMost)));
-    habits.closed = static_cast<int>(in.setting("closed", kdl::wholeFrom(1, 1000000), std::int64_t{0}));
-    in.done();
+    habits.forgets = in.setting("forgets", kdl::boolean, habits.forgets);
+    habits.checksResults = in.setting("check-results", kdl::boolean, habits.checksResults);
+    habits.openMost = static_cast<std::size_t>(in.setting("open-at-most", kdl::integerBetween(1, 10000000),
+                                                          static_cast<std::int64_t>(habits.openMost)));
+    habits.closed = static_cast<int>(in.setting("closed", kdl::integerBetween(1, 1000000), std::int64_t{0}));
+    in.rejectUnknown();
 }
 
 }  // namespace
@@ -163,99 +166,103 @@
     const kdl::Node* load = nullptr;
     for (const kdl::Node& node : terms->document)
         if (node.name == "load") {
-            if (load != nullptr) throw kdl::Problem(node.at, "a second 'load' was found", "one was expected");
+            if (load != nullptr)
+                throw kdl::DocumentError(node.location, "a second 'load' was found", "one was expected");
             load = &node;
         }
-    if (load == nullptr) throw kdl::Problem({file, 1, 1}, "no 'load' was found", "'load { … }' was expected");
-    kdl::Fields in(*load);
+    if (load == nullptr)
+        throw kdl::DocumentError({file, 1, 1}, "no 'load' was found", "'load { … }' was expected");
+    kdl::NodeReader in(*load);
     PlanTerms& plan = terms->plan;
     plan.seed = static_cast<std::uint64_t>(
-        in.setting("seed", kdl::wholeFrom(0, std::int64_t{1} << 53), std::int64_t{1}));
+        in.setting("seed", kdl::integerBetween(0, std::int64_t{1} << 53), std::int64_t{1}));
     plan.length = in.setting("length", kdl::duration, plan.length);
-    terms->workers = static_cast<int>(in.setting("workers", kdl::wholeFrom(1, 64), std::int64_t{1}));
+    terms->workers = static_cast<int>(in.setting("workers", kdl::integerBetween(1, 64), std::int64_t{1}));
     if (const kdl::Node* const found = in.child("customers")) {
-        kdl::Fields inner(*found);
-        plan.tenants = static_cast<std::uint64_t>(kdl::whole(inner.argument(0, "how many"), 1, 1000000));
+        kdl::NodeReader inner(*found);
+        plan.tenants = static_cast<std::uint64_t>(kdl::integer(inner.argument(0, "how many"), 1, 1000000));
         inner.property("skew", plan.tenantSkew, kdl::number);
-        inner.done();
+        inner.rejectUnknown();
     }
     if (const kdl::Node* const found = in.child("subjects")) {
-        kdl::Fields inner(*found);
+        kdl::NodeReader inner(*found);
         plan.subjects =
-            static_cast<std::uint64_t>(kdl::whole(inner.argument(0, "how many"), 1, std::int64_t{1} << 40));
+            static_cast<std::uint64_t>(kdl::integer(inner.argument(0, "how many"), 1, std::int64_t{1} << 40));
         inner.property("skew", plan.subjectSkew, kdl::number);
-        inner.done();
+        inner.rejectUnknown();
     }
     if (const kdl::Node* const found = in.child("arrivals")) {
-        kdl::Fields inner(*found);
-        plan.spacing = kdl::Fields::choice<Spacing>(inner.argument(0, "poisson or even"),
-                                                    {{"poisson", Spacing::Poisson}, {"even", Spacing::Even}});
-        inner.done();
+        kdl::NodeReader inner(*found);
+        plan.spacing = kdl::NodeReader::choice<Spacing>(
+            inner.argument(0, "poisson or even"), {{"poisson", Spacing::Poisson}, {"even", Spacing::Even}});
+        inner.rejectUnknown();
     }
     for (const kdl::Node* requestClass : in.children("profile")) {
         plan.requestClasses.push_back(readRequestClass(*requestClass));
         for (std::size_t at = 0; at + 1 < plan.requestClasses.size(); ++at)
             if (plan.requestClasses[at].name == plan.requestClasses.back().name)
-                throw kdl::Problem(requestClass->at,
-                                   "a second profile '" + plan.requestClasses.back().name + "' was found",
-                                   "a name of its own was expected");
+                throw kdl::DocumentError(
+                    requestClass->location,
+                    "a second profile '" + plan.requestClasses.back().name + "' was found",
+                    "a name of its own was expected");
     }
     if (plan.requestClasses.empty())
-        throw kdl::Problem(load->at, "'load' was found without a profile",
-                           "'profile NAME { … }' was expected in it");
+        throw kdl::DocumentError(load->location, "'load' was found without a profile",
+                                 "'profile NAME { … }' was expected in it");
     for (const RequestClassLoad& requestClass : plan.requestClasses)
         if (!requestClass.claims.empty() &&
             std::none_of(plan.requestClasses.begin(), plan.requestClasses.end(),
                          [&](const RequestClassLoad& other) { return other.name == requestClass.claims; }))
-            throw kdl::Problem(
-                load->at, "profile '" + requestClass.name + "' claims to be '" + requestClass.claims + "'",
+            throw kdl::DocumentError(
+                load->location,
+                "profile '" + requestClass.name + "' claims to be '" + requestClass.claims + "'",
                 "the name of another profile was expected");
     plan.rate = in.child("rate");
     if (const kdl::Node* const found = in.child("trace")) {
-        kdl::Fields inner(*found);
+        kdl::NodeReader inner(*found);
         TraceTerms trace;
         trace.file = kdl::text(inner.argument(0, "the path of a trace"));
         // Beside the file that names it.
         if (!trace.file.empty() && trace.file.front() != '/')
             if (const std::size_t slash = file.rfind('/'); slash != file.npos)
                 trace.file = file.substr(0, slash + 1) + trace.file;
-        inner.property("stretch", trace.stretch, kdl::share);
-        inner.property("keep", trace.keep, kdl::share);
-        inner.property("copies", trace.copies, kdl::share);
+        inner.property("stretch", trace.stretch, kdl::fraction);
+        inner.property("keep", trace.keep, kdl::fraction);
+        inner.property("copies", trace.copies, kdl::fraction);
         inner.property("from", trace.from, kdl::duration);
         inner.property("until", trace.until, kdl::duration);
-        inner.property("skip-bad", trace.skipBad, kdl::truth);
-        inner.done();
+        inner.property("skip-bad", trace.skipBad, kdl::boolean);
+        inner.rejectUnknown();
         plan.trace = trace;
     }
     if ((plan.rate == nullptr) == !plan.trace)
-        throw kdl::Problem(load->at,
-                           plan.rate == nullptr ? "'load' was found without a rate"
-                                                : "'load' was found with a rate and a trace",
-                           "one of 'rate { … }' and 'trace FILE' was expected in it");
+        throw kdl::DocumentError(load->location,
+                                 plan.rate == nullptr ? "'load' was found without a rate"
+                                                      : "'load' was found with a rate and a trace",
+                                 "one of 'rate { … }' and 'trace FILE' was expected in it");
     if (plan.rate != nullptr) {
-        kdl::Fields inner(*plan.rate);  // said now, not when the run begins
+        kdl::NodeReader inner(*plan.rate);  // said now, not when the run begins
         (void)Shape::of(inner, plan.seed);
-        inner.done();
+        inner.rejectUnknown();
     }
     if (const kdl::Node* const found = in.child("callers"))
         readClients(*found, terms->habits, targets);
     else if (targets)
-        throw kdl::Problem(load->at, "'load' was found without callers",
-                           "'callers 8 { to \"127.0.0.1:8080\" }' was expected in it");
+        throw kdl::DocumentError(load->location, "'load' was found without callers",
+                                 "'callers 8 { to \"127.0.0.1:8080\" }' was expected in it");
     for (const RequestClassLoad& requestClass : plan.requestClasses)
         if (requestClass.scgi && targets && terms->habits.kiosks.empty())
-            throw kdl::Problem(
-                load->at,
+            throw kdl::DocumentError(
+                load->location,
                 "profile '" + requestClass.name + "' was found over scgi, and callers without 'scgi'",
                 "'scgi \"127.0.0.1:9000\"' was expected in callers");
     if (const kdl::Node* const found = in.child("send-within")) {
-        kdl::Fields inner(*found);
+        kdl::NodeReader inner(*found);
         terms->sendWithin = kdl::duration(inner.argument(0, "a duration such as 1ms"));
-        inner.property("share", terms->sendShare, kdl::share);
-        inner.done();
+        inner.property("share", terms->sendShare, kdl::fraction);
+        inner.rejectUnknown();
     }
-    in.done();
+    in.rejectUnknown();
     return terms;
 }
 
--- a/src/loadtest/load_run.h
+++ b/src/loadtest/load_run.h
@@ -27,7 +27,7 @@
 };
 
 // The `load` node of a file. targets: false where an experiment says them.
-// Throws kdl::Problem.
+// Throws kdl::DocumentError.
 std::unique_ptr<LoadTerms> readLoad(const std::vector<kdl::Node>& document, const std::string& file,
                                     bool targets);
 
--- a/src/loadtest/main.cpp
+++ b/src/loadtest/main.cpp
@@ -71,7 +71,7 @@
 }
 
 int load(const std::string& path, const std::string& json, const std::string& exported, std::int64_t seed) {
-    auto terms = readLoad(kdl::readFile(path), path, true);
+    auto terms = readLoad(kdl::parseFile(path), path, true);
     if (seed >= 0) terms->plan.seed = static_cast<std::uint64_t>(seed);
     const LoadResult result = play(*terms);
     const std::string figures = jsonOf(result, *terms).dump(2) + "\n";
@@ -243,7 +243,7 @@
 }
 
 int drawTrace(const std::string& path, const std::string& to) {
-    const auto terms = readLoad(kdl::readFile(path), path, false);
+    const auto terms = readLoad(kdl::parseFile(path), path, false);
     const auto plan = makePlan(terms->plan);
     TraceWriter writer(to, terms->plan.requestClasses);
     std::uint64_t count = 0;
@@ -374,7 +374,7 @@
         }
         answering.takes = Duration(static_cast<std::int64_t>(takes * 1e6));
         return answer(listen, answering);
-    } catch (const kdl::Problem& problem) {
+    } catch (const kdl::DocumentError& problem) {
         std::cerr << problem.what() << std::endl;
         return 2;
     } catch (const std::exception& error) {
--- a/src/loadtest/random_distributions.cpp
+++ b/src/loadtest/random_distributions.cpp
@@ -31,25 +31,26 @@
     return result;
 }
 
-Distribution Distribution::of(kdl::Fields& node, const std::function<double(const kdl::Value&)>& reads) {
+Distribution Distribution::of(kdl::NodeReader& node, const std::function<double(const kdl::Value&)>& reads) {
     const kdl::Value& first = node.argument(0, "a value or one of uniform, exponential, lognormal, pareto");
     static const std::vector<std::pair<std::string, Kind>> kKinds = {{"uniform", Kind::Uniform},
                                                                      {"exponential", Kind::Exponential},
                                                                      {"lognormal", Kind::Lognormal},
                                                                      {"pareto", Kind::Pareto}};
-    const bool named = first.kind == kdl::Value::Kind::Text && !first.text.empty() &&
+    const bool named = first.kind == kdl::Value::Kind::String && !first.text.empty() &&
                        std::isalpha(static_cast<unsigned char>(first.text.front()));
     if (!named) return always(reads(first));
     Distribution result;
-    result.kind_ = kdl::Fields::choice(first, kKinds);
+    result.kind_ = kdl::NodeReader::choice(first, kKinds);
     const auto need = [&](const char* name) -> const kdl::Value& {
         if (const kdl::Value* value = node.property(name)) return *value;
-        throw kdl::Problem(first.at, "'" + first.text + "' was found without '" + name + "='",
-                           "'" + std::string(name) + "=' was expected behind it");
+        throw kdl::DocumentError(first.location, "'" + first.text + "' was found without '" + name + "='",
+                                 "'" + std::string(name) + "=' was expected behind it");
     };
     const auto positive = [&](const kdl::Value& value, double number) {
         if (!(number > 0))
-            throw kdl::Problem(value.at, "'" + value.text + "' was found", "a value above 0 was expected");
+            throw kdl::DocumentError(value.location, "'" + value.text + "' was found",
+                                     "a value above 0 was expected");
         return number;
     };
     switch (result.kind_) {
@@ -57,8 +58,9 @@
             result.a_ = reads(node.argument(1, "the least value"));
             result.b_ = reads(node.argument(2, "the largest value"));
             if (result.b_ < result.a_)
-                throw kdl::Problem(node.argument(2, "").at, "the largest value was found below the least one",
-                                   "the least one was expected first");
+                throw kdl::DocumentError(node.argument(2, "").location,
+                                         "the largest value was found below the least one",
+                                         "the least one was expected first");
             break;
         case Kind::Exponential:
             result.a_ = positive(need("mean"), reads(need("mean")));
@@ -66,8 +68,8 @@
         case Kind::Lognormal: {
             const double median = positive(need("median"), reads(need("median"))), p99 = reads(need("p99"));
             if (p99 < median)
-                throw kdl::Problem(need("p99").at, "a p99 below the median was found",
-                                   "at least the median was expected");
+                throw kdl::DocumentError(need("p99").location, "a p99 below the median was found",
+                                         "at least the median was expected");
             result.a_ = std::log(median);
             result.b_ = std::log(p99 / median) / kP99;
             break;
@@ -77,8 +79,9 @@
             result.b_ = positive(need("shape"), kdl::number(need("shape")));
             result.most_ = reads(need("most"));
             if (result.most_ <= result.a_)
-                throw kdl::Problem(need("most").at, "a largest value not above the least one was found",
-                                   "a larger one was expected");
+                throw kdl::DocumentError(need("most").location,
+                                         "a largest value not above the least one was found",
+                                         "a larger one was expected");
             break;
         case Kind::Always:
             break;
--- a/src/loadtest/random_distributions.h
+++ b/src/loadtest/random_distributions.h
@@ -41,8 +41,8 @@
     enum class Kind { Always, Uniform, Exponential, Lognormal, Pareto };
     Distribution() = default;
     static Distribution always(double value);
-    // The values of a node, read by `reads`; throws kdl::Problem.
-    static Distribution of(kdl::Fields& node, const std::function<double(const kdl::Value&)>& reads);
+    // The values of a node, read by `reads`; throws kdl::DocumentError.
+    static Distribution of(kdl::NodeReader& node, const std::function<double(const kdl::Value&)>& reads);
 
     double draw(Chance& chance) const;
     double mean() const;
--- a/src/loadtest/request_schedule.cpp
+++ b/src/loadtest/request_schedule.cpp
@@ -32,10 +32,10 @@
           workChance_(chanceOf(terms.seed, Stream::Work)),
           hintChance_(chanceOf(terms.seed, Stream::Hints)),
           waitChance_(chanceOf(terms.seed, Stream::Waits)) {
-        kdl::Fields rate(*terms.rate);
+        kdl::NodeReader rate(*terms.rate);
         arrivals_ =
             std::make_unique<Arrivals>(Shape::of(rate, terms.seed), terms.spacing, terms.seed, terms.length);
-        rate.done();
+        rate.rejectUnknown();
         double sum = 0;
         for (const RequestClassLoad& requestClass : terms.requestClasses)
             upTo_.push_back(sum += requestClass.share);
@@ -91,7 +91,7 @@
           trace_(*terms.trace),
           in_(trace_.file),
           chance_(chanceOf(terms.seed, Stream::Times)) {
-        if (!in_) throw kdl::Problem({trace_.file, 0, 0}, "the trace can't be opened");
+        if (!in_) throw kdl::DocumentError({trace_.file, 0, 0}, "the trace can't be opened");
         for (std::size_t at = 0; at < terms.requestClasses.size(); ++at)
             names_[terms.requestClasses[at].name] = static_cast<int>(at);
     }
@@ -118,7 +118,7 @@
     using Row = std::map<std::string, std::string>;
 
     [[noreturn]] void bad(const std::string& what) const {
-        throw kdl::Problem({trace_.file, line_, 1}, what);
+        throw kdl::DocumentError({trace_.file, line_, 1}, what);
     }
 
     void readRow() {
@@ -148,7 +148,7 @@
             if (pending_) place(*pending_, planned.at - pending_->at);
             horizon_ = planned.at - Duration(1);
             pending_ = planned;
-        } catch (const kdl::Problem&) {
+        } catch (const kdl::DocumentError&) {
             ++skipped_;
             if (!trace_.skipBad || columnsBad_) throw;
         }
@@ -334,7 +334,8 @@
 TraceWriter::TraceWriter(const std::string& path, const std::vector<RequestClassLoad>& requestClasses)
     : out_(path) {
     if (!out_)
-        throw kdl::Problem({path, 0, 0}, "the trace can't be written: " + std::string(std::strerror(errno)));
+        throw kdl::DocumentError({path, 0, 0},
+                                 "the trace can't be written: " + std::string(std::strerror(errno)));
     for (const RequestClassLoad& requestClass : requestClasses) names_.push_back(requestClass.name);
     out_ << "time_ns,profile,customer,subject,cost_ns,hint_ns,call_ns,patience_"
             "ns,size,held_kb,rank,mark,"
--- a/src/loadtest/request_schedule.h
+++ b/src/loadtest/request_schedule.h
@@ -75,7 +75,7 @@
     virtual std::uint64_t skipped() const { return 0; }
 };
 
-// Throws kdl::Problem, for a trace with the number of its line.
+// Throws kdl::DocumentError, for a trace with the number of its line.
 std::unique_ptr<Plan> makePlan(const PlanTerms& terms);
 
 // Writes a trace that read again gives the same requests.
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -155,7 +155,7 @@
         if (parsed.exitCode) return *parsed.exitCode;
         perform(parsed.commandLine);
         return kExitOk;
-    } catch (const kdl::Problem& problem) {
+    } catch (const kdl::DocumentError& problem) {
         std::cerr << problem.what() << std::endl;
         return kExitBadInput;
     } catch (const config::ConfigError& error) {
--- a/src/serve/gateway.cpp
+++ b/src/serve/gateway.cpp
@@ -88,7 +88,7 @@
     ServeTerms next;
     try {
         next = readServe(path);
-    } catch (const kdl::Problem& problem) {
+    } catch (const kdl::DocumentError& problem) {
         counters_.add(telemetry::Count::ReloadsRejected);
         return log_.error("reload", std::string("refused whole: ") + problem.what());
     }
--- a/src/serve/gateway_config.h
+++ b/src/serve/gateway_config.h
@@ -29,7 +29,7 @@
     config::ResourceLimits shares;
 };
 
-// Throws kdl::Problem.
+// Throws kdl::DocumentError.
 ServeTerms readServe(const std::string& path);
 
 }  // namespace cottonwing::serve
--- a/tests/kdl/document_test.cpp
+++ b/tests/kdl/document_test.cpp
@@ -12,8 +12,8 @@
 
 std::string problemOf(const std::string& text) {
     try {
-        read(text, "f.kdl");
-    } catch (const Problem& problem) {
+        parse(text, "f.kdl");
+    } catch (const DocumentError& problem) {
         return problem.what();
     }
     return "none";
@@ -22,14 +22,14 @@
 std::string whatStops(const std::function<void()>& reads) {
     try {
         reads();
-    } catch (const Problem& problem) {
+    } catch (const DocumentError& problem) {
         return problem.what();
     }
     return "none";
 }
 
 TEST(Kdl, ReadsNodesArgumentsPropertiesAndChildren) {
-    const auto nodes = read(
+    const auto nodes = parse(
         "// a comment\nload \"evening\" seed=7 {\n  rate 120/s; profile board-item weight=2.5 { aim 250ms }\n"
         "  /* one /* in */ another */ body 1KiB \\ // goes on\n    4KiB\n}\nlast #true #null (ms)250 -0x1F "
         "1_000 1e3",
@@ -42,10 +42,10 @@
     EXPECT_EQ(nodes[0].children[1].arguments[0].text, "board-item");
     EXPECT_EQ(duration(nodes[0].children[1].children[0].arguments[0]), 250ms);
     EXPECT_EQ(bytes(nodes[0].children[2].arguments[1]), 4096U);
-    EXPECT_EQ(nodes[0].children[2].at.line, 4U);
+    EXPECT_EQ(nodes[0].children[2].location.line, 4U);
     const auto& last = nodes[1].arguments;
-    EXPECT_TRUE(truth(last[0]));
-    EXPECT_EQ(last[1].kind, Value::Kind::Nothing);
+    EXPECT_TRUE(boolean(last[0]));
+    EXPECT_EQ(last[1].kind, Value::Kind::Null);
     EXPECT_EQ(duration(last[2]), 250ms);
     EXPECT_EQ(last[3].number, -31);
     EXPECT_EQ(last[4].number, 1000);
@@ -54,14 +54,14 @@
 
 TEST(Kdl, TextsKeepTheirEscapes) {
     const auto nodes =
-        read(R"(a "tab\there \"q\" \u{20AC}" #"raw \n "quoted" text"# ##"with "# in it"##)", "f.kdl");
+        parse(R"(a "tab\there \"q\" \u{20AC}" #"raw \n "quoted" text"# ##"with "# in it"##)", "f.kdl");
     EXPECT_EQ(nodes[0].arguments[0].text, "tab\there \"q\" \xE2\x82\xAC");
     EXPECT_EQ(nodes[0].arguments[1].text, "raw \\n \"quoted\" text");
     EXPECT_EQ(nodes[0].arguments[2].text, "with \"# in it");
 }
 
 TEST(Kdl, WhatIsBehindASlashDashIsLeftOut) {
-    const auto nodes = read("/-gone { a }\nkept /-1 2 /-x=3 y=4 /-{ lost }\n/- also gone\nend", "f.kdl");
+    const auto nodes = parse("/-gone { a }\nkept /-1 2 /-x=3 y=4 /-{ lost }\n/- also gone\nend", "f.kdl");
     ASSERT_EQ(nodes.size(), 2U);
     EXPECT_EQ(nodes[0].arguments.size(), 1U);
     EXPECT_EQ(nodes[0].arguments[0].number, 2);
@@ -70,12 +70,12 @@
 }
 
 TEST(Kdl, UnitsInQuotesMeanTheSame) {
-    const auto nodes = read("a \"250ms\" \"35%\" \"90/min\" 1.5s 35%", "f.kdl");
+    const auto nodes = parse("a \"250ms\" \"35%\" \"90/min\" 1.5s 35%", "f.kdl");
     EXPECT_EQ(duration(nodes[0].arguments[0]), 250ms);
-    EXPECT_DOUBLE_EQ(share(nodes[0].arguments[1]), 0.35);
+    EXPECT_DOUBLE_EQ(fraction(nodes[0].arguments[1]), 0.35);
     EXPECT_DOUBLE_EQ(rate(nodes[0].arguments[2]), 1.5);
     EXPECT_EQ(duration(nodes[0].arguments[3]), 1500ms);
-    EXPECT_DOUBLE_EQ(share(nodes[0].arguments[4]), 0.35);
+    EXPECT_DOUBLE_EQ(fraction(nodes[0].arguments[4]), 0.35);
 }
 
 // Every one of these was found by hand to be easily made, and each names its place and its mend.
@@ -107,7 +107,7 @@
 }
 
 TEST(Kdl, WrongUnitsAreNamed) {
-    const auto nodes = read("a 250 5MiB \"soon\" -3s 12/s 1.5", "f.kdl");
+    const auto nodes = parse("a 250 5MiB \"soon\" -3s 12/s 1.5", "f.kdl");
     const auto& given = nodes[0].arguments;
     EXPECT_EQ(whatStops([&] { duration(given[0]); }),
               "f.kdl:1:3: '250' was found, a duration such as 250ms with a unit (ns, us, ms, s, min, h, d) "
@@ -117,22 +117,24 @@
     EXPECT_NE(whatStops([&] { duration(given[2]); }).find("the text 'soon' was found"), std::string::npos);
     EXPECT_NE(whatStops([&] { duration(given[3]); }).find("of 0 or more"), std::string::npos);
     EXPECT_NE(whatStops([&] { bytes(given[4]); }).find("the unit '/s' was found"), std::string::npos);
-    EXPECT_NE(whatStops([&] { whole(given[5], 1, 9); }).find("a whole number from 1 to 9"),
+    EXPECT_NE(whatStops([&] { integer(given[5], 1, 9); }).find("a whole number from 1 to 9"),
               std::string::npos);
 }
 
 TEST(Kdl, WhatNobodyAskedForIsAnError) {
-    const auto nodes = read("pool 1 2 speed=3 sped=4 {\n  cores 2\n  core 3\n}", "f.kdl");
-    Fields fields(nodes[0]);
+    const auto nodes = parse("pool 1 2 speed=3 sped=4 {\n  cores 2\n  core 3\n}", "f.kdl");
+    NodeReader fields(nodes[0]);
     fields.argument(0, "a number");
-    EXPECT_NE(whatStops([&] { fields.done(); }).find("f.kdl:1:8: '2' was found, no further value"),
+    EXPECT_NE(whatStops([&] { fields.rejectUnknown(); }).find("f.kdl:1:8: '2' was found, no further value"),
               std::string::npos);
-    fields.mayArgument(1);
+    fields.optionalArgument(1);
     fields.property("speed");
-    EXPECT_NE(whatStops([&] { fields.done(); }).find("'sped=' was found, one of speed"), std::string::npos);
+    EXPECT_NE(whatStops([&] { fields.rejectUnknown(); }).find("'sped=' was found, one of speed"),
+              std::string::npos);
     fields.property("sped");
     EXPECT_EQ(fields.setting("cores", number, 1.0), 2);
-    EXPECT_EQ(whatStops([&] { fields.done(); }), "f.kdl:3:3: 'core' was found, one of cores was expected");
+    EXPECT_EQ(whatStops([&] { fields.rejectUnknown(); }),
+              "f.kdl:3:3: 'core' was found, one of cores was expected");
 }
 
 // Whatever bytes come, the reader ends with nodes or with one message, and never reads past the end.
@@ -143,8 +145,8 @@
     std::string text;
     for (int n = *rc::gen::inRange(0, 40); n > 0; --n) text += *rc::gen::elementOf(kPieces);
     try {
-        read(text, "f");
-    } catch (const Problem& problem) {
+        parse(text, "f");
+    } catch (const DocumentError& problem) {
         RC_ASSERT(std::string(problem.what()).find("f:") == 0U);
     }
 }
--- a/tests/loadtest/experiment_test.cpp
+++ b/tests/loadtest/experiment_test.cpp
@@ -419,7 +419,7 @@
     const auto problemOf = [](const std::string& text) {
         try {
             readExperiment(experimentFile(text));
-        } catch (const kdl::Problem& problem) {
+        } catch (const kdl::DocumentError& problem) {
             return std::string(problem.what());
         }
         return std::string("none");
--- a/tests/loadtest/load_run_test.cpp
+++ b/tests/loadtest/load_run_test.cpp
@@ -26,12 +26,12 @@
 int upTo(int most) { return *rc::gen::resize(1000, rc::gen::inRange(0, most + 1)); }
 
 std::unique_ptr<LoadTerms> termsOf(const std::string& inside, bool targets = false) {
-    return readLoad(kdl::read("load {\n" + inside + "\n}", "t.kdl"), "t.kdl", targets);
+    return readLoad(kdl::parse("load {\n" + inside + "\n}", "t.kdl"), "t.kdl", targets);
 }
 std::string problemOf(const std::string& inside) {
     try {
         termsOf(inside);
-    } catch (const kdl::Problem& problem) {
+    } catch (const kdl::DocumentError& problem) {
         return problem.what();
     }
     return "none";
@@ -93,14 +93,14 @@
 }
 
 TEST(Draws, DistributionsKeepTheirMeanAndBounds) {
-    const auto nodes = kdl::read(
+    const auto nodes = kdl::parse(
         "a 8ms\na uniform 5ms 20ms\na exponential mean=8ms\na lognormal median=8ms p99=40ms\na pareto "
         "least=1ms shape=1.5 most=1s",
         "f");
     for (const kdl::Node& node : nodes) {
-        kdl::Fields in(node);
+        kdl::NodeReader in(node);
         const auto distribution = Distribution::of(in, secondsOf);
-        in.done();
+        in.rejectUnknown();
         Chance chance = chanceOf(7, Stream::Work);
         double sum = 0, most = 0;
         for (int n = 0; n < 200000; ++n) {
@@ -108,8 +108,8 @@
             sum += value / 200000, most = std::max(most, value);
             ASSERT_GE(value, 0);
         }
-        EXPECT_NEAR(sum / distribution.mean(), 1, 0.03) << node.at.line;
-        if (node.at.line == 5) {
+        EXPECT_NEAR(sum / distribution.mean(), 1, 0.03) << node.location.line;
+        if (node.location.line == 5) {
             EXPECT_LE(most, 1.0);
         }
     }
@@ -152,7 +152,7 @@
     try {
         all(terms->plan);
         FAIL() << "the bad line was taken";
-    } catch (const kdl::Problem& problem) {
+    } catch (const kdl::DocumentError& problem) {
         EXPECT_EQ(std::string(problem.what()),
                   path + ":3:1: the profile 'nobody' was found, one of a was expected");
     }
@@ -164,7 +164,7 @@
     EXPECT_EQ(plan->skipped(), 4U);
     // A column without its unit can't be guessed, whatever is skipped.
     std::ofstream(path) << "time,profile\n1,a\n";
-    EXPECT_THROW(all(terms->plan), kdl::Problem);
+    EXPECT_THROW(all(terms->plan), kdl::DocumentError);
     std::remove(path.c_str());
 }
 
