--- a/src/kdl/document.cpp
+++ b/src/kdl/document.cpp
@@ -19,45 +19,46 @@
 struct Blank : p::sor<p::one<' ', '\t'>, p::utf8::one<0xFEFF, 0xA0, 0x1680, 0x202F, 0x205F, 0x3000>,
                       p::utf8::range<0x2000, 0x200A>> {};
 struct LineComment : p::seq<p::string<'/', '/'>, p::until<p::at<p::sor<Newline, p::eof>>>> {};
-struct BlockOpen : p::string<'/', '*'> {};
-struct BlockClose : p::string<'*', '/'> {};
+struct BlockCommentStart : p::string<'/', '*'> {};
+struct BlockCommentEnd : p::string<'*', '/'> {};
 struct BlockComment;
-struct InBlock : p::sor<BlockComment, p::seq<p::not_at<BlockClose>, p::utf8::any>> {};
-struct BlockEnd : BlockClose {};
-struct BlockComment : p::seq<BlockOpen, p::star<InBlock>, p::must<BlockEnd>> {};
-struct Space : p::sor<Blank, BlockComment> {};
-struct AfterBackslash : p::sor<p::seq<LineComment, p::opt<Newline>>, Newline, p::eof> {};
-struct GoesOn : p::seq<p::one<'\\'>, p::star<Space>, p::must<AfterBackslash>> {};
-struct Gap : p::sor<Space, GoesOn> {};
+struct BlockCommentContent : p::sor<BlockComment, p::seq<p::not_at<BlockCommentEnd>, p::utf8::any>> {};
+struct RequiredBlockCommentEnd : BlockCommentEnd {};
+struct BlockComment
+    : p::seq<BlockCommentStart, p::star<BlockCommentContent>, p::must<RequiredBlockCommentEnd>> {};
+struct Whitespace : p::sor<Blank, BlockComment> {};
+struct LineContinuationEnd : p::sor<p::seq<LineComment, p::opt<Newline>>, Newline, p::eof> {};
+struct LineContinuation : p::seq<p::one<'\\'>, p::star<Whitespace>, p::must<LineContinuationEnd>> {};
+struct Gap : p::sor<Whitespace, LineContinuation> {};
 struct LineGap : p::sor<Gap, Newline, LineComment> {};
 
-struct Special : p::sor<p::one<'\\', '/', '(', ')', '{', '}', '[', ']', ';', '"', '#', '='>, Blank, Newline,
-                        p::range<0, 0x20>, p::one<0x7f>> {};
-struct WordByte : p::seq<p::not_at<Special>, p::utf8::any> {};
+struct NonIdentifierCharacter : p::sor<p::one<'\\', '/', '(', ')', '{', '}', '[', ']', ';', '"', '#', '='>,
+                                       Blank, Newline, p::range<0, 0x20>, p::one<0x7f>> {};
+struct IdentifierCharacter : p::seq<p::not_at<NonIdentifierCharacter>, p::utf8::any> {};
 struct Digit : p::digit {};
 struct Sign : p::one<'+', '-'> {};
 struct NumberStart : p::seq<p::opt<Sign>, p::opt<p::one<'.'>>, Digit> {};
-struct Word : p::seq<p::not_at<NumberStart>, p::plus<WordByte>> {};
+struct Identifier : p::seq<p::not_at<NumberStart>, p::plus<IdentifierCharacter>> {};
 
 struct HexDigits : p::rep_min_max<1, 6, p::xdigit> {};
 struct EscapeCode
     : p::sor<p::one<'n', 'r', 't', '\\', '"', 'b', 'f', 's'>,
              p::seq<p::one<'u'>, p::one<'{'>, HexDigits, p::one<'}'>>, p::plus<p::sor<Blank, Newline>>> {};
 struct Escape : p::seq<p::one<'\\'>, p::must<EscapeCode>> {};
-struct Letter : p::seq<p::not_at<p::sor<p::one<'"'>, Newline>>, p::utf8::any> {};
-struct StringBody : p::star<p::sor<Escape, p::seq<p::not_at<p::one<'\\'>>, Letter>>> {};
+struct StringCharacter : p::seq<p::not_at<p::sor<p::one<'"'>, Newline>>, p::utf8::any> {};
+struct StringBody : p::star<p::sor<Escape, p::seq<p::not_at<p::one<'\\'>>, StringCharacter>>> {};
 struct StringEnd : p::one<'"'> {};
-struct ManyLines : p::seq<p::star<p::one<'#'>>, p::string<'"', '"', '"'>> {};
-struct OneLineOnly : p::not_at<ManyLines> {};
-struct Quoted : p::seq<p::one<'"'>, StringBody, p::must<StringEnd>> {};
+struct MultiLineStringStart : p::seq<p::star<p::one<'#'>>, p::string<'"', '"', '"'>> {};
+struct SingleLineString : p::not_at<MultiLineStringStart> {};
+struct QuotedString : p::seq<p::one<'"'>, StringBody, p::must<StringEnd>> {};
 template <char... Hashes>
-struct RawEnd : p::string<'"', Hashes...> {};
+struct RawStringEnd : p::string<'"', Hashes...> {};
 template <char... Hashes>
-struct Raw : p::seq<p::string<Hashes..., '"'>,
-                    p::until<RawEnd<Hashes...>, p::seq<p::not_at<Newline>, p::utf8::any>>> {};
-struct RawText : p::sor<Raw<'#', '#', '#'>, Raw<'#', '#'>, Raw<'#'>> {};
-struct Text : p::seq<p::at<p::sor<p::one<'"'>, p::seq<p::plus<p::one<'#'>>, p::one<'"'>>>>,
-                     p::must<OneLineOnly>, p::sor<RawText, Quoted>> {};
+struct RawStringOf : p::seq<p::string<Hashes..., '"'>,
+                            p::until<RawStringEnd<Hashes...>, p::seq<p::not_at<Newline>, p::utf8::any>>> {};
+struct RawString : p::sor<RawStringOf<'#', '#', '#'>, RawStringOf<'#', '#'>, RawStringOf<'#'>> {};
+struct String : p::seq<p::at<p::sor<p::one<'"'>, p::seq<p::plus<p::one<'#'>>, p::one<'"'>>>>,
+                       p::must<SingleLineString>, p::sor<RawString, QuotedString>> {};
 
 struct Digits : p::seq<Digit, p::star<p::sor<Digit, p::one<'_'>>>> {};
 struct Decimal : p::seq<p::opt<Sign>, Digits, p::opt<p::one<'.'>, Digits>,
@@ -69,137 +70,137 @@
 struct UnitLetters : p::plus<p::sor<p::alpha, p::utf8::one<0xB5, 0x3BC>>> {};
 struct Unit : p::sor<p::one<'%'>, p::seq<p::one<'/'>, UnitLetters>,
                      p::seq<UnitLetters, p::opt<p::one<'/'>, UnitLetters>>> {};
-struct EndOfValue : p::at<p::sor<Special, p::eof>> {};
-struct Number : p::seq<p::at<NumberStart>, p::sor<Based, Decimal>, p::opt<Unit>, p::must<EndOfValue>> {};
+struct ValueEnd : p::at<p::sor<NonIdentifierCharacter, p::eof>> {};
+struct Number : p::seq<p::at<NumberStart>, p::sor<Based, Decimal>, p::opt<Unit>, p::must<ValueEnd>> {};
 struct KeywordName
     : p::sor<p::string<'t', 'r', 'u', 'e'>, p::string<'f', 'a', 'l', 's', 'e'>, p::string<'n', 'u', 'l', 'l'>,
              p::string<'-', 'i', 'n', 'f'>, p::string<'i', 'n', 'f'>, p::string<'n', 'a', 'n'>> {};
-struct KeywordWhole : p::seq<KeywordName, EndOfValue> {};
-struct Keyword : p::seq<p::one<'#'>, p::must<KeywordWhole>> {};
+struct CompleteKeyword : p::seq<KeywordName, ValueEnd> {};
+struct Keyword : p::seq<p::one<'#'>, p::must<CompleteKeyword>> {};
 
-struct TypeName : p::sor<Text, Word> {};
-struct TypeNamed : TypeName {};
+struct TypeName : p::sor<String, Identifier> {};
+struct RequiredTypeName : TypeName {};
 struct TypeEnd : p::one<')'> {};
-struct Type : p::seq<p::one<'('>, p::star<Gap>, p::must<TypeNamed>, p::star<Gap>, p::must<TypeEnd>> {};
+struct Type : p::seq<p::one<'('>, p::star<Gap>, p::must<RequiredTypeName>, p::star<Gap>, p::must<TypeEnd>> {};
 
-struct Plain : p::sor<Text, Number, Keyword, Word> {};
-struct Value_ : p::seq<p::opt<Type, p::star<Gap>>, Plain> {};
-struct AfterEquals : Value_ {};
-struct Key : p::sor<Text, Word> {};
-struct Property : p::seq<Key, p::star<Gap>, p::one<'='>, p::star<Gap>, p::must<AfterEquals>> {};
-struct Argument : Value_ {};
-struct Slash : p::string<'/', '-'> {};
-struct EntrySlash : p::seq<Slash, p::star<LineGap>> {};
-struct Entry : p::seq<p::opt<EntrySlash>, p::sor<Property, Argument>> {};
+struct UntypedValue : p::sor<String, Number, Keyword, Identifier> {};
+struct ValueRule : p::seq<p::opt<Type, p::star<Gap>>, UntypedValue> {};
+struct PropertyValue : ValueRule {};
+struct Key : p::sor<String, Identifier> {};
+struct Property : p::seq<Key, p::star<Gap>, p::one<'='>, p::star<Gap>, p::must<PropertyValue>> {};
+struct Argument : ValueRule {};
+struct SlashDash : p::string<'/', '-'> {};
+struct EntrySlashDash : p::seq<SlashDash, p::star<LineGap>> {};
+struct Entry : p::seq<p::opt<EntrySlashDash>, p::sor<Property, Argument>> {};
 
 struct Nodes;
-struct Open : p::one<'{'> {};
-struct Close : p::one<'}'> {};
-struct BlockSlash : p::seq<Slash, p::star<LineGap>, p::at<p::one<'{'>>> {};
-struct Block : p::seq<p::opt<BlockSlash>, Open, Nodes, p::must<Close>> {};
-struct NodeName : p::sor<Text, Word> {};
+struct OpeningBrace : p::one<'{'> {};
+struct ClosingBrace : p::one<'}'> {};
+struct BlockSlashDash : p::seq<SlashDash, p::star<LineGap>, p::at<p::one<'{'>>> {};
+struct Block : p::seq<p::opt<BlockSlashDash>, OpeningBrace, Nodes, p::must<ClosingBrace>> {};
+struct NodeName : p::sor<String, Identifier> {};
 struct NodeType : Type {};
-struct NodeSlash : p::seq<Slash, p::star<LineGap>> {};
-struct AfterSlash : p::at<p::sor<p::one<'('>, p::one<'"'>, p::one<'#'>, Word>> {};
+struct NodeSlashDash : p::seq<SlashDash, p::star<LineGap>> {};
+struct NodeAfterSlashDash : p::at<p::sor<p::one<'('>, p::one<'"'>, p::one<'#'>, Identifier>> {};
 struct NodeEnd : p::sor<p::one<';'>, Newline, LineComment, p::at<p::one<'}'>>, p::eof> {};
-struct NodeClosed : NodeEnd {};
-struct NodeBody : p::seq<p::star<p::seq<p::plus<Gap>, p::not_at<BlockSlash>, Entry>>,
-                         p::star<p::seq<p::star<Gap>, Block>>, p::star<Gap>, p::must<NodeClosed>> {};
+struct RequiredNodeEnd : NodeEnd {};
+struct NodeBody : p::seq<p::star<p::seq<p::plus<Gap>, p::not_at<BlockSlashDash>, Entry>>,
+                         p::star<p::seq<p::star<Gap>, Block>>, p::star<Gap>, p::must<RequiredNodeEnd>> {};
 struct NodeStart : p::seq<p::opt<NodeType, p::star<Gap>>, NodeName> {};
-struct Node_ : p::seq<p::opt<NodeSlash, p::must<AfterSlash>>, NodeStart, NodeBody> {};
-struct Nodes : p::seq<p::star<LineGap>, p::star<Node_, p::star<LineGap>>> {};
-struct End : p::eof {};
-struct Document : p::seq<p::opt<p::utf8::bom>, Nodes, p::must<End>> {};
+struct NodeRule : p::seq<p::opt<NodeSlashDash, p::must<NodeAfterSlashDash>>, NodeStart, NodeBody> {};
+struct Nodes : p::seq<p::star<LineGap>, p::star<NodeRule, p::star<LineGap>>> {};
+struct DocumentEnd : p::eof {};
+struct Document : p::seq<p::opt<p::utf8::bom>, Nodes, p::must<DocumentEnd>> {};
 
 // What stands where one of these was missing.
 template <typename Rule>
 inline constexpr const char* kExpected = nullptr;
 template <>
-inline constexpr auto kExpected<BlockEnd> = "the end '*/' of a comment was expected";
+inline constexpr auto kExpected<RequiredBlockCommentEnd> = "the end '*/' of a comment was expected";
 template <>
-inline constexpr auto kExpected<AfterBackslash> = "the end of the line was expected after '\\'";
+inline constexpr auto kExpected<LineContinuationEnd> = "the end of the line was expected after '\\'";
 template <>
 inline constexpr auto kExpected<EscapeCode> =
     "one of n, r, t, b, f, s, \\, \" or u{1F600} was expected after '\\' in a text";
 template <>
 inline constexpr auto kExpected<StringEnd> = "the closing '\"' of a text was expected on this line";
 template <>
-inline constexpr auto kExpected<OneLineOnly> =
+inline constexpr auto kExpected<SingleLineString> =
     "a text in one line was expected (\"\"\" is not supported: write \\n for a new line)";
 template <>
-inline constexpr auto kExpected<EndOfValue> =
+inline constexpr auto kExpected<ValueEnd> =
     "a blank or the end of the number was expected (a unit is %, or letters such as ms, MiB or /s)";
 template <>
-inline constexpr auto kExpected<KeywordWhole> = "#true, #false or #null was expected";
+inline constexpr auto kExpected<CompleteKeyword> = "#true, #false or #null was expected";
 template <>
-inline constexpr auto kExpected<TypeNamed> = "the name of a type was expected after '('";
+inline constexpr auto kExpected<RequiredTypeName> = "the name of a type was expected after '('";
 template <>
 inline constexpr auto kExpected<TypeEnd> = "')' was expected after the name of a type";
 template <>
-inline constexpr auto kExpected<AfterEquals> = "a value was expected after '='";
+inline constexpr auto kExpected<PropertyValue> = "a value was expected after '='";
 template <>
-inline constexpr auto kExpected<Close> = "the name of a node or '}' was expected";
+inline constexpr auto kExpected<ClosingBrace> = "the name of a node or '}' was expected";
 template <>
-inline constexpr auto kExpected<AfterSlash> = "a node was expected after '/-'";
+inline constexpr auto kExpected<NodeAfterSlashDash> = "a node was expected after '/-'";
 template <>
-inline constexpr auto kExpected<NodeClosed> = "a value, '{' or the end of the line was expected";
+inline constexpr auto kExpected<RequiredNodeEnd> = "a value, '{' or the end of the line was expected";
 template <>
-inline constexpr auto kExpected<End> = "the name of a node was expected";
+inline constexpr auto kExpected<DocumentEnd> = "the name of a node was expected";
 
-struct Expectations {
+struct ExpectationMessages {
     template <typename Rule>
     static constexpr auto message = kExpected<Rule>;
     template <typename Rule>
     static constexpr bool raise_on_failure = false;
 };
 template <typename Rule>
-using Control = typename p::must_if<Expectations>::template control<Rule>;
+using Control = typename p::must_if<ExpectationMessages>::template control<Rule>;
 
 // ---- the nodes ------------------------------------------------------------------------------------------
 
 struct Builder {
     std::string file;
-    std::vector<Node> open = std::vector<Node>(1);  // the document itself stands first
-    std::vector<bool> dropped = {false};            // the node is behind a '/-'
-    std::vector<bool> blockDropped;                 // its block is
-    std::string word, type, key;
-    Value plain;
+    std::vector<Node> openNodes = std::vector<Node>(1);  // the document itself stands first
+    std::vector<bool> droppedNodes = {false};            // the node is behind a '/-'
+    std::vector<bool> droppedBlocks;                     // its block is
+    std::string lastString, type, key;
+    Value lastValue;
     bool dropNode = false, dropEntry = false, dropBlock = false;
 
     template <typename Input>
-    SourceLocation place(const Input& in) const {
+    SourceLocation locationOf(const Input& in) const {
         const auto at = in.position();
         return {file, at.line, at.column};
     }
     Value takeValue() {
-        Value value = std::move(plain);
-        plain = Value{};
+        Value value = std::move(lastValue);
+        lastValue = Value{};
         if (!type.empty() && value.kind == Value::Kind::Number && value.unit.empty()) value.unit = type;
         type.clear();
         return value;
     }
 };
 
-void addUtf8(std::string& to, unsigned long code) {
+void appendUtf8(std::string& out, unsigned long code) {
     if (code < 0x80) {
-        to.push_back(static_cast<char>(code));
+        out.push_back(static_cast<char>(code));
     } else if (code < 0x800) {
-        to.push_back(static_cast<char>(0xC0 | code >> 6));
-        to.push_back(static_cast<char>(0x80 | (code & 0x3F)));
+        out.push_back(static_cast<char>(0xC0 | code >> 6));
+        out.push_back(static_cast<char>(0x80 | (code & 0x3F)));
     } else if (code < 0x10000) {
-        to.push_back(static_cast<char>(0xE0 | code >> 12));
-        to.push_back(static_cast<char>(0x80 | (code >> 6 & 0x3F)));
-        to.push_back(static_cast<char>(0x80 | (code & 0x3F)));
+        out.push_back(static_cast<char>(0xE0 | code >> 12));
+        out.push_back(static_cast<char>(0x80 | (code >> 6 & 0x3F)));
+        out.push_back(static_cast<char>(0x80 | (code & 0x3F)));
     } else {
-        to.push_back(static_cast<char>(0xF0 | code >> 18));
-        to.push_back(static_cast<char>(0x80 | (code >> 12 & 0x3F)));
-        to.push_back(static_cast<char>(0x80 | (code >> 6 & 0x3F)));
-        to.push_back(static_cast<char>(0x80 | (code & 0x3F)));
+        out.push_back(static_cast<char>(0xF0 | code >> 18));
+        out.push_back(static_cast<char>(0x80 | (code >> 12 & 0x3F)));
+        out.push_back(static_cast<char>(0x80 | (code >> 6 & 0x3F)));
+        out.push_back(static_cast<char>(0x80 | (code & 0x3F)));
     }
 }
 
 // The content of a text as it is written, with its quotes; the grammar has seen to its form.
-std::string contentOf(std::string_view written) {
+std::string stringContent(std::string_view written) {
     const std::size_t hashes = written.find('"');
     std::string_view inner = written.substr(hashes + 1, written.size() - 2 * hashes - 2);
     if (hashes > 0) return std::string(inner);
@@ -212,13 +213,13 @@
             continue;
         }
         const char code = inner.front();
-        static constexpr std::string_view kCodes = "nrt\\\"bfs", kMeant = "\n\r\t\\\"\b\f ";
+        static constexpr std::string_view kCodes = "nrt\\\"bfs", kDecoded = "\n\r\t\\\"\b\f ";
         if (code == 'u') {
             const std::size_t close = inner.find('}');
-            addUtf8(content, std::strtoul(std::string(inner.substr(2, close - 2)).c_str(), nullptr, 16));
+            appendUtf8(content, std::strtoul(std::string(inner.substr(2, close - 2)).c_str(), nullptr, 16));
             inner.remove_prefix(close + 1);
         } else if (const std::size_t at = kCodes.find(code); at != kCodes.npos) {
-            content.push_back(kMeant[at]);
+            content.push_back(kDecoded[at]);
             inner.remove_prefix(1);
         } else {  // blanks behind a backslash are left out
             inner.remove_prefix(std::min(inner.find_first_not_of(" \t\r\n"), inner.size()));
@@ -227,7 +228,7 @@
     return content;
 }
 
-double numberOf(std::string written) {
+double parseNumber(std::string written) {
     std::erase(written, '_');
     const bool negative = written.front() == '-';
     if (negative || written.front() == '+') written.erase(0, 1);
@@ -249,34 +250,34 @@
 struct Action {};
 
 template <>
-struct Action<Text> {
+struct Action<String> {
     template <typename Input>
-    static void apply(const Input& in, Builder& to) {
-        to.word = contentOf(in.string_view());
-        to.plain = {Value::Kind::String, to.word, 0, "", false, to.place(in)};
+    static void apply(const Input& in, Builder& builder) {
+        builder.lastString = stringContent(in.string_view());
+        builder.lastValue = {Value::Kind::String, builder.lastString, 0, "", false, builder.locationOf(in)};
     }
 };
 template <>
-struct Action<Word> {
+struct Action<Identifier> {
     template <typename Input>
-    static void apply(const Input& in, Builder& to) {
-        to.word = in.string();
+    static void apply(const Input& in, Builder& builder) {
+        builder.lastString = in.string();
         for (const char* keyword : {"true", "false", "null", "inf", "-inf", "nan"})
-            if (to.word == keyword)
-                throw DocumentError(to.place(in), "'" + to.word + "' was found",
-                                    "'#" + to.word + "' or a text in quotes was expected");
-        to.plain = {Value::Kind::String, to.word, 0, "", false, to.place(in)};
+            if (builder.lastString == keyword)
+                throw DocumentError(builder.locationOf(in), "'" + builder.lastString + "' was found",
+                                    "'#" + builder.lastString + "' or a text in quotes was expected");
+        builder.lastValue = {Value::Kind::String, builder.lastString, 0, "", false, builder.locationOf(in)};
     }
 };
 template <>
 struct Action<Number> {
     template <typename Input>
-    static void apply(const Input& in, Builder& to) {
+    static void apply(const Input& in, Builder& builder) {
         const std::string written = in.string();
         std::size_t digits = written.size();
-        const bool based = written.find_first_of("xob") != written.npos && written.size() > 2 &&
-                           std::isalpha(static_cast<unsigned char>(written[written.find('0') + 1]));
-        if (!based) {
+        const bool hasBasePrefix = written.find_first_of("xob") != written.npos && written.size() > 2 &&
+                                   std::isalpha(static_cast<unsigned char>(written[written.find('0') + 1]));
+        if (!hasBasePrefix) {
             digits = std::min(written.find_first_not_of("0123456789_.+-"), written.size());
             // An exponent belongs to the digits, a unit that begins with an e does not.
             if (digits < written.size() && (written[digits] | 32) == 'e') {
@@ -286,100 +287,104 @@
                     digits = std::min(written.find_first_not_of("0123456789_", end), written.size());
             }
         }
-        to.plain = {Value::Kind::Number,    written, numberOf(written.substr(0, digits)),
-                    written.substr(digits), false,   to.place(in)};
+        builder.lastValue = {Value::Kind::Number,    written, parseNumber(written.substr(0, digits)),
+                             written.substr(digits), false,   builder.locationOf(in)};
     }
 };
 template <>
 struct Action<Keyword> {
     template <typename Input>
-    static void apply(const Input& in, Builder& to) {
+    static void apply(const Input& in, Builder& builder) {
         const std::string written = in.string();
-        to.plain = {Value::Kind::Number, written, 0, "", false, to.place(in)};
+        builder.lastValue = {Value::Kind::Number, written, 0, "", false, builder.locationOf(in)};
         if (written == "#true" || written == "#false")
-            to.plain.kind = Value::Kind::Boolean, to.plain.boolean = written == "#true";
+            builder.lastValue.kind = Value::Kind::Boolean, builder.lastValue.boolean = written == "#true";
         else if (written == "#null")
-            to.plain.kind = Value::Kind::Null;
+            builder.lastValue.kind = Value::Kind::Null;
         else
-            to.plain.number = written == "#nan" ? std::nan("") : written == "#inf" ? HUGE_VAL : -HUGE_VAL;
+            builder.lastValue.number = written == "#nan"   ? std::nan("")
+                                       : written == "#inf" ? HUGE_VAL
+                                                           : -HUGE_VAL;
     }
 };
 template <>
-struct Action<TypeNamed> {
-    static void apply0(Builder& to) { to.type = to.word; }
+struct Action<RequiredTypeName> {
+    static void apply0(Builder& builder) { builder.type = builder.lastString; }
 };
 template <>
 struct Action<Key> {
-    static void apply0(Builder& to) { to.key = to.word; }
+    static void apply0(Builder& builder) { builder.key = builder.lastString; }
 };
 template <>
-struct Action<AfterEquals> {
-    static void apply0(Builder& to) {
-        Value value = to.takeValue();
-        if (!std::exchange(to.dropEntry, false)) to.open.back().properties[to.key] = std::move(value);
+struct Action<PropertyValue> {
+    static void apply0(Builder& builder) {
+        Value value = builder.takeValue();
+        if (!std::exchange(builder.dropEntry, false))
+            builder.openNodes.back().properties[builder.key] = std::move(value);
     }
 };
 template <>
 struct Action<Argument> {
-    static void apply0(Builder& to) {
-        Value value = to.takeValue();
-        if (!std::exchange(to.dropEntry, false)) to.open.back().arguments.push_back(std::move(value));
+    static void apply0(Builder& builder) {
+        Value value = builder.takeValue();
+        if (!std::exchange(builder.dropEntry, false))
+            builder.openNodes.back().arguments.push_back(std::move(value));
     }
 };
 template <>
-struct Action<EntrySlash> {
-    static void apply0(Builder& to) { to.dropEntry = true; }
+struct Action<EntrySlashDash> {
+    static void apply0(Builder& builder) { builder.dropEntry = true; }
 };
 template <>
-struct Action<BlockSlash> {
-    static void apply0(Builder& to) { to.dropBlock = true; }
+struct Action<BlockSlashDash> {
+    static void apply0(Builder& builder) { builder.dropBlock = true; }
 };
 template <>
-struct Action<NodeSlash> {
-    static void apply0(Builder& to) { to.dropNode = true; }
+struct Action<NodeSlashDash> {
+    static void apply0(Builder& builder) { builder.dropNode = true; }
 };
 template <>
 struct Action<NodeStart> {
     template <typename Input>
-    static void apply(const Input& in, Builder& to) {
+    static void apply(const Input& in, Builder& builder) {
         Node node;
-        node.name = to.word;
-        node.type = std::exchange(to.type, "");
-        node.location = to.place(in);
-        to.open.push_back(std::move(node));
-        to.dropped.push_back(std::exchange(to.dropNode, false));
+        node.name = builder.lastString;
+        node.type = std::exchange(builder.type, "");
+        node.location = builder.locationOf(in);
+        builder.openNodes.push_back(std::move(node));
+        builder.droppedNodes.push_back(std::exchange(builder.dropNode, false));
     }
 };
 template <>
-struct Action<Open> {
+struct Action<OpeningBrace> {
     template <typename Input>
-    static void apply(const Input& in, Builder& to) {
-        to.blockDropped.push_back(std::exchange(to.dropBlock, false));
-        if (to.blockDropped.size() > kMaxDepth)
-            throw DocumentError(to.place(in), "'{' was found",
+    static void apply(const Input& in, Builder& builder) {
+        builder.droppedBlocks.push_back(std::exchange(builder.dropBlock, false));
+        if (builder.droppedBlocks.size() > kMaxDepth)
+            throw DocumentError(builder.locationOf(in), "'{' was found",
                                 "at most " + std::to_string(kMaxDepth) + " nodes in nodes were expected");
     }
 };
 template <>
-struct Action<Close> {
-    static void apply0(Builder& to) {
-        if (to.blockDropped.back()) to.open.back().children.clear();
-        to.blockDropped.pop_back();
+struct Action<ClosingBrace> {
+    static void apply0(Builder& builder) {
+        if (builder.droppedBlocks.back()) builder.openNodes.back().children.clear();
+        builder.droppedBlocks.pop_back();
     }
 };
 template <>
-struct Action<NodeClosed> {
-    static void apply0(Builder& to) {
-        Node node = std::move(to.open.back());
-        to.open.pop_back();
-        const bool drop = to.dropped.back();
-        to.dropped.pop_back();
-        if (!drop) to.open.back().children.push_back(std::move(node));
+struct Action<RequiredNodeEnd> {
+    static void apply0(Builder& builder) {
+        Node node = std::move(builder.openNodes.back());
+        builder.openNodes.pop_back();
+        const bool drop = builder.droppedNodes.back();
+        builder.droppedNodes.pop_back();
+        if (!drop) builder.openNodes.back().children.push_back(std::move(node));
     }
 };
 
 // What stands at a place, for a message: a word of it, in quotes.
-std::string foundAt(std::string_view text, std::size_t byte) {
+std::string describeTextAt(std::string_view text, std::size_t byte) {
     if (byte >= text.size()) return "the end of the file was found";
     const std::string_view rest = text.substr(byte);
     if (rest.front() == '\n' || rest.front() == '\r') return "the end of the line was found";
@@ -389,12 +394,15 @@
 
 }  // namespace
 
-DocumentError::DocumentError(const SourceLocation& at, const std::string& found, const std::string& expected)
-    : DocumentError(at, found + ", " + expected) {}
-DocumentError::DocumentError(const SourceLocation& at, const std::string& what)
-    : runtime_error(at.file +
-                    (at.line > 0 ? ":" + std::to_string(at.line) + ":" + std::to_string(at.column) : "") +
-                    ": " + what) {}
+DocumentError::DocumentError(const SourceLocation& location, const std::string& found,
+                             const std::string& expected)
+    : DocumentError(location, found + ", " + expected) {}
+DocumentError::DocumentError(const SourceLocation& location, const std::string& message)
+    : runtime_error(location.file +
+                    (location.line > 0
+                         ? ":" + std::to_string(location.line) + ":" + std::to_string(location.column)
+                         : "") +
+                    ": " + message) {}
 
 std::vector<Node> parse(std::string_view text, const std::string& file) {
     if (text.size() > kMaxDocumentBytes)
@@ -408,9 +416,10 @@
             throw DocumentError({file, 1, 1}, "no KDL document was found");
     } catch (const p::parse_error& error) {
         const auto& at = error.positions().front();
-        throw DocumentError({file, at.line, at.column}, foundAt(text, at.byte), std::string(error.message()));
+        throw DocumentError({file, at.line, at.column}, describeTextAt(text, at.byte),
+                            std::string(error.message()));
     }
-    return std::move(builder.open.front().children);
+    return std::move(builder.openNodes.front().children);
 }
 
 std::vector<Node> parseFile(const std::string& path) {
--- a/src/kdl/document.h
+++ b/src/kdl/document.h
@@ -22,8 +22,8 @@
 // What can't be taken, as `file:line:column: what was found, what was expected`.
 class DocumentError : public std::runtime_error {
 public:
-    DocumentError(const SourceLocation& at, const std::string& found, const std::string& expected);
-    DocumentError(const SourceLocation& at, const std::string& what);
+    DocumentError(const SourceLocation& location, const std::string& found, const std::string& expected);
+    DocumentError(const SourceLocation& location, const std::string& message);
 };
 
 struct Value {
--- a/src/kdl/fields.cpp
+++ b/src/kdl/fields.cpp
@@ -8,24 +8,24 @@
 
 using Units = std::vector<std::pair<std::string, double>>;
 
-const Units kTimes = {{"ns", 1},  {"us", 1e3},   {"\xC2\xB5s", 1e3}, {"\xCE\xBCs", 1e3}, {"ms", 1e6},
-                      {"s", 1e9}, {"min", 60e9}, {"h", 3600e9},      {"d", 86400e9}};
-const Units kBytes = {{"B", 1},
-                      {"kB", 1e3},
-                      {"KiB", 1024.0},
-                      {"MB", 1e6},
-                      {"MiB", 1 << 20},
-                      {"GB", 1e9},
-                      {"GiB", 1024.0 * 1024 * 1024}};
-const Units kRates = {{"/s", 1}, {"/min", 1.0 / 60}, {"/h", 1.0 / 3600}};
-
-[[noreturn]] void refuse(const Value& value, const std::string& expected) {
+const Units kTimeUnits = {{"ns", 1},  {"us", 1e3},   {"\xC2\xB5s", 1e3}, {"\xCE\xBCs", 1e3}, {"ms", 1e6},
+                          {"s", 1e9}, {"min", 60e9}, {"h", 3600e9},      {"d", 86400e9}};
+const Units kByteUnits = {{"B", 1},
+                          {"kB", 1e3},
+                          {"KiB", 1024.0},
+                          {"MB", 1e6},
+                          {"MiB", 1 << 20},
+                          {"GB", 1e9},
+                          {"GiB", 1024.0 * 1024 * 1024}};
+const Units kRateUnits = {{"/s", 1}, {"/min", 1.0 / 60}, {"/h", 1.0 / 3600}};
+
+[[noreturn]] void throwUnexpected(const Value& value, const std::string& expected) {
     const std::string what =
         value.kind == Value::Kind::String ? "the text '" + value.text + "'" : "'" + value.text + "'";
     throw DocumentError(value.location, what + " was found", expected + " was expected");
 }
 
-std::string listed(const Units& units) {
+std::string joinUnitNames(const Units& units) {
     std::string all;
     for (const auto& [unit, factor] : units)
         if (unit.front() > 0) all += (all.empty() ? "" : ", ") + unit;
@@ -33,7 +33,7 @@
 }
 
 // In quotes the same is written as in plain KDL, which knows no units: "250ms".
-Value unquoted(const Value& value) {
+Value parseQuotedNumber(const Value& value) {
     if (value.kind != Value::Kind::String) return value;
     try {
         const auto nodes = parse("v " + value.text, value.location.file);
@@ -48,92 +48,92 @@
     return value;
 }
 
-double inUnits(const Value& given, const Units& units, const std::string& expected) {
-    const Value value = unquoted(given);
-    if (value.kind != Value::Kind::Number || !std::isfinite(value.number)) refuse(given, expected);
-    if (value.number < 0) refuse(given, expected + " of 0 or more");
+double convertUnit(const Value& given, const Units& units, const std::string& expected) {
+    const Value value = parseQuotedNumber(given);
+    if (value.kind != Value::Kind::Number || !std::isfinite(value.number)) throwUnexpected(given, expected);
+    if (value.number < 0) throwUnexpected(given, expected + " of 0 or more");
     for (const auto& [unit, factor] : units)
         if (value.unit == unit) return value.number * factor;
     if (value.number == 0 && value.unit.empty()) return 0;
-    if (value.unit.empty()) refuse(given, expected + " with a unit (" + listed(units) + ")");
+    if (value.unit.empty()) throwUnexpected(given, expected + " with a unit (" + joinUnitNames(units) + ")");
     throw DocumentError(given.location, "the unit '" + value.unit + "' was found",
-                        expected + " in " + listed(units) + " was expected");
+                        expected + " in " + joinUnitNames(units) + " was expected");
 }
 
 }  // namespace
 
 Duration duration(const Value& value) {
-    const double nanos = inUnits(value, kTimes, "a duration such as 250ms");
-    if (nanos > 9e18) refuse(value, "a duration of less than 290 years");
+    const double nanos = convertUnit(value, kTimeUnits, "a duration such as 250ms");
+    if (nanos > 9e18) throwUnexpected(value, "a duration of less than 290 years");
     return Duration(static_cast<std::int64_t>(std::llround(nanos)));
 }
 
 double fraction(const Value& given) {
-    const Value value = unquoted(given);
+    const Value value = parseQuotedNumber(given);
     if (value.kind != Value::Kind::Number || !std::isfinite(value.number) || value.number < 0 ||
         (!value.unit.empty() && value.unit != "%"))
-        refuse(given, "a share such as 35% or 0.35");
+        throwUnexpected(given, "a share such as 35% or 0.35");
     return value.unit == "%" ? value.number / 100 : value.number;
 }
 
-double rate(const Value& value) { return inUnits(value, kRates, "a rate such as 120/s"); }
+double rate(const Value& value) { return convertUnit(value, kRateUnits, "a rate such as 120/s"); }
 
 std::uint64_t bytes(const Value& value) {
-    const double count = inUnits(value, kBytes, "a size such as 4MiB");
-    if (count > 1e15) refuse(value, "a size of less than a thousand TB");
+    const double count = convertUnit(value, kByteUnits, "a size such as 4MiB");
+    if (count > 1e15) throwUnexpected(value, "a size of less than a thousand TB");
     return static_cast<std::uint64_t>(std::llround(count));
 }
 
 double number(const Value& value) {
-    if (value.kind != Value::Kind::Number || !std::isfinite(value.number)) refuse(value, "a number");
-    if (!value.unit.empty()) refuse(value, "a number without a unit");
+    if (value.kind != Value::Kind::Number || !std::isfinite(value.number)) throwUnexpected(value, "a number");
+    if (!value.unit.empty()) throwUnexpected(value, "a number without a unit");
     return value.number;
 }
 
-std::int64_t integer(const Value& value, std::int64_t least, std::int64_t most) {
-    const std::string expected =
-        "a whole number from " + std::to_string(least) + " to " + std::to_string(most);
+std::int64_t integer(const Value& value, std::int64_t min, std::int64_t max) {
+    const std::string expected = "a whole number from " + std::to_string(min) + " to " + std::to_string(max);
     if (value.kind != Value::Kind::Number || !value.unit.empty() ||
-        value.number != std::floor(value.number) || value.number < static_cast<double>(least) ||
-        value.number > static_cast<double>(most))
-        refuse(value, expected);
+        value.number != std::floor(value.number) || value.number < static_cast<double>(min) ||
+        value.number > static_cast<double>(max))
+        throwUnexpected(value, expected);
     return static_cast<std::int64_t>(value.number);
 }
 
 const std::string& text(const Value& value) {
-    if (value.kind != Value::Kind::String) refuse(value, "a text");
+    if (value.kind != Value::Kind::String) throwUnexpected(value, "a text");
     return value.text;
 }
 
 bool boolean(const Value& value) {
-    if (value.kind != Value::Kind::Boolean) refuse(value, "#true or #false");
+    if (value.kind != Value::Kind::Boolean) throwUnexpected(value, "#true or #false");
     return value.boolean;
 }
 
-void NodeReader::fail(const std::string& what) const { throw DocumentError(node_.location, what); }
+void NodeReader::fail(const std::string& message) const { throw DocumentError(node_.location, message); }
 
-const Value& NodeReader::argument(std::size_t at, const std::string& what) {
-    arguments_.insert(at);
-    if (at < node_.arguments.size()) return node_.arguments[at];
+const Value& NodeReader::argument(std::size_t index, const std::string& what) {
+    readArguments_.insert(index);
+    if (index < node_.arguments.size()) return node_.arguments[index];
     throw DocumentError(
         node_.location,
         "'" + node_.name + "' was found with " + std::to_string(node_.arguments.size()) + " values",
         what + " was expected behind it");
 }
 
-const Value* NodeReader::optionalArgument(std::size_t at) {
-    arguments_.insert(at);
-    return at < node_.arguments.size() ? &node_.arguments[at] : nullptr;
+const Value* NodeReader::optionalArgument(std::size_t index) {
+    readArguments_.insert(index);
+    return index < node_.arguments.size() ? &node_.arguments[index] : nullptr;
 }
 
 std::vector<const Value*> NodeReader::remainingArguments(std::size_t from) {
     std::vector<const Value*> result;
-    for (std::size_t at = from; at < node_.arguments.size(); ++at) result.push_back(optionalArgument(at));
+    for (std::size_t index = from; index < node_.arguments.size(); ++index)
+        result.push_back(optionalArgument(index));
     return result;
 }
 
 const Value* NodeReader::property(const std::string& name) {
-    properties_.insert(name);
+    readProperties_.insert(name);
     const auto found = node_.properties.find(name);
     return found == node_.properties.end() ? nullptr : &found->second;
 }
@@ -147,7 +147,7 @@
 }
 
 std::vector<const Node*> NodeReader::children(const std::string& name) {
-    children_.insert(name);
+    readChildren_.insert(name);
     std::vector<const Node*> result;
     for (const Node& child : node_.children)
         if (child.name == name) result.push_back(&child);
@@ -155,28 +155,31 @@
 }
 
 std::vector<const Node*> NodeReader::allChildren() {
-    any_ = true;
+    acceptsAnyChild_ = true;
     std::vector<const Node*> result;
     for (const Node& child : node_.children) result.push_back(&child);
     return result;
 }
 
 void NodeReader::rejectUnknown() const {
-    const auto known = [](const std::set<std::string>& names, const char* what) {
+    const auto acceptedNames = [](const std::set<std::string>& names, const char* what) {
         std::string all;
         for (const std::string& name : names) all += (all.empty() ? "" : ", ") + name;
         return all.empty() ? std::string("no ") + what + " was expected" : "one of " + all + " was expected";
     };
-    for (std::size_t at = 0; at < node_.arguments.size(); ++at)
-        if (!arguments_.contains(at))
-            throw DocumentError(node_.arguments[at].location, "'" + node_.arguments[at].text + "' was found",
+    for (std::size_t index = 0; index < node_.arguments.size(); ++index)
+        if (!readArguments_.contains(index))
+            throw DocumentError(node_.arguments[index].location,
+                                "'" + node_.arguments[index].text + "' was found",
                                 "no further value was expected behind '" + node_.name + "'");
     for (const auto& [name, value] : node_.properties)
-        if (!properties_.contains(name))
-            throw DocumentError(value.location, "'" + name + "=' was found", known(properties_, "property"));
+        if (!readProperties_.contains(name))
+            throw DocumentError(value.location, "'" + name + "=' was found",
+                                acceptedNames(readProperties_, "property"));
     for (const Node& child : node_.children)
-        if (!any_ && !children_.contains(child.name))
-            throw DocumentError(child.location, "'" + child.name + "' was found", known(children_, "node"));
+        if (!acceptsAnyChild_ && !readChildren_.contains(child.name))
+            throw DocumentError(child.location, "'" + child.name + "' was found",
+                                acceptedNames(readChildren_, "node"));
 }
 
 }  // namespace cottonwing::kdl
--- a/src/kdl/fields.h
+++ b/src/kdl/fields.h
@@ -23,12 +23,12 @@
 double rate(const Value& value);          // a second: 120/s, 90/min, 3600/h; at least 0
 std::uint64_t bytes(const Value& value);  // B, kB, KiB, MB, MiB, GB, GiB
 double number(const Value& value);        // without a unit
-std::int64_t integer(const Value& value, std::int64_t least, std::int64_t most);
+std::int64_t integer(const Value& value, std::int64_t min, std::int64_t max);
 const std::string& text(const Value& value);
 bool boolean(const Value& value);
 // whole() for a setting or a property.
-inline auto integerBetween(std::int64_t least, std::int64_t most) {
-    return [=](const Value& value) { return integer(value, least, most); };
+inline auto integerBetween(std::int64_t min, std::int64_t max) {
+    return [=](const Value& value) { return integer(value, min, max); };
 }
 
 class NodeReader {
@@ -38,17 +38,17 @@
     NodeReader& operator=(const NodeReader&) = delete;
 
     const Node& node() const { return node_; }
-    [[noreturn]] void fail(const std::string& what) const;
+    [[noreturn]] void fail(const std::string& message) const;
 
     // The argument at that place, counted from 0. what tells what is expected, as "a duration such as 250ms".
-    const Value& argument(std::size_t at, const std::string& what);
-    const Value* optionalArgument(std::size_t at);
+    const Value& argument(std::size_t index, const std::string& what);
+    const Value* optionalArgument(std::size_t index);
     std::vector<const Value*> remainingArguments(std::size_t from);  // the arguments from there on
     const Value* property(const std::string& name);                  // nothing where there is none
     // Read into `to`, which keeps its value where there is none.
     template <typename T, typename Read>
-    void property(const std::string& name, T& to, Read&& reads) {
-        if (const Value* const value = property(name)) to = static_cast<T>(reads(*value));
+    void property(const std::string& name, T& to, Read&& readValue) {
+        if (const Value* const value = property(name)) to = static_cast<T>(readValue(*value));
     }
     // The one child of that name; more than one is an error.
     const Node* child(const std::string& name);
@@ -57,24 +57,24 @@
 
     // The only argument of the child of that name, read by one of the above, or else otherwise.
     template <typename Read, typename T>
-    T setting(const std::string& name, Read&& read, T otherwise) {
+    T setting(const std::string& name, Read&& readValue, T defaultValue) {
         const Node* const found = child(name);
-        if (found == nullptr) return otherwise;
+        if (found == nullptr) return defaultValue;
         NodeReader inner(*found);
-        T result = static_cast<T>(read(inner.argument(0, "a value")));
+        T result = static_cast<T>(readValue(inner.argument(0, "a value")));
         inner.rejectUnknown();
         return result;
     }
     // One of the words, as its place in the list.
     template <typename T>
     static T choice(const Value& value, const std::vector<std::pair<std::string, T>>& words) {
-        std::string known;
+        std::string acceptedWords;
         for (const auto& [word, meant] : words) {
             if (value.kind == Value::Kind::String && value.text == word) return meant;
-            known += (known.empty() ? "" : ", ") + word;
+            acceptedWords += (acceptedWords.empty() ? "" : ", ") + word;
         }
         throw DocumentError(value.location, "'" + value.text + "' was found",
-                            "one of " + known + " was expected");
+                            "one of " + acceptedWords + " was expected");
     }
 
     // Everything in the node was asked for; throws DocumentError at the first that was not.
@@ -82,9 +82,9 @@
 
 private:
     const Node& node_;
-    std::set<std::size_t> arguments_;
-    std::set<std::string> properties_, children_;
-    bool any_ = false;
+    std::set<std::size_t> readArguments_;
+    std::set<std::string> readProperties_, readChildren_;
+    bool acceptsAnyChild_ = false;
 };
 
 }  // namespace cottonwing::kdl
--- a/tests/kdl/document_test.cpp
+++ b/tests/kdl/document_test.cpp
@@ -10,20 +10,20 @@
 
 using namespace std::chrono_literals;
 
-std::string problemOf(const std::string& text) {
+std::string parseErrorOf(const std::string& text) {
     try {
         parse(text, "f.kdl");
-    } catch (const DocumentError& problem) {
-        return problem.what();
+    } catch (const DocumentError& error) {
+        return error.what();
     }
     return "none";
 }
 
-std::string whatStops(const std::function<void()>& reads) {
+std::string readErrorOf(const std::function<void()>& reads) {
     try {
         reads();
-    } catch (const DocumentError& problem) {
-        return problem.what();
+    } catch (const DocumentError& error) {
+        return error.what();
     }
     return "none";
 }
@@ -80,74 +80,75 @@
 
 // Every one of these was found by hand to be easily made, and each names its place and its mend.
 TEST(Kdl, EachMistakeHasOneMessageWithItsPlace) {
-    EXPECT_EQ(problemOf("a {\n  b 1\n"),
+    EXPECT_EQ(parseErrorOf("a {\n  b 1\n"),
               "f.kdl:3:1: the end of the file was found, the name of a node or '}' was expected");
-    EXPECT_EQ(problemOf("a }"), "f.kdl:1:3: '}' was found, the name of a node was expected");
-    EXPECT_EQ(problemOf("a b=\n"),
+    EXPECT_EQ(parseErrorOf("a }"), "f.kdl:1:3: '}' was found, the name of a node was expected");
+    EXPECT_EQ(parseErrorOf("a b=\n"),
               "f.kdl:1:5: the end of the line was found, a value was expected after '='");
     EXPECT_EQ(
-        problemOf("a \"open\nb"),
+        parseErrorOf("a \"open\nb"),
         "f.kdl:1:8: the end of the line was found, the closing '\"' of a text was expected on this line");
-    EXPECT_EQ(problemOf("a \"x\\q\""),
+    EXPECT_EQ(parseErrorOf("a \"x\\q\""),
               "f.kdl:1:6: 'q\"' was found, one of n, r, t, b, f, s, \\, \" or u{1F600} was expected after "
               "'\\' in a text");
-    EXPECT_EQ(problemOf("a true"), "f.kdl:1:3: 'true' was found, '#true' or a text in quotes was expected");
-    EXPECT_EQ(problemOf("a #maybe"), "f.kdl:1:4: 'maybe' was found, #true, #false or #null was expected");
-    EXPECT_EQ(problemOf("x /* never closed"),
+    EXPECT_EQ(parseErrorOf("a true"),
+              "f.kdl:1:3: 'true' was found, '#true' or a text in quotes was expected");
+    EXPECT_EQ(parseErrorOf("a #maybe"), "f.kdl:1:4: 'maybe' was found, #true, #false or #null was expected");
+    EXPECT_EQ(parseErrorOf("x /* never closed"),
               "f.kdl:1:18: the end of the file was found, the end '*/' of a comment was expected");
-    EXPECT_NE(problemOf("a \"\"\"\nmany\n\"\"\"").find("f.kdl:1:3"), std::string::npos);
-    EXPECT_NE(problemOf("a 250m_s").find("f.kdl:1:7: '_s' was found"), std::string::npos);
-    EXPECT_NE(problemOf("ok\n\n  a [1]").find("f.kdl:3:5: '[1]' was found"), std::string::npos);
+    EXPECT_NE(parseErrorOf("a \"\"\"\nmany\n\"\"\"").find("f.kdl:1:3"), std::string::npos);
+    EXPECT_NE(parseErrorOf("a 250m_s").find("f.kdl:1:7: '_s' was found"), std::string::npos);
+    EXPECT_NE(parseErrorOf("ok\n\n  a [1]").find("f.kdl:3:5: '[1]' was found"), std::string::npos);
 }
 
 TEST(Kdl, NestingIsBounded) {
     std::string deep;
     for (int i = 0; i < 100000; ++i) deep += "a {\n";
-    EXPECT_NE(problemOf(deep).find("at most 64 nodes in nodes"), std::string::npos);
+    EXPECT_NE(parseErrorOf(deep).find("at most 64 nodes in nodes"), std::string::npos);
 }
 
 TEST(Kdl, WrongUnitsAreNamed) {
     const auto nodes = parse("a 250 5MiB \"soon\" -3s 12/s 1.5", "f.kdl");
-    const auto& given = nodes[0].arguments;
-    EXPECT_EQ(whatStops([&] { duration(given[0]); }),
+    const auto& values = nodes[0].arguments;
+    EXPECT_EQ(readErrorOf([&] { duration(values[0]); }),
               "f.kdl:1:3: '250' was found, a duration such as 250ms with a unit (ns, us, ms, s, min, h, d) "
               "was expected");
-    EXPECT_NE(whatStops([&] { duration(given[1]); }).find("f.kdl:1:7: the unit 'MiB' was found"),
+    EXPECT_NE(readErrorOf([&] { duration(values[1]); }).find("f.kdl:1:7: the unit 'MiB' was found"),
               std::string::npos);
-    EXPECT_NE(whatStops([&] { duration(given[2]); }).find("the text 'soon' was found"), std::string::npos);
-    EXPECT_NE(whatStops([&] { duration(given[3]); }).find("of 0 or more"), std::string::npos);
-    EXPECT_NE(whatStops([&] { bytes(given[4]); }).find("the unit '/s' was found"), std::string::npos);
-    EXPECT_NE(whatStops([&] { integer(given[5], 1, 9); }).find("a whole number from 1 to 9"),
+    EXPECT_NE(readErrorOf([&] { duration(values[2]); }).find("the text 'soon' was found"), std::string::npos);
+    EXPECT_NE(readErrorOf([&] { duration(values[3]); }).find("of 0 or more"), std::string::npos);
+    EXPECT_NE(readErrorOf([&] { bytes(values[4]); }).find("the unit '/s' was found"), std::string::npos);
+    EXPECT_NE(readErrorOf([&] { integer(values[5], 1, 9); }).find("a whole number from 1 to 9"),
               std::string::npos);
 }
 
 TEST(Kdl, WhatNobodyAskedForIsAnError) {
     const auto nodes = parse("pool 1 2 speed=3 sped=4 {\n  cores 2\n  core 3\n}", "f.kdl");
-    NodeReader fields(nodes[0]);
-    fields.argument(0, "a number");
-    EXPECT_NE(whatStops([&] { fields.rejectUnknown(); }).find("f.kdl:1:8: '2' was found, no further value"),
+    NodeReader reader(nodes[0]);
+    reader.argument(0, "a number");
+    EXPECT_NE(readErrorOf([&] { reader.rejectUnknown(); }).find("f.kdl:1:8: '2' was found, no further value"),
               std::string::npos);
-    fields.optionalArgument(1);
-    fields.property("speed");
-    EXPECT_NE(whatStops([&] { fields.rejectUnknown(); }).find("'sped=' was found, one of speed"),
+    reader.optionalArgument(1);
+    reader.property("speed");
+    EXPECT_NE(readErrorOf([&] { reader.rejectUnknown(); }).find("'sped=' was found, one of speed"),
               std::string::npos);
-    fields.property("sped");
-    EXPECT_EQ(fields.setting("cores", number, 1.0), 2);
-    EXPECT_EQ(whatStops([&] { fields.rejectUnknown(); }),
+    reader.property("sped");
+    EXPECT_EQ(reader.setting("cores", number, 1.0), 2);
+    EXPECT_EQ(readErrorOf([&] { reader.rejectUnknown(); }),
               "f.kdl:3:3: 'core' was found, one of cores was expected");
 }
 
 // Whatever bytes come, the reader ends with nodes or with one message, and never reads past the end.
 RC_GTEST_PROP(Kdl, AnyBytesEndInNodesOrAMessage, ()) {
-    static const std::vector<std::string> kPieces = {
+    static const std::vector<std::string> kFragments = {
         "a",  "{", "}",  "\"", "#", "/-", "/*", "*/",   "//",           "\n",    " ", "=", "(", ")",
         "\\", "1", "ms", ";",  "-", ".",  "0x", "\xC3", "\xE2\x82\xAC", "#true", "e", "_", "%", "\"\"\""};
     std::string text;
-    for (int n = *rc::gen::inRange(0, 40); n > 0; --n) text += *rc::gen::elementOf(kPieces);
+    for (int n = *rc::gen::inRange(0, 40); n > 0; --n) text += *rc::gen::elementOf(kFragments);
     try {
         parse(text, "f");
-    } catch (const DocumentError& problem) {
-        RC_ASSERT(std::string(problem.what()).find("f:") == 0U);
+    } catch (const DocumentError& error) {
+        RC_ASSERT(std::string(error.what()).find("f:") == 0U);
     }
 }
 
