--- a/src/main.cpp
+++ b/src/main.cpp
@@ -89,12 +89,12 @@
     return result;
 }
 
-/// Runs the loop until it is stopped, and passes the signals on meanwhile: SIGTERM to service.leave(), SIGHUP
-/// to reload, SIGUSR1 to printCounters, which is also called at the end.
+/// Runs the loop until it is stopped, and passes the signals on meanwhile: SIGTERM to
+/// service.beginShutdown(), SIGHUP to reload, SIGUSR1 to printCounters, which is also called at the end.
 template <typename Service, typename Reload, typename PrintCounters>
 void runUntilShutDown(net::Loop& loop, Service& service, Reload&& reload, PrintCounters&& printCounters) {
     {
-        const net::Signal onTerm(loop, SIGTERM, [&] { service.leave(); });
+        const net::Signal onTerm(loop, SIGTERM, [&] { service.beginShutdown(); });
         const net::Signal onHup(loop, SIGHUP, reload);
         const net::Signal onUsr1(loop, SIGUSR1, printCounters);
         loop.run();
@@ -116,22 +116,22 @@
     loop.onUncaughtException([&](const std::string& what) { log.error("trouble", what); });
     Server server(loop, config, log, counters);
     runUntilShutDown(
-        loop, server, [&] { server.readAgain(std::getenv); }, [&] { counters.print(std::cout); });
+        loop, server, [&] { server.reload(std::getenv); }, [&] { counters.print(std::cout); });
 }
 
 void runGateway(const CommandLine& commandLine) {
-    const serve::ServeTerms config = serve::readServe(commandLine.file);
+    const serve::GatewayConfig config = serve::readGatewayConfig(commandLine.file);
     telemetry::Log log(std::cout, commandLine.logLevel, commandLine.logFormat);
     telemetry::Counters counters;
     net::Loop loop;
     loop.onUncaughtException([&](const std::string& what) { log.error("trouble", what); });
     serve::Gateway gateway(loop, config, log, counters);
     runUntilShutDown(
-        loop, gateway, [&] { gateway.readAgain(commandLine.file); }, [&] { gateway.print(std::cout); });
+        loop, gateway, [&] { gateway.reload(commandLine.file); }, [&] { gateway.printCounters(std::cout); });
 }
 
 void checkFile(const std::string& file) {
-    serve::readServe(file);
+    serve::readGatewayConfig(file);
     std::cout << file << ": all is well" << std::endl;
 }
 
@@ -155,8 +155,8 @@
         if (parsed.exitCode) return *parsed.exitCode;
         perform(parsed.commandLine);
         return kExitOk;
-    } catch (const kdl::DocumentError& problem) {
-        std::cerr << problem.what() << std::endl;
+    } catch (const kdl::DocumentError& error) {
+        std::cerr << error.what() << std::endl;
         return kExitBadInput;
     } catch (const config::ConfigError& error) {
         std::cerr << "cottonwing: " << error.what() << " (cottonwing --help tells what it needs)"
--- a/src/serve/gateway_config.h
+++ b/src/serve/gateway_config.h
@@ -12,24 +12,24 @@
 
 namespace cottonwing::serve {
 
-struct ServeTerms {
+struct GatewayConfig {
     std::string name;
-    double memoryMb = 192, sockets = 1024;
-    Duration stopAfter{std::chrono::milliseconds(3200)}, grace{std::chrono::milliseconds(800)};
+    double memoryMb = 192, maxSockets = 1024;
+    Duration shutdownTimeout{std::chrono::milliseconds(3200)}, drainGrace{std::chrono::milliseconds(800)};
     std::uint64_t seed = 0;  // 0: from the system
-    std::optional<net::Address> thrift;
-    std::optional<scgi::ScgiServerConfig> scgi;
-    std::vector<routing::Route> routes;  // their targets are places in scgi->routeTargets
+    std::optional<net::Address> thriftAddress;
+    std::optional<scgi::ScgiServerConfig> scgiServer;
+    std::vector<routing::Route> routes;  // their targets are places in scgiServer->routeTargets
     std::vector<scgi::GroupTerms> groups;
-    std::vector<std::size_t> groupOf;  // by request class
-    scgi::GroupBounds groupBounds;
-    ControllerConfig terms;
-    config::NameTables names;
+    std::vector<std::size_t> groupByRequestClass;  // by request class
+    scgi::GroupBounds upstreamLimits;
+    ControllerConfig controller;
+    config::NameTables nameTables;
     std::vector<std::string> requestClassNames;
-    config::ResourceLimits shares;
+    config::ResourceLimits limits;
 };
 
 // Throws kdl::DocumentError.
-ServeTerms readServe(const std::string& path);
+GatewayConfig readGatewayConfig(const std::string& path);
 
 }  // namespace cottonwing::serve
--- a/src/server.cpp
+++ b/src/server.cpp
@@ -48,7 +48,7 @@
              "server started: name=" + config.name + " port=" + std::to_string(thriftServer_.port()));
 }
 
-void Server::leave() {
+void Server::beginShutdown() {
     if (shuttingDown_) return;
     shuttingDown_ = true;
     registryClient_.reportReady(false);
@@ -62,7 +62,7 @@
     thriftServer_.drain();
 }
 
-void Server::readAgain(const config::Environment& environment) {
+void Server::reload(const config::Environment& environment) {
     config::ProcessConfig next;
     try {
         next = config::readProcessConfig(environment);
--- a/src/server.h
+++ b/src/server.h
@@ -26,10 +26,10 @@
     /// requests that were read are answered, and connections are drained after the grace period. The loop
     /// stops when all clients have disconnected, and shortly before the end of the shutdown timeout in any
     /// case.
-    void leave();
+    void beginShutdown();
     /// Reads the configuration again: the clients move to the addresses that it names now. A configuration
     /// that can't be read is rejected as a whole; changes of other keys are logged as needing a restart.
-    void readAgain(const config::Environment& environment);
+    void reload(const config::Environment& environment);
 
     const request::RequestManager& requestManager() const { return requests_; }
     const dependency::HttpDependencyClient& dependencyClient() const { return dependencyClient_; }
--- a/tests/request/event_ordering_test.cpp
+++ b/tests/request/event_ordering_test.cpp
@@ -252,7 +252,7 @@
     on.pool.up = false;
     on.wait([&] { return on.pool.binds.size() == 1; });
     ThriftTestClient sidecar(on.loop, on.port());
-    on.program->leave();
+    on.program->beginShutdown();
     const std::int32_t early = sidecar.ask(1);
     on.wait([&] { return sidecar.answers.contains(early); });
     EXPECT_EQ(sidecar.answers[early].kind, "busy");
@@ -282,7 +282,7 @@
     next["pool"] = text(on.pool.server.address());
     next["records"] = text(on.records.server.address());
     next["registry"] = text(other.server.address());
-    on.program->leave();
+    on.program->beginShutdown();
     on.readAgain(next);
     on.readAgain(next);  // and once more: nothing moves
     on.wait([&] { return !other.bodies.empty(); });
@@ -301,7 +301,7 @@
 TEST(Crossings, ConnectionsThatWaitAtTheListenerAreAcceptedBeforeItCloses) {
     ServerFixture on(startWithoutDrainGrace());
     on.bound();
-    on.program->leave();
+    on.program->beginShutdown();
     RawClient early(on.port());
     early.send(serveRequest(1, 1));  // the loop has not turned since
     on.wait([&] {
@@ -323,7 +323,7 @@
     on.wait([&] { return client.receive() > 0; });
     const std::string begunInTime = serveRequest(2, 1);
     client.send(begunInTime.substr(0, 20));
-    on.program->leave();
+    on.program->beginShutdown();
     on.wait([&] { return client.receive(), client.text.find("goaway") != client.text.npos; });
     client.send(begunInTime.substr(20));
     on.wait([&] { return on.count(Count::RequestsRead) == 1; });
@@ -351,7 +351,7 @@
     on.wait([&] { return client.receive() > 0; });
     client.text.clear();
     const Duration from = net::unixNow();
-    on.program->leave();
+    on.program->beginShutdown();
     int number = 1;
     const testing::BeforeEachPoll sender(on.loop, [&] {
         if (net::unixNow() < from + on.server.shutdownTimeout - 100ms) return;
@@ -374,7 +374,7 @@
     client.send(frames::isWell(1, false));
     on.wait([&] { return client.receive() > 0; });
     client.text.clear();
-    on.program->leave();
+    on.program->beginShutdown();
     on.wait([&] { return client.text.find("goaway") != client.text.npos || client.receive() > 0; });
     std::this_thread::sleep_for(1100ms);
     client.send(serveRequest(2, 1));
--- a/tests/request/idempotent_requests_test.cpp
+++ b/tests/request/idempotent_requests_test.cpp
@@ -147,7 +147,7 @@
     on.ask(1, "k1");
     on.running(1);
     on.pool.finish(ThriftTestClient::trace(1), "ok", "result");
-    on.program->leave();
+    on.program->beginShutdown();
     on.wait([&] { return on.sidecar->goaways > 0; });
     // Requests tell their arrival in whole milliseconds: one of this millisecond may predate the notice.
     const auto noticedIn = net::unixNow() / 1ms;
--- a/tests/scgi/scgi_test.cpp
+++ b/tests/scgi/scgi_test.cpp
@@ -234,7 +234,7 @@
             servers.push_back(std::make_unique<ScgiServer>(loop, net::Address{"127.0.0.1", 0}, terms));
         path = ::testing::TempDir() + "cottonwing-serve-" + std::to_string(getpid()) + ".kdl";
         write(front, group);
-        gateway = std::make_unique<serve::Gateway>(loop, serve::readServe(path), log, counters);
+        gateway = std::make_unique<serve::Gateway>(loop, serve::readGatewayConfig(path), log, counters);
     }
     ~Hall() { std::remove(path.c_str()); }
     void write(const std::string& front, const std::string& group) {
@@ -247,7 +247,7 @@
             text += " server \"127.0.0.1:" + std::to_string(server->address().port) + "\"\n";
         std::ofstream(path) << text + " }\n}\n";
     }
-    int port() const { return gateway->scgi()->port(); }
+    int port() const { return gateway->scgiServer()->port(); }
     std::unique_ptr<Kiosk> kiosk() { return std::make_unique<Kiosk>(loop, port()); }
     // Asks, and waits for the whole answer.
     std::string asked(const std::string& what, const std::string& method = "GET",
@@ -294,7 +294,7 @@
 
 TEST(Gateway, ThriftAndScgiShareOneCore) {
     Hall hall({loadtest::ScgiServerTerms{}});
-    testing::ThriftTestClient sidecar(hall.loop, hall.gateway->thrift()->port());
+    testing::ThriftTestClient sidecar(hall.loop, hall.gateway->thriftServer()->port());
     const auto sequence = sidecar.ask(7, "plain bytes", "cause-list", 1500);
     runUntil(hall.loop, [&] { return sidecar.answers.contains(sequence); });
     EXPECT_EQ(sidecar.answers.at(sequence).body, "ok 0000000000000007");
@@ -308,7 +308,7 @@
 TEST(Gateway, AnScgiConnectionThatWaitsAtTheListenerIsAnsweredAtTheDrain) {
     Hall hall({loadtest::ScgiServerTerms{}});
     const Duration from = net::unixNow();
-    hall.gateway->leave();
+    hall.gateway->beginShutdown();
     while (net::unixNow() < from + 296ms) hall.loop.turnWithoutWaiting();
     testing::RawClient client(hall.port());
     client.send(scgi::writeRequest({{"REQUEST_METHOD", "GET"}, {"REQUEST_URI", "/list/all"}}, ""));
@@ -323,11 +323,11 @@
 // Guards against a request that is read in the turn in which the process stops, and never answered.
 TEST(Gateway, AThriftRequestReadInTheLastTurnIsAnswered) {
     Hall hall({loadtest::ScgiServerTerms{}});
-    testing::RawClient client(hall.gateway->thrift()->port());
+    testing::RawClient client(hall.gateway->thriftServer()->port());
     client.send(testing::frames::isWell(1, false));
     runUntil(hall.loop, [&] { return client.receive() > 0; });
     const Duration from = net::unixNow();
-    hall.gateway->leave();
+    hall.gateway->beginShutdown();
     int number = 1;
     const testing::BeforeEachPoll sender(hall.loop, [&] {
         // From before an idle connection would be closed on.
@@ -387,7 +387,7 @@
     runUntil(hall.loop, [&] { return hall.servers[0]->requests() == 1; });
     kiosk.reset();
     runUntil(hall.loop, [&] { return hall.servers[0]->left() == 1; });
-    EXPECT_EQ(hall.gateway->groups().flying(), 0U);
+    EXPECT_EQ(hall.gateway->upstreamGroups().flying(), 0U);
     hall.expectBooksClosed();
 }
 
@@ -434,8 +434,8 @@
     auto early = hall.kiosk(), late = hall.kiosk(), never = hall.kiosk();
     for (Kiosk* kiosk : {early.get(), late.get(), never.get()})
         kiosk->connection->send(bytes.substr(0, bytes.size() - 2));
-    runUntil(hall.loop, [&] { return hall.gateway->scgi()->connections() == 3; });
-    hall.gateway->leave();
+    runUntil(hall.loop, [&] { return hall.gateway->scgiServer()->connections() == 3; });
+    hall.gateway->beginShutdown();
     early->connection->send(bytes.substr(bytes.size() - 2));
     runUntil(hall.loop, [&] { return early->gone; });
     EXPECT_EQ(early->status(), 200);
@@ -460,14 +460,14 @@
     hall.servers[0] =
         std::make_unique<ScgiServer>(hall.loop, net::Address{"127.0.0.1", 0}, loadtest::ScgiServerTerms{});
     hall.write("", "");
-    hall.gateway->readAgain(hall.path);
+    hall.gateway->reload(hall.path);
     runUntil(hall.loop, [&] { return kiosk->gone; });
     EXPECT_EQ(kiosk->status(), 200);
     hall.asked("/board/2");
     EXPECT_EQ(hall.servers[0]->requests(), 1U);
     EXPECT_EQ(old->requests(), 1U);
     std::ofstream(hall.path) << "serve \"hall\" { broken";
-    hall.gateway->readAgain(hall.path);
+    hall.gateway->reload(hall.path);
     EXPECT_EQ(hall.counters.of(telemetry::Count::ReloadsRejected), 1U);
     EXPECT_EQ(hall.asked("/board/2").substr(0, 11), "Status: 200");
 }
@@ -479,7 +479,7 @@
     hall.servers[0]->set({});
     runUntil(hall.loop, [&] {
         hall.asked("/board/1");
-        return hall.gateway->groups().out(0) == 0;
+        return hall.gateway->upstreamGroups().out(0) == 0;
     });
 }
 
--- a/tests/server_test.cpp
+++ b/tests/server_test.cpp
@@ -528,7 +528,7 @@
     pool.finish(ThriftTestClient::trace(2), "ok", "two");
     EXPECT_EQ(on.answer(first).body, "one");
     EXPECT_EQ(on.answer(second).body, "two");
-    on.program->leave();
+    on.program->beginShutdown();
     on.readAgain(testing::plainConfigFile());  // also while leaving
     on.expectBooksClosed();
 }
@@ -750,7 +750,7 @@
     on.running(1);
     const int port = on.port();
     const Duration from = net::unixNow();
-    on.program->leave();
+    on.program->beginShutdown();
     on.wait([&] { return on.registry.bodies.back() == R"({"state":"draining"})"; });
     on.sidecar->say(frames::isWell(50, false));
     EXPECT_FALSE(on.answer(50).good);
@@ -775,7 +775,7 @@
     const std::int32_t sequence = on.sidecar->ask(1, "", "read", 8000);
     on.running(1);
     const Duration from = net::unixNow();
-    on.program->leave();
+    on.program->beginShutdown();
     on.loop.run();  // comes back by itself
     EXPECT_LT(net::unixNow() - from, 1500ms);
     EXPECT_EQ(on.sidecar->answers[sequence].kind, "failed");
--- a/tests/support/server_fixture.h
+++ b/tests/support/server_fixture.h
@@ -47,7 +47,7 @@
     }
     /// Replaces the configuration file and has the program read it again.
     void readAgain(const Json& file) {
-        withConfigFile(file, [&](const auto& environment) { program->readAgain(environment); });
+        withConfigFile(file, [&](const auto& environment) { program->reload(environment); });
     }
     int port() const { return program->thriftServer().port(); }
     std::uint64_t count(telemetry::Count kind) const { return counters.of(kind); }
