--- a/tests/kdl/document_test.cpp
+++ b/tests/kdl/document_test.cpp
@@ -52,7 +52,7 @@
     EXPECT_EQ(last[5].number, 1000);
 }
 
-TEST(Kdl, TextsKeepTheirEscapes) {
+TEST(Kdl, StringEscapesAreDecoded) {
     const auto nodes =
         parse(R"(a "tab\there \"q\" \u{20AC}" #"raw \n "quoted" text"# ##"with "# in it"##)", "f.kdl");
     EXPECT_EQ(nodes[0].arguments[0].text, "tab\there \"q\" \xE2\x82\xAC");
@@ -60,7 +60,7 @@
     EXPECT_EQ(nodes[0].arguments[2].text, "with \"# in it");
 }
 
-TEST(Kdl, WhatIsBehindASlashDashIsLeftOut) {
+TEST(Kdl, SlashDashSkipsWhatFollows) {
     const auto nodes = parse("/-gone { a }\nkept /-1 2 /-x=3 y=4 /-{ lost }\n/- also gone\nend", "f.kdl");
     ASSERT_EQ(nodes.size(), 2U);
     EXPECT_EQ(nodes[0].arguments.size(), 1U);
@@ -69,7 +69,7 @@
     EXPECT_TRUE(nodes[0].children.empty());
 }
 
-TEST(Kdl, UnitsInQuotesMeanTheSame) {
+TEST(Kdl, QuotedNumbersWithUnitsAreAccepted) {
     const auto nodes = parse("a \"250ms\" \"35%\" \"90/min\" 1.5s 35%", "f.kdl");
     EXPECT_EQ(duration(nodes[0].arguments[0]), 250ms);
     EXPECT_DOUBLE_EQ(fraction(nodes[0].arguments[1]), 0.35);
@@ -79,7 +79,7 @@
 }
 
 // Every one of these was found by hand to be easily made, and each names its place and its mend.
-TEST(Kdl, EachMistakeHasOneMessageWithItsPlace) {
+TEST(Kdl, EachSyntaxErrorIsReportedWithItsLocation) {
     EXPECT_EQ(parseErrorOf("a {\n  b 1\n"),
               "f.kdl:3:1: the end of the file was found, the name of a node or '}' was expected");
     EXPECT_EQ(parseErrorOf("a }"), "f.kdl:1:3: '}' was found, the name of a node was expected");
@@ -101,13 +101,13 @@
     EXPECT_NE(parseErrorOf("ok\n\n  a [1]").find("f.kdl:3:5: '[1]' was found"), std::string::npos);
 }
 
-TEST(Kdl, NestingIsBounded) {
+TEST(Kdl, NestingDepthIsLimited) {
     std::string deep;
     for (int i = 0; i < 100000; ++i) deep += "a {\n";
     EXPECT_NE(parseErrorOf(deep).find("at most 64 nodes in nodes"), std::string::npos);
 }
 
-TEST(Kdl, WrongUnitsAreNamed) {
+TEST(Kdl, WrongUnitsAreReported) {
     const auto nodes = parse("a 250 5MiB \"soon\" -3s 12/s 1.5", "f.kdl");
     const auto& values = nodes[0].arguments;
     EXPECT_EQ(readErrorOf([&] { duration(values[0]); }),
@@ -122,7 +122,7 @@
               std::string::npos);
 }
 
-TEST(Kdl, WhatNobodyAskedForIsAnError) {
+TEST(Kdl, UnreadEntriesAreErrors) {
     const auto nodes = parse("pool 1 2 speed=3 sped=4 {\n  cores 2\n  core 3\n}", "f.kdl");
     NodeReader reader(nodes[0]);
     reader.argument(0, "a number");
@@ -139,7 +139,7 @@
 }
 
 // Whatever bytes come, the reader ends with nodes or with one message, and never reads past the end.
-RC_GTEST_PROP(Kdl, AnyBytesEndInNodesOrAMessage, ()) {
+RC_GTEST_PROP(Kdl, ArbitraryInputParsesOrThrows, ()) {
     static const std::vector<std::string> kFragments = {
         "a",  "{", "}",  "\"", "#", "/-", "/*", "*/",   "//",           "\n",    " ", "=", "(", ")",
         "\\", "1", "ms", ";",  "-", ".",  "0x", "\xC3", "\xE2\x82\xAC", "#true", "e", "_", "%", "\"\"\""};
--- a/tests/scgi/scgi_test.cpp
+++ b/tests/scgi/scgi_test.cpp
@@ -26,22 +26,22 @@
 using loadtest::ScgiFault;
 using loadtest::ScgiServer;
 
-int upTo(int most) { return *rc::gen::resize(1000, rc::gen::inRange(0, most + 1)); }
+int intUpTo(int max) { return *rc::gen::resize(1000, rc::gen::inRange(0, max + 1)); }
 
 // ---- bytes
 // ----------------------------------------------------------------------------------------------
 
-RC_GTEST_PROP(ScgiBytes, ARequestIsTheSameInAnyPieces, ()) {
+RC_GTEST_PROP(ScgiMessages, RequestSplitAnywhereIsReadUnchanged, ()) {
     scgi::Headers headers = {{"REQUEST_METHOD", "POST"},
-                             {"REQUEST_URI", "/board/" + std::to_string(upTo(99))}};
-    for (int n = upTo(5); n > 0; --n)
+                             {"REQUEST_URI", "/board/" + std::to_string(intUpTo(99))}};
+    for (int n = intUpTo(5); n > 0; --n)
         headers.emplace_back("HTTP_X_" + std::to_string(n),
-                             std::string(static_cast<std::size_t>(upTo(40)), 'x'));
-    const std::string body(static_cast<std::size_t>(upTo(300)), 'b');
+                             std::string(static_cast<std::size_t>(intUpTo(40)), 'x'));
+    const std::string body(static_cast<std::size_t>(intUpTo(300)), 'b');
     const std::string bytes = scgi::writeRequest(headers, body);
     scgi::RequestReader reader({8192, 65536});
     for (std::size_t at = 0; at < bytes.size();) {
-        const std::size_t piece = std::min(bytes.size() - at, static_cast<std::size_t>(1 + upTo(20)));
+        const std::size_t piece = std::min(bytes.size() - at, static_cast<std::size_t>(1 + intUpTo(20)));
         RC_ASSERT(reader.state() != scgi::RequestReader::State::Malformed);
         RC_ASSERT(reader.read(std::string_view(bytes).substr(at, piece)) == piece);
         at += piece;
@@ -60,7 +60,7 @@
 }
 std::string netstring(const std::string& head) { return std::to_string(head.size()) + ":" + head + ","; }
 
-TEST(ScgiBytes, EachWrongHeadIsNamedAndHasItsStatus) {
+TEST(ScgiMessages, EachMalformedRequestHasAnErrorAndStatus) {
     const std::string zero(1, '\0');
     const std::string good = "CONTENT_LENGTH" + zero + "5" + zero + "SCGI" + zero + "1" + zero;
     EXPECT_EQ(requestErrorOf(netstring(good) + "hello"), scgi::RequestError::None);
@@ -86,10 +86,10 @@
     EXPECT_EQ(scgi::statusOf(scgi::RequestError::MissingContentLength), 411);
 }
 
-RC_GTEST_PROP(ScgiBytes, AnyBytesEndInBoundedMemory, ()) {
+RC_GTEST_PROP(ScgiMessages, ArbitraryBytesUseBoundedMemory, ()) {
     scgi::RequestReader reader({200, 300});
     scgi::ReplyReader reply(400);
-    for (int n = upTo(30); n > 0; --n) {
+    for (int n = intUpTo(30); n > 0; --n) {
         const std::string piece = *rc::gen::container<std::string>(
             rc::gen::elementOf(std::string("0123456789:,\0\r\nSCGIstatu ", 26)));
         reader.read(piece);
@@ -99,7 +99,7 @@
     }
 }
 
-TEST(ScgiBytes, RepliesAreHeldAgainstWhatTheySay) {
+TEST(ScgiMessages, RepliesMustMatchTheirContentLength) {
     using State = scgi::ReplyReader::State;
     const auto stateOf = [](const std::string& bytes, bool ends) {
         scgi::ReplyReader reader(1000);
@@ -121,25 +121,25 @@
 
 // The trie takes the same route as a look at each in turn, for any routes,
 // paths, methods and headers.
-RC_GTEST_PROP(RoutesTaken, AsByLookingAtEachInTurn, ()) {
+RC_GTEST_PROP(RouteTable, TrieMatchesLinearSearch, ()) {
     static const std::vector<std::string> kWords = {"a", "b", "c", "", ":x", ":y"};
     routing::Routes trie;
     std::vector<routing::Route> list;
-    for (int n = 1 + upTo(25); n > 0; --n) {
+    for (int n = 1 + intUpTo(25); n > 0; --n) {
         routing::Route route;
-        for (int depth = 1 + upTo(3); depth > 0; --depth) route.path += "/" + *rc::gen::elementOf(kWords);
-        if (upTo(3) == 0) route.path += "/*";
-        if (upTo(2) == 0) route.methods = {upTo(1) ? "GET" : "POST"};
-        if (upTo(3) == 0) route.headers = {{"K", std::to_string(upTo(1))}};
+        for (int depth = 1 + intUpTo(3); depth > 0; --depth) route.path += "/" + *rc::gen::elementOf(kWords);
+        if (intUpTo(3) == 0) route.path += "/*";
+        if (intUpTo(2) == 0) route.methods = {intUpTo(1) ? "GET" : "POST"};
+        if (intUpTo(3) == 0) route.headers = {{"K", std::to_string(intUpTo(1))}};
         route.target = list.size();
         if (trie.add(route) == nullptr) list.push_back(route);
     }
     RC_ASSERT(trie.size() == list.size());
     for (int n = 0; n < 30; ++n) {
         std::string path;
-        for (int depth = 1 + upTo(4); depth > 0; --depth)
+        for (int depth = 1 + intUpTo(4); depth > 0; --depth)
             path += "/" + *rc::gen::elementOf(std::vector<std::string>{"a", "b", "c", "d", ""});
-        const std::string method = upTo(1) ? "GET" : "POST", value = std::to_string(upTo(2));
+        const std::string method = intUpTo(1) ? "GET" : "POST", value = std::to_string(intUpTo(2));
         const auto header = [&](std::string_view name) -> std::optional<std::string_view> {
             return name == "K" ? std::optional<std::string_view>(value) : std::nullopt;
         };
@@ -151,7 +151,7 @@
     }
 }
 
-TEST(RoutesTaken, WrongPatternsAreNamed) {
+TEST(RouteTable, InvalidPatternsAreReported) {
     EXPECT_FALSE(routing::Routes::wrong("/a/:b/*"));
     EXPECT_TRUE(routing::Routes::wrong("a"));
     EXPECT_TRUE(routing::Routes::wrong("/a/*/b"));
@@ -164,24 +164,25 @@
 // A server that bears eight at once, each answer exponential: the limit comes
 // near, stays in bounds, and under steady load does not swing by more than
 // half.
-TEST(LearnedLimit, FindsWhatAServerBearsAndStaysThere) {
-    std::mt19937 chance(3);
+TEST(ConcurrencyLimit, ConvergesToServerCapacityAndStaysThere) {
+    std::mt19937 randomGenerator(3);
     std::exponential_distribution<double> work(1 / 0.01);
     routing::Limit limit(routing::LimitTerms{});
     Duration now{0};
-    double least = 1e9, most = 0;
+    double min = 1e9, max = 0;
     for (int n = 0; n < 30000; ++n) {
-        const int flying = static_cast<int>(limit.limit());
-        const double crowd = std::max(1.0, flying / 8.0);
-        now += Duration(static_cast<std::int64_t>(1e9 * 0.01 * crowd / flying));
-        limit.good(Duration(static_cast<std::int64_t>(work(chance) * crowd * 1e9)), flying, now);
+        const int inFlight = static_cast<int>(limit.limit());
+        const double slowdown = std::max(1.0, inFlight / 8.0);
+        now += Duration(static_cast<std::int64_t>(1e9 * 0.01 * slowdown / inFlight));
+        limit.good(Duration(static_cast<std::int64_t>(work(randomGenerator) * slowdown * 1e9)), inFlight,
+                   now);
         ASSERT_GE(limit.limit(), 1);
         ASSERT_LE(limit.limit(), 100);
-        if (n > 10000) least = std::min(least, limit.settled()), most = std::max(most, limit.settled());
+        if (n > 10000) min = std::min(min, limit.settled()), max = std::max(max, limit.settled());
     }
-    EXPECT_GE(least, 6);
-    EXPECT_LE(most, 24);
-    EXPECT_LT(most / least, 2.5);
+    EXPECT_GE(min, 6);
+    EXPECT_LE(max, 24);
+    EXPECT_LT(max / min, 2.5);
     for (int n = 0; n < 100; ++n) limit.failed(now += 1s);
     EXPECT_EQ(limit.limit(), 1);
     EXPECT_TRUE(limit.allows(0));
@@ -191,12 +192,12 @@
 // ----------------------------------------------------------------------------------------
 
 // A kiosk: one request, one answer, one connection.
-struct Kiosk : net::ConnectionHandler {
-    Kiosk(net::Loop& loop, int port)
+struct ScgiClient : net::ConnectionHandler {
+    ScgiClient(net::Loop& loop, int port)
         : connection(std::make_unique<net::Connection>(loop, net::Address{"127.0.0.1", port}, *this,
                                                        net::BufferLimits{1 << 20, 1 << 20})) {}
-    void ask(const std::string& path, const std::string& method = "GET", scgi::Headers more = {},
-             const std::string& body = "") {
+    void sendRequest(const std::string& path, const std::string& method = "GET", scgi::Headers more = {},
+                     const std::string& body = "") {
         more.insert(more.begin(), {{"REQUEST_METHOD", method}, {"REQUEST_URI", path}});
         connection->send(scgi::writeRequest(more, body));
     }
@@ -206,11 +207,11 @@
         text += from.input().peek(size, scratch);
         from.input().drop(size);
     }
-    void ended(net::Connection&, net::ConnectionEnd) override { gone = true, connection.reset(); }
+    void ended(net::Connection&, net::ConnectionEnd) override { closed = true, connection.reset(); }
     int status() const { return text.starts_with("Status: ") ? std::atoi(text.c_str() + 8) : 0; }
     std::unique_ptr<net::Connection> connection;
     std::string text;
-    bool gone = false;
+    bool closed = false;
 };
 
 constexpr const char* kRoutes = R"(
@@ -224,40 +225,40 @@
     customer "acme"
 )";
 
-class Hall {
+class GatewayFixture {
 public:
-    explicit Hall(const std::vector<loadtest::ScgiServerTerms>& each, const std::string& front = "",
-                  const std::string& group = "")
-        : log(lines, telemetry::Level::Debug) {
+    explicit GatewayFixture(const std::vector<loadtest::ScgiServerTerms>& serverConfigs,
+                            const std::string& scgiProperties = "", const std::string& groupNodes = "")
+        : log(logLines, telemetry::Level::Debug) {
         loop.onUncaughtException([](const std::string& what) { ADD_FAILURE() << what; });
-        for (const auto& terms : each)
-            servers.push_back(std::make_unique<ScgiServer>(loop, net::Address{"127.0.0.1", 0}, terms));
+        for (const auto& config : serverConfigs)
+            servers.push_back(std::make_unique<ScgiServer>(loop, net::Address{"127.0.0.1", 0}, config));
         path = ::testing::TempDir() + "cottonwing-serve-" + std::to_string(getpid()) + ".kdl";
-        write(front, group);
+        writeFile(scgiProperties, groupNodes);
         gateway = std::make_unique<serve::Gateway>(loop, serve::readGatewayConfig(path), log, counters);
     }
-    ~Hall() { std::remove(path.c_str()); }
-    void write(const std::string& front, const std::string& group) {
+    ~GatewayFixture() { std::remove(path.c_str()); }
+    void writeFile(const std::string& scgiProperties, const std::string& groupNodes) {
         std::string text =
             "serve \"hall\" {\n leave stop=1500ms grace=300ms; seed "
             "7; thrift listen=\"127.0.0.1:0\"\n scgi "
             "listen=\"127.0.0.1:0\" " +
-            front + " {" + kRoutes + " group \"halls\" {" + group + "\n";
+            scgiProperties + " {" + kRoutes + " group \"halls\" {" + groupNodes + "\n";
         for (const auto& server : servers)
             text += " server \"127.0.0.1:" + std::to_string(server->address().port) + "\"\n";
         std::ofstream(path) << text + " }\n}\n";
     }
     int port() const { return gateway->scgiServer()->port(); }
-    std::unique_ptr<Kiosk> kiosk() { return std::make_unique<Kiosk>(loop, port()); }
+    std::unique_ptr<ScgiClient> newClient() { return std::make_unique<ScgiClient>(loop, port()); }
     // Asks, and waits for the whole answer.
-    std::string asked(const std::string& what, const std::string& method = "GET",
-                      const std::string& body = "") {
-        const auto one = kiosk();
-        one->ask(what, method, {}, body);
-        runUntil(loop, [&] { return one->gone; });
+    std::string exchange(const std::string& what, const std::string& method = "GET",
+                         const std::string& body = "") {
+        const auto one = newClient();
+        one->sendRequest(what, method, {}, body);
+        runUntil(loop, [&] { return one->closed; });
         return one->text;
     }
-    void expectBooksClosed() const {
+    void expectEveryRequestEnded() const {
         using telemetry::Count;
         EXPECT_EQ(counters.of(Count::RequestsRead),
                   counters.of(Count::Completed) + counters.of(Count::Rejected) + counters.of(Count::Failed) +
@@ -265,7 +266,7 @@
     }
 
     net::Loop loop;
-    std::ostringstream lines;
+    std::ostringstream logLines;
     telemetry::Log log;
     telemetry::Counters counters;
     std::vector<std::unique_ptr<ScgiServer>> servers;
@@ -273,213 +274,214 @@
     std::unique_ptr<serve::Gateway> gateway;
 };
 
-TEST(Gateway, PassesRequestAndReplyOnUnchangedAndTheDeadlineWithThem) {
-    Hall hall({loadtest::ScgiServerTerms{}});
-    const auto kiosk = hall.kiosk();
-    kiosk->ask("/list/supreme?day=2", "GET",
-               {{"HTTP_X_TRACE", "00000000000000ab"}, {"HTTP_X_PATIENCE_MS", "900"}, {"HTTP_ODD", "kept"}},
-               "body");
-    runUntil(hall.loop, [&] { return kiosk->gone; });
-    EXPECT_EQ(kiosk->text, scgi::writeReply(200, {{"Content-Type", "text/plain"}}, "ok 00000000000000ab"));
-    const auto& headers = hall.servers[0]->lastHeaders();
+TEST(Gateway, ForwardsRequestReplyAndDeadlineUnchanged) {
+    GatewayFixture fixture({loadtest::ScgiServerTerms{}});
+    const auto client = fixture.newClient();
+    client->sendRequest(
+        "/list/supreme?day=2", "GET",
+        {{"HTTP_X_TRACE", "00000000000000ab"}, {"HTTP_X_PATIENCE_MS", "900"}, {"HTTP_ODD", "kept"}}, "body");
+    runUntil(fixture.loop, [&] { return client->closed; });
+    EXPECT_EQ(client->text, scgi::writeReply(200, {{"Content-Type", "text/plain"}}, "ok 00000000000000ab"));
+    const auto& headers = fixture.servers[0]->lastHeaders();
     EXPECT_EQ(scgi::findHeader(headers, "HTTP_ODD"), std::string_view("kept"));
-    EXPECT_EQ(hall.servers[0]->lastBody(), "body");
+    EXPECT_EQ(fixture.servers[0]->lastBody(), "body");
     const auto due =
         std::atoll(std::string(scgi::findHeader(headers, "HTTP_X_DUE_MS").value_or("0")).c_str());
     EXPECT_GT(due, net::unixNow() / 1ms - 1000);
     EXPECT_LT(due, net::unixNow() / 1ms + 1000);
-    EXPECT_EQ(hall.asked("/nowhere").substr(0, 11), "Status: 404");
-    hall.expectBooksClosed();
+    EXPECT_EQ(fixture.exchange("/nowhere").substr(0, 11), "Status: 404");
+    fixture.expectEveryRequestEnded();
 }
 
-TEST(Gateway, ThriftAndScgiShareOneCore) {
-    Hall hall({loadtest::ScgiServerTerms{}});
-    testing::ThriftTestClient sidecar(hall.loop, hall.gateway->thriftServer()->port());
-    const auto sequence = sidecar.ask(7, "plain bytes", "cause-list", 1500);
-    runUntil(hall.loop, [&] { return sidecar.answers.contains(sequence); });
-    EXPECT_EQ(sidecar.answers.at(sequence).body, "ok 0000000000000007");
-    EXPECT_EQ(hall.servers[0]->lastBody(), "plain bytes");
-    EXPECT_EQ(hall.asked("/board/3").substr(0, 11), "Status: 200");
-    EXPECT_EQ(hall.counters.of(telemetry::Count::Completed), 2U);
-    hall.expectBooksClosed();
+TEST(Gateway, ThriftAndScgiShareOneRequestManager) {
+    GatewayFixture fixture({loadtest::ScgiServerTerms{}});
+    testing::ThriftTestClient thriftClient(fixture.loop, fixture.gateway->thriftServer()->port());
+    const auto sequence = thriftClient.ask(7, "plain bytes", "cause-list", 1500);
+    runUntil(fixture.loop, [&] { return thriftClient.answers.contains(sequence); });
+    EXPECT_EQ(thriftClient.answers.at(sequence).body, "ok 0000000000000007");
+    EXPECT_EQ(fixture.servers[0]->lastBody(), "plain bytes");
+    EXPECT_EQ(fixture.exchange("/board/3").substr(0, 11), "Status: 200");
+    EXPECT_EQ(fixture.counters.of(telemetry::Count::Completed), 2U);
+    fixture.expectEveryRequestEnded();
 }
 
 // Guards against a request that is reset as its connection still waits at the listener when that closes.
 TEST(Gateway, AnScgiConnectionThatWaitsAtTheListenerIsAnsweredAtTheDrain) {
-    Hall hall({loadtest::ScgiServerTerms{}});
+    GatewayFixture fixture({loadtest::ScgiServerTerms{}});
     const Duration from = net::unixNow();
-    hall.gateway->beginShutdown();
-    while (net::unixNow() < from + 296ms) hall.loop.turnWithoutWaiting();
-    testing::RawClient client(hall.port());
+    fixture.gateway->beginShutdown();
+    while (net::unixNow() < from + 296ms) fixture.loop.turnWithoutWaiting();
+    testing::RawClient client(fixture.port());
     client.send(scgi::writeRequest({{"REQUEST_METHOD", "GET"}, {"REQUEST_URI", "/list/all"}}, ""));
     // The drain is due, and little late: its timer fires before the loop looks at the sockets.
     std::this_thread::sleep_for(from + 302ms - net::unixNow());
-    runUntil(hall.loop, [&] { return client.over(); });
+    runUntil(fixture.loop, [&] { return client.over(); });
     EXPECT_FALSE(client.reset);
     EXPECT_TRUE(client.text.starts_with("Status: ")) << client.text;
-    hall.expectBooksClosed();
+    fixture.expectEveryRequestEnded();
 }
 
 // Guards against a request that is read in the turn in which the process stops, and never answered.
 TEST(Gateway, AThriftRequestReadInTheLastTurnIsAnswered) {
-    Hall hall({loadtest::ScgiServerTerms{}});
-    testing::RawClient client(hall.gateway->thriftServer()->port());
+    GatewayFixture fixture({loadtest::ScgiServerTerms{}});
+    testing::RawClient client(fixture.gateway->thriftServer()->port());
     client.send(testing::frames::isWell(1, false));
-    runUntil(hall.loop, [&] { return client.receive() > 0; });
+    runUntil(fixture.loop, [&] { return client.receive() > 0; });
     const Duration from = net::unixNow();
-    hall.gateway->beginShutdown();
+    fixture.gateway->beginShutdown();
     int number = 1;
-    const testing::BeforeEachPoll sender(hall.loop, [&] {
+    const testing::BeforeEachPoll sender(fixture.loop, [&] {
         // From before an idle connection would be closed on.
         if (net::unixNow() - from < 1200ms) return;
         ++number;
         client.send(testing::frames::serve(
             number, testing::ThriftTestClient::fields(number, "cause-list", 1500), "body"));
     });
-    hall.loop.run();
-    EXPECT_GT(hall.counters.of(telemetry::Count::RequestsRead), 0U);
-    hall.expectBooksClosed();
+    fixture.loop.run();
+    EXPECT_GT(fixture.counters.of(telemetry::Count::RequestsRead), 0U);
+    fixture.expectEveryRequestEnded();
 }
 
 // Each fault of a server costs its own attempt: another answers what may be
 // asked again; what is once-only fails and never runs twice.
-TEST(Gateway, FaultsOfServersCostOneAttemptAndOnceOnlyNeverRunsTwice) {
+TEST(Gateway, ServerFaultCostsOneAttemptAndOnceOnlyNeverRunsTwice) {
     for (const ScgiFault fault : {ScgiFault::Half, ScgiFault::Twice, ScgiFault::BadStatus, ScgiFault::TooMuch,
                                   ScgiFault::Breaks, ScgiFault::FailsFast}) {
-        Hall hall({{0ns, 1000, fault}, {}});
+        GatewayFixture fixture({{0ns, 1000, fault}, {}});
         for (int n = 0; n < 6; ++n)
-            EXPECT_EQ(hall.asked("/board/3").substr(0, 11), "Status: 200") << static_cast<int>(fault);
-        for (int n = 0; n < 4; ++n) hall.asked("/filing/1", "POST", "once");
-        for (const auto& server : hall.servers)
+            EXPECT_EQ(fixture.exchange("/board/3").substr(0, 11), "Status: 200") << static_cast<int>(fault);
+        for (int n = 0; n < 4; ++n) fixture.exchange("/filing/1", "POST", "once");
+        for (const auto& server : fixture.servers)
             for (const auto& [trace, runs] : server->runs()) EXPECT_EQ(runs, 1) << trace;
         std::map<std::string, int> all;
-        for (const auto& server : hall.servers)
+        for (const auto& server : fixture.servers)
             for (const auto& [trace, runs] : server->runs()) all[trace] += runs;
         int twice = 0;
         for (const auto& [trace, runs] : all) twice += runs > 1;
         EXPECT_LE(twice, 6) << "repeats of board-item alone";
-        hall.expectBooksClosed();
+        fixture.expectEveryRequestEnded();
     }
 }
 
 // What a server said of its failure is said on when nothing is tried again; it
 // was read after its job had gone.
-TEST(Gateway, AServersOwnFailureIsSaidOnUnchanged) {
-    Hall hall({{0ns, 1000, ScgiFault::FailsFast}});
+TEST(Gateway, FailureReplyOfServerIsForwardedUnchanged) {
+    GatewayFixture fixture({{0ns, 1000, ScgiFault::FailsFast}});
     for (int n = 0; n < 3; ++n)
-        EXPECT_EQ(hall.asked("/filing/1", "POST", "once"), scgi::writeReply(503, {}, "not now"));
-    hall.expectBooksClosed();
+        EXPECT_EQ(fixture.exchange("/filing/1", "POST", "once"), scgi::writeReply(503, {}, "not now"));
+    fixture.expectEveryRequestEnded();
 }
 
-TEST(Gateway, AServerThatSaysNothingIsGivenUpInTime) {
-    Hall hall({{0ns, 1000, ScgiFault::Silent}});
-    const auto kiosk = hall.kiosk();
-    kiosk->ask("/filing/1", "POST", {{"HTTP_X_PATIENCE_MS", "300"}});
-    runUntil(hall.loop, [&] { return kiosk->gone; });
-    EXPECT_EQ(kiosk->status(), 504);
-    hall.expectBooksClosed();
+TEST(Gateway, SilentServerTimesOut) {
+    GatewayFixture fixture({{0ns, 1000, ScgiFault::Silent}});
+    const auto client = fixture.newClient();
+    client->sendRequest("/filing/1", "POST", {{"HTTP_X_PATIENCE_MS", "300"}});
+    runUntil(fixture.loop, [&] { return client->closed; });
+    EXPECT_EQ(client->status(), 504);
+    fixture.expectEveryRequestEnded();
 }
 
-TEST(Gateway, ACancelledRequestClosesItsUpstreamConnection) {
-    Hall hall({{0ns, 1000, ScgiFault::Silent}});
-    auto kiosk = hall.kiosk();
-    kiosk->ask("/board/1");
-    runUntil(hall.loop, [&] { return hall.servers[0]->requests() == 1; });
-    kiosk.reset();
-    runUntil(hall.loop, [&] { return hall.servers[0]->left() == 1; });
-    EXPECT_EQ(hall.gateway->upstreamGroups().flying(), 0U);
-    hall.expectBooksClosed();
+TEST(Gateway, CancelledRequestClosesItsUpstreamConnection) {
+    GatewayFixture fixture({{0ns, 1000, ScgiFault::Silent}});
+    auto client = fixture.newClient();
+    client->sendRequest("/board/1");
+    runUntil(fixture.loop, [&] { return fixture.servers[0]->requests() == 1; });
+    client.reset();
+    runUntil(fixture.loop, [&] { return fixture.servers[0]->left() == 1; });
+    EXPECT_EQ(fixture.gateway->upstreamGroups().flying(), 0U);
+    fixture.expectEveryRequestEnded();
 }
 
-TEST(Gateway, WithAllServersDownRequestsAreRejectedAtOnceWithRetryAfter) {
-    Hall hall({loadtest::ScgiServerTerms{}});
-    const std::string before = hall.asked("/board/1");
+TEST(Gateway, RejectsAtOnceWithRetryAfterWhenAllServersAreDown) {
+    GatewayFixture fixture({loadtest::ScgiServerTerms{}});
+    const std::string before = fixture.exchange("/board/1");
     EXPECT_EQ(before.substr(0, 11), "Status: 200");
-    hall.servers.clear();
+    fixture.servers.clear();
     std::map<std::string, int> statuses;
-    for (int n = 0; n < 20; ++n) ++statuses[hall.asked("/board/1").substr(8, 3)];
+    for (int n = 0; n < 20; ++n) ++statuses[fixture.exchange("/board/1").substr(8, 3)];
     EXPECT_GT(statuses["503"], 0) << "bounced once the breaker of the runs is open";
     EXPECT_EQ(statuses["502"] + statuses["503"] + statuses["504"], 20);
-    EXPECT_NE(hall.asked("/board/1").find("X-Retry-After-Ms: "), std::string::npos);
-    hall.expectBooksClosed();
+    EXPECT_NE(fixture.exchange("/board/1").find("X-Retry-After-Ms: "), std::string::npos);
+    fixture.expectEveryRequestEnded();
 }
 
-TEST(Gateway, WrongRequestsCostTheirOwnConnectionAlone) {
-    Hall hall({loadtest::ScgiServerTerms{}},
-              "head-at-most=1KiB body-at-most=1KiB "
-              "head-within=200ms body-within=200ms");
-    const auto told = [&](const std::string& bytes) {
-        const auto kiosk = hall.kiosk();
-        kiosk->connection->send(bytes);
-        runUntil(hall.loop, [&] { return kiosk->gone; });
-        return kiosk->status();
+TEST(Gateway, MalformedRequestAffectsOnlyItsOwnConnection) {
+    GatewayFixture fixture({loadtest::ScgiServerTerms{}},
+                           "head-at-most=1KiB body-at-most=1KiB "
+                           "head-within=200ms body-within=200ms");
+    const auto statusFor = [&](const std::string& bytes) {
+        const auto client = fixture.newClient();
+        client->connection->send(bytes);
+        runUntil(fixture.loop, [&] { return client->closed; });
+        return client->status();
     };
-    EXPECT_EQ(told("GET / HTTP/1.0\r\n\r\n"), 400);
-    EXPECT_EQ(told("60000000:" + std::string(5000, 'x')), 431);
-    EXPECT_EQ(told(scgi::writeRequest({{"REQUEST_URI", "/board/1"}}, std::string(5000, 'x'))), 413);
-    EXPECT_EQ(told("12:"), 408);
+    EXPECT_EQ(statusFor("GET / HTTP/1.0\r\n\r\n"), 400);
+    EXPECT_EQ(statusFor("60000000:" + std::string(5000, 'x')), 431);
+    EXPECT_EQ(statusFor(scgi::writeRequest({{"REQUEST_URI", "/board/1"}}, std::string(5000, 'x'))), 413);
+    EXPECT_EQ(statusFor("12:"), 408);
     const std::string slow = scgi::writeRequest({{"REQUEST_URI", "/board/1"}}, "slow");
-    EXPECT_EQ(told(slow.substr(0, slow.size() - 1)), 408);
-    EXPECT_EQ(hall.asked("/board/1").substr(0, 11), "Status: 200");
-    EXPECT_EQ(hall.servers[0]->requests(), 1U);
+    EXPECT_EQ(statusFor(slow.substr(0, slow.size() - 1)), 408);
+    EXPECT_EQ(fixture.exchange("/board/1").substr(0, 11), "Status: 200");
+    EXPECT_EQ(fixture.servers[0]->requests(), 1U);
 }
 
 // The body comes while the notice does. Whole before the grace is over it runs;
 // whole after it, it is answered and never run; never whole, it is answered
 // before the stop.
-TEST(Gateway, ABodyThatArrivesSlowlyWhileTheNoticeComes) {
-    Hall hall({loadtest::ScgiServerTerms{}});
+TEST(Gateway, BodiesArrivingDuringShutdownAreAnswered) {
+    GatewayFixture fixture({loadtest::ScgiServerTerms{}});
     const std::string bytes =
         scgi::writeRequest({{"REQUEST_METHOD", "POST"}, {"REQUEST_URI", "/filing/1"}}, "abcdef");
-    auto early = hall.kiosk(), late = hall.kiosk(), never = hall.kiosk();
-    for (Kiosk* kiosk : {early.get(), late.get(), never.get()})
-        kiosk->connection->send(bytes.substr(0, bytes.size() - 2));
-    runUntil(hall.loop, [&] { return hall.gateway->scgiServer()->connections() == 3; });
-    hall.gateway->beginShutdown();
+    auto early = fixture.newClient(), late = fixture.newClient(), never = fixture.newClient();
+    for (ScgiClient* client : {early.get(), late.get(), never.get()})
+        client->connection->send(bytes.substr(0, bytes.size() - 2));
+    runUntil(fixture.loop, [&] { return fixture.gateway->scgiServer()->connections() == 3; });
+    fixture.gateway->beginShutdown();
     early->connection->send(bytes.substr(bytes.size() - 2));
-    runUntil(hall.loop, [&] { return early->gone; });
+    runUntil(fixture.loop, [&] { return early->closed; });
     EXPECT_EQ(early->status(), 200);
     bool graceOver = false;
-    net::Timer grace(hall.loop, [&] { graceOver = true; });
+    net::Timer grace(fixture.loop, [&] { graceOver = true; });
     grace.start(400ms);
-    runUntil(hall.loop, [&] { return graceOver; });
+    runUntil(fixture.loop, [&] { return graceOver; });
     late->connection->send(bytes.substr(bytes.size() - 2));
-    runUntil(hall.loop, [&] { return late->gone && never->gone; });
+    runUntil(fixture.loop, [&] { return late->closed && never->closed; });
     EXPECT_EQ(late->status(), 503);
     EXPECT_EQ(never->status(), 503);
-    EXPECT_EQ(hall.servers[0]->requests(), 1U);
-    hall.expectBooksClosed();
+    EXPECT_EQ(fixture.servers[0]->requests(), 1U);
+    fixture.expectEveryRequestEnded();
 }
 
-TEST(Gateway, ServersChangeWithTheFileAndWhatIsInFlightKeepsItsAnswer) {
-    Hall hall({{100ms, 1000, ScgiFault::None}});
-    const auto kiosk = hall.kiosk();
-    kiosk->ask("/board/1");
-    runUntil(hall.loop, [&] { return hall.servers[0]->requests() == 1; });
-    auto old = std::move(hall.servers[0]);
-    hall.servers[0] =
-        std::make_unique<ScgiServer>(hall.loop, net::Address{"127.0.0.1", 0}, loadtest::ScgiServerTerms{});
-    hall.write("", "");
-    hall.gateway->reload(hall.path);
-    runUntil(hall.loop, [&] { return kiosk->gone; });
-    EXPECT_EQ(kiosk->status(), 200);
-    hall.asked("/board/2");
-    EXPECT_EQ(hall.servers[0]->requests(), 1U);
+TEST(Gateway, ReloadChangesServersAndKeepsRequestsInFlight) {
+    GatewayFixture fixture({{100ms, 1000, ScgiFault::None}});
+    const auto client = fixture.newClient();
+    client->sendRequest("/board/1");
+    runUntil(fixture.loop, [&] { return fixture.servers[0]->requests() == 1; });
+    auto old = std::move(fixture.servers[0]);
+    fixture.servers[0] =
+        std::make_unique<ScgiServer>(fixture.loop, net::Address{"127.0.0.1", 0}, loadtest::ScgiServerTerms{});
+    fixture.writeFile("", "");
+    fixture.gateway->reload(fixture.path);
+    runUntil(fixture.loop, [&] { return client->closed; });
+    EXPECT_EQ(client->status(), 200);
+    fixture.exchange("/board/2");
+    EXPECT_EQ(fixture.servers[0]->requests(), 1U);
     EXPECT_EQ(old->requests(), 1U);
-    std::ofstream(hall.path) << "serve \"hall\" { broken";
-    hall.gateway->reload(hall.path);
-    EXPECT_EQ(hall.counters.of(telemetry::Count::ReloadsRejected), 1U);
-    EXPECT_EQ(hall.asked("/board/2").substr(0, 11), "Status: 200");
+    std::ofstream(fixture.path) << "serve \"hall\" { broken";
+    fixture.gateway->reload(fixture.path);
+    EXPECT_EQ(fixture.counters.of(telemetry::Count::ReloadsRejected), 1U);
+    EXPECT_EQ(fixture.exchange("/board/2").substr(0, 11), "Status: 200");
 }
 
-TEST(Gateway, ABadServerIsLeftOutAndComesBack) {
-    Hall hall({{0ns, 1000, ScgiFault::Breaks}, {}, {}}, "", "leave-out for=100ms\nchoose round-robin");
-    for (int n = 0; n < 40; ++n) hall.asked("/board/" + std::to_string(n));
-    EXPECT_NE(hall.lines.str().find("is left out, 1 of 3 out"), std::string::npos);
-    hall.servers[0]->set({});
-    runUntil(hall.loop, [&] {
-        hall.asked("/board/1");
-        return hall.gateway->upstreamGroups().out(0) == 0;
+TEST(Gateway, OutlierIsEjectedAndReturns) {
+    GatewayFixture fixture({{0ns, 1000, ScgiFault::Breaks}, {}, {}}, "",
+                           "leave-out for=100ms\nchoose round-robin");
+    for (int n = 0; n < 40; ++n) fixture.exchange("/board/" + std::to_string(n));
+    EXPECT_NE(fixture.logLines.str().find("is left out, 1 of 3 out"), std::string::npos);
+    fixture.servers[0]->set({});
+    runUntil(fixture.loop, [&] {
+        fixture.exchange("/board/1");
+        return fixture.gateway->upstreamGroups().out(0) == 0;
     });
 }
 
