--- a/src/kdl/document.cpp
+++ b/src/kdl/document.cpp
@@ -121,15 +121,15 @@
 inline constexpr auto kExpected<LineContinuationEnd> = "the end of the line was expected after '\\'";
 template <>
 inline constexpr auto kExpected<EscapeCode> =
-    "one of n, r, t, b, f, s, \\, \" or u{1F600} was expected after '\\' in a text";
+    "one of n, r, t, b, f, s, \\, \" or u{1F600} was expected after '\\' in a string";
 template <>
-inline constexpr auto kExpected<StringEnd> = "the closing '\"' of a text was expected on this line";
+inline constexpr auto kExpected<StringEnd> = "the closing '\"' of a string was expected on this line";
 template <>
 inline constexpr auto kExpected<SingleLineString> =
-    "a text in one line was expected (\"\"\" is not supported: write \\n for a new line)";
+    "a single-line string was expected (\"\"\" is not supported: write \\n for a new line)";
 template <>
 inline constexpr auto kExpected<ValueEnd> =
-    "a blank or the end of the number was expected (a unit is %, or letters such as ms, MiB or /s)";
+    "whitespace or the end of the number was expected (a unit is %, or letters such as ms, MiB or /s)";
 template <>
 inline constexpr auto kExpected<CompleteKeyword> = "#true, #false or #null was expected";
 template <>
@@ -266,7 +266,7 @@
         for (const char* keyword : {"true", "false", "null", "inf", "-inf", "nan"})
             if (builder.lastString == keyword)
                 throw DocumentError(builder.locationOf(in), "'" + builder.lastString + "' was found",
-                                    "'#" + builder.lastString + "' or a text in quotes was expected");
+                                    "'#" + builder.lastString + "' or a quoted string was expected");
         builder.lastValue = {Value::Kind::String, builder.lastString, 0, "", false, builder.locationOf(in)};
     }
 };
@@ -362,8 +362,9 @@
     static void apply(const Input& in, Builder& builder) {
         builder.droppedBlocks.push_back(std::exchange(builder.dropBlock, false));
         if (builder.droppedBlocks.size() > kMaxDepth)
-            throw DocumentError(builder.locationOf(in), "'{' was found",
-                                "at most " + std::to_string(kMaxDepth) + " nodes in nodes were expected");
+            throw DocumentError(
+                builder.locationOf(in), "'{' was found",
+                "at most " + std::to_string(kMaxDepth) + " levels of nested nodes were expected");
     }
 };
 template <>
--- a/src/kdl/fields.cpp
+++ b/src/kdl/fields.cpp
@@ -21,7 +21,7 @@
 
 [[noreturn]] void throwUnexpected(const Value& value, const std::string& expected) {
     const std::string what =
-        value.kind == Value::Kind::String ? "the text '" + value.text + "'" : "'" + value.text + "'";
+        value.kind == Value::Kind::String ? "the string '" + value.text + "'" : "'" + value.text + "'";
     throw DocumentError(value.location, what + " was found", expected + " was expected");
 }
 
@@ -72,7 +72,7 @@
     const Value value = parseQuotedNumber(given);
     if (value.kind != Value::Kind::Number || !std::isfinite(value.number) || value.number < 0 ||
         (!value.unit.empty() && value.unit != "%"))
-        throwUnexpected(given, "a share such as 35% or 0.35");
+        throwUnexpected(given, "a fraction such as 35% or 0.35");
     return value.unit == "%" ? value.number / 100 : value.number;
 }
 
@@ -80,7 +80,7 @@
 
 std::uint64_t bytes(const Value& value) {
     const double count = convertUnit(value, kByteUnits, "a size such as 4MiB");
-    if (count > 1e15) throwUnexpected(value, "a size of less than a thousand TB");
+    if (count > 1e15) throwUnexpected(value, "a size of less than 1000 TB");
     return static_cast<std::uint64_t>(std::llround(count));
 }
 
@@ -100,7 +100,7 @@
 }
 
 const std::string& text(const Value& value) {
-    if (value.kind != Value::Kind::String) throwUnexpected(value, "a text");
+    if (value.kind != Value::Kind::String) throwUnexpected(value, "a string");
     return value.text;
 }
 
@@ -117,7 +117,7 @@
     throw DocumentError(
         node_.location,
         "'" + node_.name + "' was found with " + std::to_string(node_.arguments.size()) + " values",
-        what + " was expected behind it");
+        what + " was expected after it");
 }
 
 const Value* NodeReader::optionalArgument(std::size_t index) {
@@ -171,7 +171,7 @@
         if (!readArguments_.contains(index))
             throw DocumentError(node_.arguments[index].location,
                                 "'" + node_.arguments[index].text + "' was found",
-                                "no further value was expected behind '" + node_.name + "'");
+                                "no further value was expected after '" + node_.name + "'");
     for (const auto& [name, value] : node_.properties)
         if (!readProperties_.contains(name))
             throw DocumentError(value.location, "'" + name + "=' was found",
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -112,7 +112,7 @@
     telemetry::Log log(std::cout, config.level, logFormat);
     telemetry::Counters counters;
     net::Loop loop;
-    loop.onUncaughtException([&](const std::string& what) { log.error("trouble", what); });
+    loop.onUncaughtException([&](const std::string& what) { log.error("exception", what); });
     Server server(loop, config, log, counters);
     runUntilShutDown(
         loop, server, [&] { server.reload(std::getenv); }, [&] { counters.print(std::cout); });
@@ -123,7 +123,7 @@
     telemetry::Log log(std::cout, commandLine.logLevel, commandLine.logFormat);
     telemetry::Counters counters;
     net::Loop loop;
-    loop.onUncaughtException([&](const std::string& what) { log.error("trouble", what); });
+    loop.onUncaughtException([&](const std::string& what) { log.error("exception", what); });
     serve::Gateway gateway(loop, config, log, counters);
     runUntilShutDown(
         loop, gateway, [&] { gateway.reload(commandLine.file); }, [&] { gateway.printCounters(std::cout); });
@@ -131,7 +131,7 @@
 
 void checkFile(const std::string& file) {
     serve::readGatewayConfig(file);
-    std::cout << file << ": all is well" << std::endl;
+    std::cout << file << ": configuration is valid" << std::endl;
 }
 
 void perform(const CommandLine& commandLine) {
@@ -158,8 +158,7 @@
         std::cerr << error.what() << std::endl;
         return kExitBadInput;
     } catch (const config::ConfigError& error) {
-        std::cerr << "cottonwing: " << error.what() << " (cottonwing --help tells what it needs)"
-                  << std::endl;
+        std::cerr << "cottonwing: " << error.what() << " (see cottonwing --help)" << std::endl;
         return kExitBadInput;
     } catch (const std::exception& error) {
         std::cerr << "cottonwing: " << error.what() << std::endl;
--- a/src/scgi/scgi_server.cpp
+++ b/src/scgi/scgi_server.cpp
@@ -63,7 +63,7 @@
     void ended(net::Connection&, net::ConnectionEnd end) override {
         if (!responded) {
             ++server.counters_.disconnected;
-            server.log_.debug("scgi", std::string("CL caller left: ") + net::nameOf(end));
+            server.log_.debug("scgi", std::string("CL client disconnected: ") + net::nameOf(end));
         }
         server.close(*this);
     }
--- a/src/serve/gateway.cpp
+++ b/src/serve/gateway.cpp
@@ -52,7 +52,7 @@
             if (const routing::Route* shadowing = routes.add(route))
                 log.warn("routes",
                          route.path +
-                             " is never taken: an earlier route has the same path and conditions as " +
+                             " is never matched: an earlier route has the same path and conditions as " +
                              shadowing->path);
         scgiServer_ = std::make_unique<scgi::ScgiServer>(loop, *config_.scgiServer, std::move(routes),
                                                          config_.controller.requestClasses, config_.seed,
@@ -98,12 +98,12 @@
         next = readGatewayConfig(path);
     } catch (const kdl::DocumentError& error) {
         counters_.add(telemetry::Count::ReloadsRejected);
-        return log_.error("reload", std::string("refused whole: ") + error.what());
+        return log_.error("reload", std::string("configuration rejected: error=") + error.what());
     }
     counters_.add(telemetry::Count::Reloads);
     const auto [added, removed] = upstreamGroups_.change(next.groups);
-    log_.info("reload",
-              std::to_string(added) + " servers are new, " + std::to_string(removed) + " are left to end");
+    log_.info("reload", "configuration reloaded: " + std::to_string(added) + " servers added, " +
+                            std::to_string(removed) + " servers draining");
     const auto groupNamesOf = [](const GatewayConfig& config) {
         std::vector<std::string> groupNames;
         for (const auto& group : config.groups) groupNames.push_back(group.name);
@@ -111,7 +111,7 @@
     };
     if (groupNamesOf(next) != groupNamesOf(config_) || next.requestClassNames != config_.requestClassNames ||
         next.routes.size() != config_.routes.size())
-        log_.warn("reload", "groups, profiles and routes need a new start, the old ones stay");
+        log_.warn("reload", "changes of groups, profiles and routes ignored until restart");
 }
 
 void Gateway::printCounters(std::ostream& out) const {
@@ -137,7 +137,7 @@
     const bool listening =
         (thriftServer_ && thriftServer_->isListening()) || (scgiServer_ && scgiServer_->isListening());
     if (!draining_ || listening || requests_.unansweredCount() > 0 || connections > 0) return;
-    log_.info("leaving", "nobody is left");
+    log_.info("shutdown", "all clients disconnected");
     loop_.stop();
 }
 
--- a/src/serve/gateway_config.cpp
+++ b/src/serve/gateway_config.cpp
@@ -19,7 +19,7 @@
     if (const kdl::Value* value = reader.property(name)) return *value;
     throw kdl::DocumentError(reader.node().location,
                              "'" + reader.node().name + "' was found without '" + name + "='",
-                             "'" + std::string(name) + "=' was expected behind it");
+                             "'" + std::string(name) + "=' was expected after it");
 }
 
 // A request matches a route only if every `header` child node of the route matches.
@@ -45,8 +45,10 @@
     reader.property("customer", routeTarget.tenantHeader, kdl::text);
     for (const kdl::Node* header : reader.children("header")) {
         kdl::NodeReader childReader(*header);
-        const std::string name = kdl::text(childReader.argument(0, "the name of a header, as HTTP_X_KIND"));
-        route.headers.emplace_back(name, kdl::text(childReader.argument(1, "the value it must have")));
+        const std::string name =
+            kdl::text(childReader.argument(0, "the name of a header such as HTTP_X_KIND"));
+        route.headers.emplace_back(name,
+                                   kdl::text(childReader.argument(1, "the value that the header must have")));
         childReader.rejectUnknown();
     }
     reader.rejectUnknown();
@@ -83,7 +85,7 @@
                                  "at most 2000 were expected");
     if (const kdl::Node* const choose = reader.child("choose")) {
         kdl::NodeReader childReader(*choose);
-        group.way = kdl::NodeReader::choice<routing::Way>(childReader.argument(0, "a way to choose"),
+        group.way = kdl::NodeReader::choice<routing::Way>(childReader.argument(0, "a load balancing policy"),
                                                           {{"round-robin", routing::Way::RoundRobin},
                                                            {"least", routing::Way::Least},
                                                            {"two-choices", routing::Way::TwoChoices},
@@ -101,7 +103,7 @@
     }
     if (const kdl::Node* const found = reader.child("checks")) {
         kdl::NodeReader childReader(*found);
-        group.checksEvery = kdl::duration(childReader.argument(0, "how often, such as 1s"));
+        group.checksEvery = kdl::duration(childReader.argument(0, "an interval such as 1s"));
         childReader.property("path", group.checkPath, kdl::text);
         childReader.rejectUnknown();
     }
@@ -155,7 +157,7 @@
             if (config.groups[at].name == config.groups.back().name)
                 throw kdl::DocumentError(node->location,
                                          "a second group '" + config.groups.back().name + "' was found",
-                                         "a name of its own was expected");
+                                         "a unique name was expected");
     }
     if (config.groups.empty())
         throw kdl::DocumentError(serveNode->location, "'serve' was found without a group",
@@ -192,7 +194,7 @@
             nestedReader.rejectUnknown();
         } else if (config.groups.size() > 1) {
             throw kdl::DocumentError(node->location, "profile '" + name + "' was found without a group",
-                                     "'group NAME' was expected, as there are several");
+                                     "'group NAME' was expected, as there are several groups");
         }
         childReader.rejectUnknown();
         if (requestClass.latencyObjective <= 0ns || requestClass.timeout < requestClass.latencyObjective)
@@ -203,7 +205,7 @@
                  .emplace(name, static_cast<int>(controller.requestClasses.size()))
                  .second)
             throw kdl::DocumentError(node->location, "a second profile '" + name + "' was found",
-                                     "a name of its own was expected");
+                                     "a unique name was expected");
         controller.requestClasses.push_back(requestClass);
         config.requestClassNames.push_back(name);
         config.groupByRequestClass.push_back(group);
@@ -219,7 +221,7 @@
         childReader.rejectUnknown();
         if (!config.nameTables.tenants.emplace(name, static_cast<int>(controller.tenants.size())).second)
             throw kdl::DocumentError(node->location, "a second customer '" + name + "' was found",
-                                     "a name of its own was expected");
+                                     "a unique name was expected");
         controller.tenants.push_back({quota});
     }
 
@@ -258,7 +260,7 @@
         if (scgiServer.requestLimits.maxHeadBytes > memoryFraction(0.01) ||
             scgiServer.requestLimits.maxBodyBytes > memoryFraction(0.05))
             throw kdl::DocumentError(found->location,
-                                     "a head or body was found that is large beside the memory",
+                                     "a limit for heads or bodies was found that is too large for the memory",
                                      "at most 1% of it for a head and 5% for a body were expected");
         if (config.routes.empty())
             throw kdl::DocumentError(found->location, "'scgi' was found without a route",
@@ -269,7 +271,7 @@
         config.scgiServer = std::move(scgiServer);
     }
     if (!config.thriftAddress && !config.scgiServer)
-        throw kdl::DocumentError(serveNode->location, "'serve' was found without a front",
+        throw kdl::DocumentError(serveNode->location, "'serve' was found without 'thrift' or 'scgi'",
                                  "'thrift listen=…' or 'scgi listen=… { … }' was expected in it");
     reader.rejectUnknown();
 
--- a/tests/kdl/document_test.cpp
+++ b/tests/kdl/document_test.cpp
@@ -89,12 +89,11 @@
               "f.kdl:1:5: the end of the line was found, a value was expected after '='");
     EXPECT_EQ(
         parseErrorOf("a \"open\nb"),
-        "f.kdl:1:8: the end of the line was found, the closing '\"' of a text was expected on this line");
+        "f.kdl:1:8: the end of the line was found, the closing '\"' of a string was expected on this line");
     EXPECT_EQ(parseErrorOf("a \"x\\q\""),
               "f.kdl:1:6: 'q\"' was found, one of n, r, t, b, f, s, \\, \" or u{1F600} was expected after "
-              "'\\' in a text");
-    EXPECT_EQ(parseErrorOf("a true"),
-              "f.kdl:1:3: 'true' was found, '#true' or a text in quotes was expected");
+              "'\\' in a string");
+    EXPECT_EQ(parseErrorOf("a true"), "f.kdl:1:3: 'true' was found, '#true' or a quoted string was expected");
     EXPECT_EQ(parseErrorOf("a #maybe"), "f.kdl:1:4: 'maybe' was found, #true, #false or #null was expected");
     EXPECT_EQ(parseErrorOf("x /* never closed"),
               "f.kdl:1:18: the end of the file was found, the end '*/' of a comment was expected");
@@ -106,7 +105,7 @@
 TEST(Kdl, NestingDepthIsLimited) {
     std::string deep;
     for (int i = 0; i < 100000; ++i) deep += "a {\n";
-    EXPECT_NE(parseErrorOf(deep).find("at most 64 nodes in nodes"), std::string::npos);
+    EXPECT_NE(parseErrorOf(deep).find("at most 64 levels of nested nodes"), std::string::npos);
 }
 
 TEST(Kdl, WrongUnitsAreReported) {
@@ -117,7 +116,8 @@
               "was expected");
     EXPECT_NE(readErrorOf([&] { duration(values[1]); }).find("f.kdl:1:7: the unit 'MiB' was found"),
               std::string::npos);
-    EXPECT_NE(readErrorOf([&] { duration(values[2]); }).find("the text 'soon' was found"), std::string::npos);
+    EXPECT_NE(readErrorOf([&] { duration(values[2]); }).find("the string 'soon' was found"),
+              std::string::npos);
     EXPECT_NE(readErrorOf([&] { duration(values[3]); }).find("of 0 or more"), std::string::npos);
     EXPECT_NE(readErrorOf([&] { bytes(values[4]); }).find("the unit '/s' was found"), std::string::npos);
     EXPECT_NE(readErrorOf([&] { integer(values[5], 1, 9); }).find("a whole number from 1 to 9"),
