--- a/src/kdl/document.cpp
+++ b/src/kdl/document.cpp
@@ -12,7 +12,7 @@
 
 namespace p = tao::pegtl;
 
-// ---- grammar ----------------------------------------------------------------------------------------
+// ---- grammar
 
 struct Newline
     : p::sor<p::string<'\r', '\n'>, p::one<'\n', '\r', '\f', '\v'>, p::utf8::one<0x85, 0x2028, 0x2029>> {};
@@ -157,7 +157,6 @@
 using Control = typename p::must_if<ExpectationMessages>::template control<Rule>;
 
 // ---- tree of nodes
-// ------------------------------------------------------------------------------------------
 
 struct Builder {
     std::string file;
