--- a/src/kdl/fields.cpp
+++ b/src/kdl/node_reader.cpp
@@ -1,4 +1,4 @@
-#include "kdl/fields.h"
+#include "kdl/node_reader.h"
 
 #include <cmath>
 
--- a/src/loadtest/random_distributions.h
+++ b/src/loadtest/random_distributions.h
@@ -7,7 +7,7 @@
 #include <pcg_random.hpp>
 #include <string>
 
-#include "kdl/fields.h"
+#include "kdl/node_reader.h"
 
 namespace cottonwing::loadtest {
 
--- a/src/serve/gateway_config.h
+++ b/src/serve/gateway_config.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "config/process_config.h"
-#include "kdl/fields.h"
+#include "kdl/node_reader.h"
 #include "scgi/scgi_server.h"
 #include "scgi/upstream_groups.h"
 
--- a/tests/kdl/document_test.cpp
+++ b/tests/kdl/document_test.cpp
@@ -4,7 +4,7 @@
 #include <rapidcheck.h>
 #include <rapidcheck/gtest.h>
 
-#include "kdl/fields.h"
+#include "kdl/node_reader.h"
 
 namespace cottonwing::kdl {
 namespace {
