--- a/src/dependency/call_format.cpp
+++ b/src/dependency/call_format.cpp
@@ -39,7 +39,7 @@
 }
 
 Outcome outcomeOf(const net::HttpResponseParser::Response& reply) {
-    const bool notBegun = reply.has(kNotBegunHeader, kNotBegunValue);
+    const bool notBegun = reply.hasHeader(kNotBegunHeader, kNotBegunValue);
     if (reply.status == kStatusOk) return Outcome::Ok;
     if (reply.status == kStatusServiceUnavailable && notBegun) return Outcome::ResourceExhausted;
     if (reply.status == kStatusConflict && notBegun) return Outcome::Superseded;
--- a/src/dependency/http_dependency_client.cpp
+++ b/src/dependency/http_dependency_client.cpp
@@ -78,7 +78,7 @@
         while (!input.empty()) {
             const std::string piece(input.front());
             input.drop(piece.size());
-            if (use != Use::Busy || !replies.read(piece))
+            if (use != Use::Busy || !replies.parse(piece))
                 return client.handleEnd(*this, net::ConnectionEnd::Malformed);
         }
     }
@@ -182,7 +182,7 @@
     const Duration elapsed = net::unixNow() - call.startedAt;
     connection.timeoutTimer.stop();
     callsInFlight_.erase(call.id);
-    if (reply.keepsOpen && !connection.addressOutdated) {
+    if (reply.keepAlive && !connection.addressOutdated) {
         connection.use = PooledConnection::Use::Idle;
         connection.idleSince = net::unixNow();
         if (idle_.empty()) closeUnusedTimer_.start(kMaxIdleTime);
--- a/src/loadtest/child_process.cpp
+++ b/src/loadtest/child_process.cpp
@@ -55,9 +55,9 @@
         handle->there = false;
         const auto ended = handle->ended;
         net::Loop& loop = net::Loop::of(process->loop);
-        if (handle->mine && ended) loop.guarded([&] { ended(static_cast<int>(code), signal); });
+        if (handle->mine && ended) loop.runGuarded([&] { ended(static_cast<int>(code), signal); });
     };
-    const int error = uv_spawn(loop.raw(), &handle_->process, &options);
+    const int error = uv_spawn(loop.uvLoop(), &handle_->process, &options);
     handle_->process.data = handle_;
     close(file);
     if (error != 0) {
--- a/src/loadtest/emulators/http_server.cpp
+++ b/src/loadtest/emulators/http_server.cpp
@@ -74,7 +74,7 @@
     void hangUp() override {
         if (!connection) return;
         const auto self = shared_from_this();
-        connection->writeLast();
+        connection->tryFlush();
         connection.reset();
         door.left_(*this);
         door.lines_.remove(self);
@@ -92,7 +92,7 @@
     : loop_(loop), asked_(std::move(asked)), left_(std::move(left)) {
     listener_ = std::make_unique<net::Listener>(
         loop, at,
-        [this](net::AcceptedSocket socket) {
+        [this](net::PendingConnection socket) {
             auto line = std::make_shared<Line>(*this);
             line->connection.reset(new net::Connection(loop_, socket, *line, {65536, 1 << 20}));
             lines_.push_back(std::move(line));
--- a/src/loadtest/emulators/scgi_server.cpp
+++ b/src/loadtest/emulators/scgi_server.cpp
@@ -38,7 +38,7 @@
     : loop_(loop), host_(at.host), terms_(terms), pace_(loop, [this] { pump(); }) {
     listener_ = std::make_unique<net::Listener>(
         loop, at,
-        [this](net::AcceptedSocket socket) {
+        [this](net::PendingConnection socket) {
             auto line = std::make_shared<Line>(*this);
             line->connection.reset(new net::Connection(loop_, socket, *line, {1 << 20, 1 << 20}));
             lines_.push_back(std::move(line));
@@ -52,7 +52,7 @@
     const auto self = line.shared_from_this();
     if (std::exchange(line.serving, false)) --serving_;
     if (endTold_ && !line.trace.empty()) endTold_(line.trace);
-    if (line.connection) line.connection->writeLast();
+    if (line.connection) line.connection->tryFlush();
     line.connection.reset();
     lines_.remove(self);
     pace_.ringAt(steadyNow());
--- a/src/loadtest/emulators/thrift_server.cpp
+++ b/src/loadtest/emulators/thrift_server.cpp
@@ -16,7 +16,7 @@
     void read() {
         const auto self = shared_from_this();
         std::size_t length = 0;
-        while (connection && thrift::lookForFrame(connection->input(), length) == thrift::FrameState::Whole) {
+        while (connection && thrift::peekFrame(connection->input(), length) == thrift::FrameState::Complete) {
             const auto message = thrift::readMessage(connection->input().peek(4 + length, scratch).substr(4));
             connection->input().drop(4 + length);
             if (!message) return owner.end(*this);
@@ -34,7 +34,7 @@
 Answering::Answering(net::Loop& loop, const net::Address& at, AnsweringTerms terms)
     : loop_(loop), terms_(terms), host_(at.host), start_(steadyNow()), pace_(loop, [this] { pump(); }) {
     listener_ = std::make_unique<net::Listener>(
-        loop, at, [this](net::AcceptedSocket socket) { accept(socket); }, [] { return false; });
+        loop, at, [this](net::PendingConnection socket) { accept(socket); }, [] { return false; });
     if (terms_.stallAt >= 0ns) pace_.ringAt(start_ + terms_.stallAt + terms_.stallFor);
 }
 
@@ -45,7 +45,7 @@
            now < start_ + terms_.stallAt + terms_.stallFor;
 }
 
-void Answering::accept(net::AcceptedSocket socket) {
+void Answering::accept(net::PendingConnection socket) {
     auto line = std::make_shared<Line>(*this);
     line->connection.reset(
         new net::Connection(loop_, socket, *line, {terms_.deaf ? 4096U : 1U << 20, 1U << 20}));
@@ -59,9 +59,9 @@
 }
 
 void Answering::hear(Line& line, const thrift::Message& message) {
-    if (message.method == thrift::Method::IsWell)
+    if (message.method == thrift::Method::HealthCheck)
         return line.connection->send(thrift::writeAnswer("isWell", message.sequence, {}, {}, true));
-    if (message.method == thrift::Method::Forget) ++forgets_;
+    if (message.method == thrift::Method::Cancel) ++forgets_;
     if (message.method != thrift::Method::Serve || !message.fields) return;
     ++trackedRequests_;
     const auto found = message.fields->find("trace");
@@ -103,7 +103,7 @@
         "serve", sequence, each(terms_.wrongEvery) ? "ok 0000000000000000" : "ok " + trace, {}, true);
     if (each(terms_.resetEvery)) {
         line.connection->send(frame.substr(0, frame.size() / 2));
-        line.connection->writeLast();
+        line.connection->tryFlush();
         return end(line);
     }
     line.connection->send(frame);
--- a/src/loadtest/emulators/thrift_server.h
+++ b/src/loadtest/emulators/thrift_server.h
@@ -52,7 +52,7 @@
         std::int32_t sequence;
         std::string trace;
     };
-    void accept(net::AcceptedSocket socket);
+    void accept(net::PendingConnection socket);
     void hear(Line& line, const thrift::Message& message);
     void answer(Line& line, std::int32_t sequence, const std::string& trace);
     void pump();
--- a/src/loadtest/emulators/worker_pool.cpp
+++ b/src/loadtest/emulators/worker_pool.cpp
@@ -59,7 +59,7 @@
 void WorkerPool::listen() {
     listener_ = std::make_unique<net::Listener>(
         loop_, at_,
-        [this](net::AcceptedSocket socket) {
+        [this](net::PendingConnection socket) {
             auto link = std::make_unique<Link>(*this);
             link->connection.reset(new net::Connection(loop_, socket, *link, {4 << 20, 16 << 20}));
             older_ = std::move(link_);  // a new link replaces the one before it
--- a/src/loadtest/experiment.cpp
+++ b/src/loadtest/experiment.cpp
@@ -480,7 +480,7 @@
         net::Timer tick(world.loop, [&] { look = true; });
         while (!so() && !late) {
             tick.start(10ms);
-            world.loop.turnOnce();
+            world.loop.runOnce();
         }
         return !late;
     };
--- a/src/loadtest/load_clients.cpp
+++ b/src/loadtest/load_clients.cpp
@@ -65,10 +65,10 @@
         if (kiosk) return arrivedScgi(from);
         std::size_t length = 0;
         while (connection != nullptr) {
-            const auto state = thrift::lookForFrame(from.input(), length);
+            const auto state = thrift::peekFrame(from.input(), length);
             if (state == thrift::FrameState::Partial) return;
             std::optional<ClientResponse> said;
-            if (state == thrift::FrameState::Whole) {
+            if (state == thrift::FrameState::Complete) {
                 said = readClientResponse(from.input().peek(4 + length, scratch).substr(4));
                 from.input().drop(4 + length);
             }
@@ -231,7 +231,7 @@
         progress_.done = true;
         for (auto& client : clients_) {
             for (auto& lines : client->lines) {
-                for (auto& line : lines) line->connection->writeLast();  // a forget may wait there
+                for (auto& line : lines) line->connection->tryFlush();  // a forget may wait there
                 lines.clear();
             }
             for (auto& line : client->checks) line.reset();
--- a/src/loadtest/precise_timer.cpp
+++ b/src/loadtest/precise_timer.cpp
@@ -26,14 +26,14 @@
         delete handle_;
         throw std::runtime_error(std::string("timer: ") + std::strerror(errno));
     }
-    uv_poll_init(loop.raw(), &handle_->poll, handle_->descriptor);
+    uv_poll_init(loop.uvLoop(), &handle_->poll, handle_->descriptor);
     handle_->poll.data = handle_;
     uv_poll_start(&handle_->poll, UV_READABLE, [](uv_poll_t* poll, int, int) {
         Handle& rung = *static_cast<Handle*>(poll->data);
         std::uint64_t times = 0;
         if (read(rung.descriptor, &times, sizeof times) != static_cast<ssize_t>(sizeof times)) return;
         const auto rings = rung.rings;  // what rings may destroy the timer
-        net::Loop::of(poll->loop).guarded(rings);
+        net::Loop::of(poll->loop).runGuarded(rings);
     });
     uv_unref(reinterpret_cast<uv_handle_t*>(&handle_->poll));
 }
@@ -66,9 +66,9 @@
 };
 
 Bell::Bell(net::Loop& loop, std::function<void()> rings) : handle_(new Handle{{}, std::move(rings)}) {
-    uv_async_init(loop.raw(), &handle_->async, [](uv_async_t* async) {
+    uv_async_init(loop.uvLoop(), &handle_->async, [](uv_async_t* async) {
         const auto rings = static_cast<Handle*>(async->data)->rings;
-        net::Loop::of(async->loop).guarded(rings);
+        net::Loop::of(async->loop).runGuarded(rings);
     });
     handle_->async.data = handle_;
 }
--- a/src/net/byte_ring.cpp
+++ b/src/net/byte_ring.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-constexpr std::size_t kFirstCapacityBytes = 2048;
-constexpr std::size_t kKeptWhenEmptyBytes = 16384;
+constexpr std::size_t kInitialCapacityBytes = 2048;
+constexpr std::size_t kMaxCapacityWhenEmptyBytes = 16384;
 
 }  // namespace
 
@@ -19,10 +19,10 @@
 ByteRing::~ByteRing() { setCapacity(0); }
 
 bool ByteRing::write(std::string_view bytes) {
-    if (bytes.size() > room()) return false;
+    if (bytes.size() > freeBytes()) return false;
     if (size_ + bytes.size() > capacity_ && !grow(size_ + bytes.size())) return false;
     while (!bytes.empty()) {
-        const std::span<char> free = space(bytes.size());
+        const std::span<char> free = prepare(bytes.size());
         const std::size_t count = std::min(free.size(), bytes.size());
         std::memcpy(free.data(), bytes.data(), count);
         commit(count);
@@ -31,7 +31,7 @@
     return true;
 }
 
-std::span<char> ByteRing::space(std::size_t wanted) {
+std::span<char> ByteRing::prepare(std::size_t wanted) {
     // Without growth what is free in the present storage is offered.
     if (size_ + wanted > capacity_ && capacity_ < maxBytes_) static_cast<void>(grow(size_ + wanted));
     if (size_ == capacity_) return {};
@@ -67,14 +67,15 @@
 void ByteRing::drop(std::size_t count) {
     size_ -= count;
     head_ = size_ == 0 ? 0 : (head_ + count) % capacity_;
-    if (size_ == 0 && capacity_ > kKeptWhenEmptyBytes) {
+    if (size_ == 0 && capacity_ > kMaxCapacityWhenEmptyBytes) {
         storage_.reset();
         setCapacity(0);
     }
 }
 
 bool ByteRing::grow(std::size_t wanted) {
-    const std::size_t capacity = std::min(maxBytes_, std::max({wanted, 2 * capacity_, kFirstCapacityBytes}));
+    const std::size_t capacity =
+        std::min(maxBytes_, std::max({wanted, 2 * capacity_, kInitialCapacityBytes}));
     if (budget_ != nullptr && budget_->usedBytes + capacity - capacity_ > budget_->limitBytes) return false;
     std::shared_ptr<char[]> storage(new char[capacity]);
     if (size_ > 0) {
--- a/src/net/byte_ring.h
+++ b/src/net/byte_ring.h
@@ -29,7 +29,7 @@
     std::size_t size() const { return size_; }
     bool empty() const { return size_ == 0; }
     /// Bytes that it may still take under its own limit; the budget may allow fewer.
-    std::size_t room() const { return maxBytes_ - size_; }
+    std::size_t freeBytes() const { return maxBytes_ - size_; }
     /// Bytes that are allocated.
     std::size_t capacity() const { return capacity_; }
 
@@ -39,7 +39,7 @@
 
     /// Free storage behind the last byte, in one piece, which may be shorter than wanted; commit() appends
     /// what was put there. Empty only when the ring is full or the budget is used up.
-    std::span<char> space(std::size_t wanted = 1);
+    std::span<char> prepare(std::size_t wanted = 1);
 
     /// Appends the first count bytes of what space() returned.
     void commit(std::size_t count) { size_ += count; }
--- a/src/net/channel.cpp
+++ b/src/net/channel.cpp
@@ -15,7 +15,7 @@
 
 // A peer ends its side as soon as it reads that we ended ours; one that does not is not waited for any
 // longer.
-constexpr Duration kFinishTimeout = std::chrono::seconds(1);
+constexpr Duration kCloseTimeout = std::chrono::seconds(1);
 
 }  // namespace
 
@@ -24,7 +24,7 @@
       connection_(connection),
       input_(limits.inputBytes, limits.budget),
       output_(limits.outputBytes, limits.budget) {
-    uv_tcp_init(loop_.raw(), &tcp_);
+    uv_tcp_init(loop_.uvLoop(), &tcp_);
     tcp_.data = this;
     connectRequest_.data = this;
     writeRequest_.data = this;
@@ -34,11 +34,12 @@
 void Channel::connect(const Address& address) {
     const sockaddr_in peer = socketAddress(address);
     uv_tcp_nodelay(&tcp_, 1);
-    const int error = uv_tcp_connect(&connectRequest_, &tcp_, reinterpret_cast<const sockaddr*>(&peer),
-                                     [](uv_connect_t* request, int status) {
-                                         auto* self = static_cast<Channel*>(request->data);
-                                         self->loop_.guarded([self, status] { self->onConnected(status); });
-                                     });
+    const int error =
+        uv_tcp_connect(&connectRequest_, &tcp_, reinterpret_cast<const sockaddr*>(&peer),
+                       [](uv_connect_t* request, int status) {
+                           auto* self = static_cast<Channel*>(request->data);
+                           self->loop_.runGuarded([self, status] { self->onConnected(status); });
+                       });
     if (error == 0) return;
     // For example without a descriptor left. Reported at the end of the turn: the caller is still in its
     // constructor.
@@ -67,22 +68,22 @@
     if (!output_.empty()) requestFlush();
 }
 
-// A peer that does not read its answers is not read from either: see outputHalfFull().
+// A peer that does not read its answers is not read from either: see isOutputHalfFull().
 void Channel::resumeReading() {
     if (reading_ || !connected_ || state_ == State::Closed) return;
-    const bool finishing = state_ == State::Finishing;
-    if (finishing && peerEnded_) return;
-    if (!finishing && (inputStopped_ || readDeferred_ || outputHalfFull())) return;
+    const bool closing = state_ == State::Closing;
+    if (closing && peerClosed_) return;
+    if (!closing && (inputStopped_ || readDeferred_ || isOutputHalfFull())) return;
     reading_ = true;
     uv_read_start(
         asStream(tcp_),
         [](uv_handle_t* handle, std::size_t /*suggestedBytes*/, uv_buf_t* buffer) {
-            const auto space = static_cast<Channel*>(handle->data)->input_.space();
+            const auto space = static_cast<Channel*>(handle->data)->input_.prepare();
             *buffer = uv_buf_init(space.data(), static_cast<unsigned>(space.size()));
         },
         [](uv_stream_t* stream, ssize_t count, const uv_buf_t* /*buffer*/) {
             auto* self = static_cast<Channel*>(stream->data);
-            self->loop_.guarded([self, count] { self->onRead(count); });
+            self->loop_.runGuarded([self, count] { self->onRead(count); });
         });
 }
 
@@ -94,7 +95,7 @@
 
 void Channel::onRead(ssize_t count) {
     if (count == 0) return;  // libuv: nothing to read now
-    if (state_ == State::Finishing) return dropInput(count);
+    if (state_ == State::Closing) return discardInput(count);
     if (count == UV_EOF) return fail(ConnectionEnd::PeerClosed);
     if (count == UV_ENOBUFS) return fail(ConnectionEnd::TooLong);  // the input buffer has no space
     if (count < 0) return fail(ConnectionEnd::Reset);
@@ -103,15 +104,15 @@
 }
 
 // While finishing: a request that is read now could not be answered any more.
-void Channel::dropInput(ssize_t count) {
+void Channel::discardInput(ssize_t count) {
     if (count > 0) {
         input_.commit(static_cast<std::size_t>(count));
         return input_.drop(input_.size());
     }
     if (count != UV_EOF) return close();
     pauseReading();
-    peerEnded_ = true;
-    if (endSent_) close();
+    peerClosed_ = true;
+    if (outputShutDown_) close();
 }
 
 // A peer that never stops sending does not hold up the others: its turn ends here, and it is read on after
@@ -126,7 +127,7 @@
 
 void Channel::resumeDeferredRead() {
     inReadQueue_ = false;
-    if (outputHalfFull()) return;  // flush() puts it into the queue again when the output is written
+    if (isOutputHalfFull()) return;  // flush() puts it into the queue again when the output is written
     readDeferred_ = false;
     resumeReading();
     if (connection_ != nullptr) connection_->handler_.arrived(*connection_);
@@ -147,7 +148,7 @@
 void Channel::send(std::string_view bytes) {
     const bool fits = output_.write(bytes);
     if (!fits && !pendingEnd_) pendingEnd_ = ConnectionEnd::TooLong;
-    if (outputHalfFull()) pauseReading();
+    if (isOutputHalfFull()) pauseReading();
     requestFlush();
 }
 
@@ -166,7 +167,7 @@
     return taken;
 }
 
-void Channel::writeWhatFits() {
+void Channel::tryFlush() {
     if (!connected_ || state_ == State::Closed || writePending_ || pendingEnd_) return;
     while (!output_.empty())
         if (tryWrite() <= 0) return;
@@ -194,7 +195,7 @@
     writePending_ = true;
     uv_write(&writeRequest_, asStream(tcp_), &buffer, 1, [](uv_write_t* request, int status) {
         auto* self = static_cast<Channel*>(request->data);
-        self->loop_.guarded([self, status] { self->onWritten(status); });
+        self->loop_.runGuarded([self, status] { self->onWritten(status); });
     });
 }
 
@@ -209,7 +210,7 @@
 }
 
 void Channel::outputWritten() {
-    if (state_ == State::Finishing) return sendEnd();
+    if (state_ == State::Closing) return shutdownOutput();
     if (readDeferred_ && !inReadQueue_) {
         inReadQueue_ = true;
         loop_.readInNextTurn(this);
@@ -217,53 +218,53 @@
     resumeReading();
 }
 
-void Channel::finish(std::function<void()> onClosed) {
+void Channel::closeGracefully(std::function<void()> onClosed) {
     onClosed_ = std::move(onClosed);
     connection_ = nullptr;
-    state_ = State::Finishing;
+    state_ = State::Closing;
     readDeferred_ = false;
-    finishTimer_ = std::make_unique<Timer>(loop_, [this] { close(); });
+    closeTimer_ = std::make_unique<Timer>(loop_, [this] { close(); });
     // One that never opened has nothing to write; it is closed by the timer too, never from within this call.
-    finishTimer_->start(connected_ ? kFinishTimeout : Duration(0));
-    loop_.ownWhileFinishing(this);
+    closeTimer_->start(connected_ ? kCloseTimeout : Duration(0));
+    loop_.addClosing(this);
     input_.drop(input_.size());
     resumeReading();
     requestFlush();
 }
 
-void Channel::sendEnd() {
-    if (std::exchange(endRequested_, true)) return;
+void Channel::shutdownOutput() {
+    if (std::exchange(shutdownRequested_, true)) return;
     const int error = uv_shutdown(&shutdownRequest_, asStream(tcp_), [](uv_shutdown_t* request, int status) {
-        static_cast<Channel*>(request->data)->onEndSent(status);
+        static_cast<Channel*>(request->data)->onOutputShutDown(status);
     });
-    if (error != 0) finishTimer_->start(Duration(0));
+    if (error != 0) closeTimer_->start(Duration(0));
 }
 
-void Channel::onEndSent(int status) {
-    endSent_ = true;
-    const bool waitsForPeer = status == 0 && !peerEnded_;
+void Channel::onOutputShutDown(int status) {
+    outputShutDown_ = true;
+    const bool waitsForPeer = status == 0 && !peerClosed_;
     if (state_ == State::Closed || waitsForPeer) return;
-    loop_.guarded([this] { close(); });
+    loop_.runGuarded([this] { close(); });
 }
 
 void Channel::close() {
     if (state_ == State::Closed) return;
-    const bool loopRefersToIt = inFlushQueue_ || inReadQueue_ || state_ == State::Finishing;
+    const bool isReferencedByLoop = inFlushQueue_ || inReadQueue_ || state_ == State::Closing;
     state_ = State::Closed;
     connection_ = nullptr;
-    finishTimer_.reset();
-    if (loopRefersToIt) loop_.forget(this);
+    closeTimer_.reset();
+    if (isReferencedByLoop) loop_.remove(this);
     uv_close(asHandle(tcp_), [](uv_handle_t* closed) {
         auto* self = static_cast<Channel*>(closed->data);
         const auto onClosed = std::move(self->onClosed_);
         Loop& loop = self->loop_;
         delete self;
-        if (onClosed) loop.guarded(onClosed);
+        if (onClosed) loop.runGuarded(onClosed);
     });
 }
 
 void Channel::fail(ConnectionEnd end) {
-    if (state_ == State::Finishing) return close();
+    if (state_ == State::Closing) return close();
     if (connection_ == nullptr) return;
     Connection& connection = *connection_;
     connection.handler_.ended(connection, end);
--- a/src/net/channel.h
+++ b/src/net/channel.h
@@ -33,7 +33,7 @@
     /// ends there instead, with ConnectionEnd::TooLong.
     void send(std::string_view bytes);
     /// Writes what the system takes at once. Unlike flush() it reports no error.
-    void writeWhatFits();
+    void tryFlush();
     /// Writes what the system takes now, and goes on when it takes more; called at the end of a turn.
     void flush();
 
@@ -44,15 +44,15 @@
     /// Nothing more is read for the handler.
     void stopInput();
 
-    /// Ends in order, without an owner from here on (see Connection::finish).
-    void finish(std::function<void()> onClosed);
+    /// Ends in order, without an owner from here on (see Connection::closeGracefully).
+    void closeGracefully(std::function<void()> onClosed);
     /// Closes the handle at once; a second call does nothing.
     void close();
 
     ByteRing& input() { return input_; }
     const ByteRing& output() const { return output_; }
     /// Whether more of the output buffer is used than free.
-    bool outputHalfFull() const { return output_.size() > output_.room(); }
+    bool isOutputHalfFull() const { return output_.size() > output_.freeBytes(); }
     bool isConnected() const { return connected_; }
     /// Whether bytes wait in the system that no turn has read yet.
     bool hasUnreadBytes() const;
@@ -61,8 +61,8 @@
     enum class State {
         Connecting,  // no byte can be read or written yet
         Open,
-        Finishing,  // its owner has gone: the output is written, the input dropped
-        Closed      // waits for libuv's close callback
+        Closing,  // its owner has gone: the output is written, the input dropped
+        Closed    // waits for libuv's close callback
     };
 
     ~Channel() = default;
@@ -70,14 +70,14 @@
     void pauseReading();
     void onConnected(int status);
     void onRead(ssize_t count);
-    void dropInput(ssize_t count);
+    void discardInput(ssize_t count);
     void requestFlush();
     int tryWrite();
     void startWrite();
     void onWritten(int status);
     void outputWritten();
-    void sendEnd();
-    void onEndSent(int status);
+    void shutdownOutput();
+    void onOutputShutDown(int status);
     void fail(ConnectionEnd end);
 
     uv_tcp_t tcp_;
@@ -103,10 +103,10 @@
     std::shared_ptr<char[]> pendingStorage_;  // that it reads from
 
     // While finishing.
-    bool endRequested_ = false;
-    bool endSent_ = false;    // our side of the connection is closed, behind the last byte of output
-    bool peerEnded_ = false;  // so is the peer's
-    std::unique_ptr<Timer> finishTimer_;  // limits the wait for the peer's end
+    bool shutdownRequested_ = false;
+    bool outputShutDown_ = false;  // our side of the connection is closed, behind the last byte of output
+    bool peerClosed_ = false;      // so is the peer's
+    std::unique_ptr<Timer> closeTimer_;  // limits the wait for the peer's end
     std::function<void()> onClosed_;
 };
 
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -11,7 +11,7 @@
     channel_->connect(to);
 }
 
-Connection::Connection(Loop& loop, AcceptedSocket socket, ConnectionHandler& handler,
+Connection::Connection(Loop& loop, PendingConnection socket, ConnectionHandler& handler,
                        const BufferLimits& limits)
     : channel_(new Channel(loop, this, limits)), handler_(handler) {
     channel_->accept(*socket.listener_);
@@ -29,19 +29,19 @@
 
 void Connection::send(std::string_view bytes) { channel_->send(bytes); }
 
-void Connection::readOnLater() { channel_->deferRead(); }
+void Connection::deferRead() { channel_->deferRead(); }
 
 void Connection::stopReading() { channel_->stopInput(); }
 
-bool Connection::hasUnread() const { return channel_->hasUnreadBytes(); }
+bool Connection::hasUnreadBytes() const { return channel_->hasUnreadBytes(); }
 
-void Connection::writeLast() { channel_->writeWhatFits(); }
+void Connection::tryFlush() { channel_->tryFlush(); }
 
-void Connection::finish(std::function<void()> done) {
-    std::exchange(channel_, nullptr)->finish(std::move(done));
+void Connection::closeGracefully(std::function<void()> done) {
+    std::exchange(channel_, nullptr)->closeGracefully(std::move(done));
 }
 
-bool Connection::halfFull() const { return channel_->outputHalfFull(); }
+bool Connection::isOutputHalfFull() const { return channel_->isOutputHalfFull(); }
 
 bool Connection::isOpen() const { return channel_->isConnected(); }
 
--- a/src/net/connection.h
+++ b/src/net/connection.h
@@ -32,7 +32,7 @@
 public:
     virtual ~ConnectionHandler() = default;
 
-    /// Bytes were added to the connection's input, or readOnLater() asked for this call. What the handler
+    /// Bytes were added to the connection's input, or deferRead() asked for this call. What the handler
     /// does not drop from the input stays there.
     virtual void arrived(Connection& connection) = 0;
 
@@ -41,7 +41,7 @@
     virtual void ended(Connection& connection, ConnectionEnd end) = 0;
 };
 
-/// A connection that its owner ends by destroying it or by finish().
+/// A connection that its owner ends by destroying it or by closeGracefully().
 class Connection {
 public:
     /// Begins to connect. A failure is reported by ended(), never from within the constructor. Bytes may be
@@ -51,7 +51,7 @@
 
     /// Accepts a connection that waits at a listener.
     /// @throws std::runtime_error when the system refuses.
-    Connection(Loop& loop, AcceptedSocket socket, ConnectionHandler& handler, const BufferLimits& limits);
+    Connection(Loop& loop, PendingConnection socket, ConnectionHandler& handler, const BufferLimits& limits);
 
     /// Closes at once; the handler hears nothing. Output that is not written yet is lost. Over bytes that
     /// were not read the system resets the connection, which takes what the peer has yet to read with it.
@@ -71,32 +71,32 @@
 
     /// Ends this connection's share of the turn: arrived() is called again in the next turn, also if nothing
     /// more arrives, after other connections have had theirs.
-    void readOnLater();
+    void deferRead();
 
     /// Nothing more is read, for good. Output is still written.
     void stopReading();
 
     /// Whether bytes wait in the system that no turn has read yet.
-    bool hasUnread() const;
+    bool hasUnreadBytes() const;
 
     /// Writes what the system takes at once, for use just before the connection is destroyed.
-    void writeLast();
+    void tryFlush();
 
     /// Ends the connection in order. It is the last call: the object is only to be destroyed after it. The
     /// rest of the output is written, then our side is closed; input is dropped until the peer closes its
     /// side too, for 1 second at most.
     /// @param done runs from the loop when the descriptor is free again.
-    void finish(std::function<void()> done);
+    void closeGracefully(std::function<void()> done);
 
     /// Whether more of the output buffer is used than free. Until that changes nothing is read.
-    bool halfFull() const;
+    bool isOutputHalfFull() const;
 
     /// Whether it has opened.
     bool isOpen() const;
 
 private:
     friend class Channel;
-    Channel* channel_;  // deletes itself once it is closed; none after finish()
+    Channel* channel_;  // deletes itself once it is closed; none after closeGracefully()
     ConnectionHandler& handler_;
 };
 
--- a/src/net/http_response_parser.cpp
+++ b/src/net/http_response_parser.cpp
@@ -24,7 +24,7 @@
 
 }  // namespace
 
-bool HttpResponseParser::Response::has(std::string_view header, std::string_view value) const {
+bool HttpResponseParser::Response::hasHeader(std::string_view header, std::string_view value) const {
     std::string line = "\n";
     line.append(header).append(":").append(value).append("\n");
     return headers.find(line) != std::string::npos;
@@ -92,12 +92,12 @@
 
 void HttpResponseParser::endResponse() {
     response_.status = static_cast<int>(parser_.status_code);
-    response_.keepsOpen = http_should_keep_alive(&parser_) != 0;
+    response_.keepAlive = http_should_keep_alive(&parser_) != 0;
     // Leaves http_parser_execute() at once: onResponse may destroy the parser.
     http_parser_pause(&parser_, 1);
 }
 
-bool HttpResponseParser::read(std::string_view bytes) {
+bool HttpResponseParser::parse(std::string_view bytes) {
     while (!bytes.empty()) {
         const std::size_t taken = http_parser_execute(&parser_, &callbacks_, bytes.data(), bytes.size());
         const http_errno error = HTTP_PARSER_ERRNO(&parser_);
@@ -113,7 +113,7 @@
             continue;
         }
         interimResponses_ = 0;
-        if (!bytes.empty()) response_.keepsOpen = false;
+        if (!bytes.empty()) response_.keepAlive = false;
         const auto onResponse = onResponse_;
         onResponse(std::move(response_));
         return true;
--- a/src/net/http_response_parser.h
+++ b/src/net/http_response_parser.h
@@ -17,16 +17,16 @@
     /// A complete response.
     struct Response {
         int status = 0;
-        bool keepsOpen = true;  ///< whether the connection may be used for another request
+        bool keepAlive = true;  ///< whether the connection may be used for another request
         std::string body;
         std::string headers;  ///< "\nname:value" for each header and "\n" at the end; names in lower case
 
         /// Whether a header has exactly this value.
         /// @param header the name in lower case.
-        bool has(std::string_view header, std::string_view value) const;
+        bool hasHeader(std::string_view header, std::string_view value) const;
     };
 
-    /// @param onResponse hears of each complete response from within read(), which returns after it: it may
+    /// @param onResponse hears of each complete response from within parse(), which returns after it: it may
     ///        destroy the parser.
     explicit HttpResponseParser(std::function<void(Response&&)> onResponse);
     HttpResponseParser(const HttpResponseParser&) = delete;
@@ -35,8 +35,8 @@
     /// Reads the next bytes of the connection.
     /// @return false when they are no response, one that is too long or one that does not say where it ends:
     ///         the connection is of no more use. Bytes behind a complete response belong to no request: the
-    ///         response counts, with keepsOpen false, and they are dropped.
-    bool read(std::string_view bytes);
+    ///         response counts, with keepAlive false, and they are dropped.
+    bool parse(std::string_view bytes);
 
 private:
     static HttpResponseParser& of(http_parser* parser) {
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -14,17 +14,17 @@
 
 }  // namespace
 
-void ListenerHandle::acceptUnlessFull() {
-    connectionWaits = isFull();
+void ListenerHandle::acceptPendingUnlessFull() {
+    hasPendingConnection = isFull();
     // A connection that is not accepted stays in the system's queue, and libuv does not ask the system for
     // more until it is.
-    if (!connectionWaits) onConnection(AcceptedSocket(*this));
+    if (!hasPendingConnection) onConnection(PendingConnection(*this));
 }
 
-Listener::Listener(Loop& loop, const Address& address, std::function<void(AcceptedSocket)> onConnection,
+Listener::Listener(Loop& loop, const Address& address, std::function<void(PendingConnection)> onConnection,
                    std::function<bool()> isFull)
     : handle_(new ListenerHandle{{}, std::move(onConnection), std::move(isFull)}) {
-    uv_tcp_init(loop.raw(), &handle_->tcp);
+    uv_tcp_init(loop.uvLoop(), &handle_->tcp);
     handle_->tcp.data = handle_;
     const sockaddr_in bindTo = socketAddress(address);
     int error = uv_tcp_bind(&handle_->tcp, reinterpret_cast<const sockaddr*>(&bindTo), 0);
@@ -32,7 +32,7 @@
         error = uv_listen(asStream(handle_->tcp), kBacklogConnections, [](uv_stream_t* stream, int status) {
             if (status != 0) return;  // out of descriptors: libuv has dropped the connection that waited
             auto* handle = static_cast<ListenerHandle*>(stream->data);
-            Loop::of(stream->loop).guarded([handle] { handle->acceptUnlessFull(); });
+            Loop::of(stream->loop).runGuarded([handle] { handle->acceptPendingUnlessFull(); });
         });
     }
     if (error == 0) return;
@@ -43,7 +43,7 @@
 Listener::~Listener() { closeThenDelete<ListenerHandle>(asHandle(handle_->tcp)); }
 
 void Listener::resume() {
-    if (std::exchange(handle_->connectionWaits, false)) handle_->acceptUnlessFull();
+    if (std::exchange(handle_->hasPendingConnection, false)) handle_->acceptPendingUnlessFull();
 }
 
 int Listener::port() const {
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -13,11 +13,11 @@
 
 /// A connection that waits at a listener. Valid only during the listener's callback, which passes it to the
 /// constructor of one Connection; one that is not taken stays in the system's queue.
-class AcceptedSocket {
+class PendingConnection {
 private:
     friend class Connection;
     friend struct ListenerHandle;
-    explicit AcceptedSocket(ListenerHandle& listener) : listener_(&listener) {}
+    explicit PendingConnection(ListenerHandle& listener) : listener_(&listener) {}
 
     ListenerHandle* listener_;
 };
@@ -30,7 +30,7 @@
     /// @param isFull whether there is no place for another connection. It may close connections to make
     ///        place. While it returns true, connections wait in the system until resume() is called.
     /// @throws std::runtime_error when the address can't be bound.
-    Listener(Loop& loop, const Address& address, std::function<void(AcceptedSocket)> onConnection,
+    Listener(Loop& loop, const Address& address, std::function<void(PendingConnection)> onConnection,
              std::function<bool()> isFull);
     /// Stops listening. Connections that wait in the system are reset by it.
     ~Listener();
--- a/src/net/listener_handle.h
+++ b/src/net/listener_handle.h
@@ -12,11 +12,11 @@
 
 struct ListenerHandle {
     uv_tcp_t tcp;
-    std::function<void(AcceptedSocket)> onConnection;
+    std::function<void(PendingConnection)> onConnection;
     std::function<bool()> isFull;
-    bool connectionWaits = false;  // not accepted, because isFull() held
+    bool hasPendingConnection = false;  // not accepted, because isFull() held
 
-    void acceptUnlessFull();
+    void acceptPendingUnlessFull();
 };
 
 }  // namespace cottonwing::net
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -35,8 +35,8 @@
 }
 
 Loop::~Loop() {
-    turn_ = nullptr;
-    while (!finishing_.empty()) finishing_.back()->close();
+    onTurnEnd_ = nullptr;
+    while (!closing_.empty()) closing_.back()->close();
     uv_close(asHandle(handles_->prepare), nullptr);
     uv_close(asHandle(handles_->check), nullptr);
     uv_close(asHandle(handles_->idle), nullptr);
@@ -46,25 +46,25 @@
 
 void Loop::run() { uv_run(&handles_->loop, UV_RUN_DEFAULT); }
 
-void Loop::turnOnce() { uv_run(&handles_->loop, UV_RUN_ONCE); }
+void Loop::runOnce() { uv_run(&handles_->loop, UV_RUN_ONCE); }
 
-void Loop::turnWithoutWaiting() { uv_run(&handles_->loop, UV_RUN_NOWAIT); }
+void Loop::runWithoutWaiting() { uv_run(&handles_->loop, UV_RUN_NOWAIT); }
 
 void Loop::stop() { uv_stop(&handles_->loop); }
 
-uv_loop_s* Loop::raw() { return &handles_->loop; }
+uv_loop_s* Loop::uvLoop() { return &handles_->loop; }
 
 Loop& Loop::of(const uv_loop_s* raw) { return *static_cast<Loop*>(raw->data); }
 
 void Loop::endTurn() {
-    guarded([this] {
-        if (turn_) turn_();
+    runGuarded([this] {
+        if (onTurnEnd_) onTurnEnd_();
     });
     // A channel that fails here may remove others from the list, or add some.
     while (!toFlush_.empty()) {
         Channel* const channel = toFlush_.back();
         toFlush_.pop_back();
-        guarded([channel] { channel->flush(); });
+        runGuarded([channel] { channel->flush(); });
     }
 }
 
@@ -74,7 +74,7 @@
         auto* self = static_cast<Loop*>(handle->data);
         uv_check_stop(handle);
         // Taken out first: a callback may ask for another one, which is for the next poll.
-        for (const auto& callback : std::exchange(self->afterPoll_, {})) self->guarded(callback);
+        for (const auto& callback : std::exchange(self->afterPoll_, {})) self->runGuarded(callback);
     });
 }
 
@@ -90,15 +90,15 @@
     for (std::size_t left = toRead_.size(); left > 0 && !toRead_.empty(); --left) {
         Channel* const channel = toRead_.front();
         toRead_.erase(toRead_.begin());
-        guarded([channel] { channel->resumeDeferredRead(); });
+        runGuarded([channel] { channel->resumeDeferredRead(); });
     }
     if (toRead_.empty()) uv_idle_stop(&handles_->idle);
 }
 
-void Loop::forget(Channel* channel) {
+void Loop::remove(Channel* channel) {
     std::erase(toFlush_, channel);
     std::erase(toRead_, channel);
-    std::erase(finishing_, channel);
+    std::erase(closing_, channel);
 }
 
 }  // namespace cottonwing::net
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -31,12 +31,12 @@
     Loop& operator=(const Loop&) = delete;
 
     /// Sets the callback that runs once a turn, after the events of the turn have been read.
-    void onTurn(std::function<void()> turn) { turn_ = std::move(turn); }
+    void onTurnEnd(std::function<void()> callback) { onTurnEnd_ = std::move(callback); }
 
     /// Sets the callback that hears what() of each exception that a callback threw. No exception may pass
     /// through libuv, which is a C library; the loop goes on.
-    void onUncaughtException(std::function<void(const std::string&)> trouble) {
-        trouble_ = std::move(trouble);
+    void onUncaughtException(std::function<void(const std::string&)> callback) {
+        onUncaughtException_ = std::move(callback);
     }
 
     /// Turns until stop() is called or nothing is left to wait for.
@@ -44,10 +44,10 @@
 
     /// One turn, which waits for something to happen. Without a timer, listener or connection to wait for it
     /// does nothing.
-    void turnOnce();
+    void runOnce();
 
     /// The same without waiting.
-    void turnWithoutWaiting();
+    void runWithoutWaiting();
 
     /// Ends run() after the present turn. May be called from any callback.
     void stop();
@@ -58,16 +58,16 @@
 
     /// Runs work and passes on what it throws to the callback of onTrouble().
     template <typename Work>
-    void guarded(Work&& work) noexcept {
+    void runGuarded(Work&& work) noexcept {
         try {
             work();
         } catch (const std::exception& error) {
-            if (trouble_) trouble_(error.what());
+            if (onUncaughtException_) onUncaughtException_(error.what());
         }
     }
 
     /// The loop of libuv, for the few classes outside net that bring handles of their own to it.
-    uv_loop_s* raw();
+    uv_loop_s* uvLoop();
 
     /// The loop that owns the given loop of libuv.
     static Loop& of(const uv_loop_s* raw);
@@ -82,16 +82,16 @@
     // For channels only.
     void flushAtEndOfTurn(Channel* channel) { toFlush_.push_back(channel); }
     void readInNextTurn(Channel* channel);
-    void ownWhileFinishing(Channel* channel) { finishing_.push_back(channel); }
-    void forget(Channel* channel);
+    void addClosing(Channel* channel) { closing_.push_back(channel); }
+    void remove(Channel* channel);
 
     std::unique_ptr<Handles> handles_;
-    std::function<void()> turn_;
-    std::function<void(const std::string&)> trouble_;
+    std::function<void()> onTurnEnd_;
+    std::function<void(const std::string&)> onUncaughtException_;
     std::vector<std::function<void()>> afterPoll_;  // emptied by the next poll
     std::vector<Channel*> toFlush_;                 // with output; emptied at the end of each turn
-    std::vector<Channel*> toRead_;     // with more input than one turn may read; emptied by the next turn
-    std::vector<Channel*> finishing_;  // without an owner; emptied when the peer ends or the timeout passes
+    std::vector<Channel*> toRead_;   // with more input than one turn may read; emptied by the next turn
+    std::vector<Channel*> closing_;  // without an owner; emptied when the peer ends or the timeout passes
 };
 
 }  // namespace cottonwing::net
--- a/src/net/signal.cpp
+++ b/src/net/signal.cpp
@@ -13,12 +13,12 @@
 
 Signal::Signal(Loop& loop, int number, std::function<void()> onSignal)
     : handle_(new Handle{{}, std::move(onSignal)}) {
-    uv_signal_init(loop.raw(), &handle_->signal);
+    uv_signal_init(loop.uvLoop(), &handle_->signal);
     handle_->signal.data = handle_;
     uv_signal_start(
         &handle_->signal,
         [](uv_signal_t* signal, int /*number*/) {
-            Loop::of(signal->loop).guarded(static_cast<Handle*>(signal->data)->onSignal);
+            Loop::of(signal->loop).runGuarded(static_cast<Handle*>(signal->data)->onSignal);
         },
         number);
     uv_unref(asHandle(handle_->signal));
--- a/src/net/timer.cpp
+++ b/src/net/timer.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-constexpr std::uint64_t kLateMillis = 10;  // beyond this the process has stood still
-constexpr std::uint64_t kRetryMillis = 1;  // how soon to look again when it must not fire yet
+constexpr std::uint64_t kMaxDelayMillis = 10;  // beyond this the process has stood still
+constexpr std::uint64_t kRearmMillis = 1;      // how soon to look again when it must not fire yet
 
 }  // namespace
 
@@ -24,7 +24,7 @@
 };
 
 Timer::Timer(Loop& loop, std::function<void()> onFire) : handle_(new Handle{{}, std::move(onFire), 0, {}}) {
-    uv_timer_init(loop.raw(), &handle_->timer);
+    uv_timer_init(loop.uvLoop(), &handle_->timer);
     handle_->timer.data = handle_;
 }
 
@@ -48,13 +48,13 @@
 void Timer::fire(Handle& handle) {
     // The loop's clock is cut to whole milliseconds: counted from its present value, some waits are too
     // short.
-    if (std::chrono::steady_clock::now() < handle.notBefore) return arm(handle, kRetryMillis);
+    if (std::chrono::steady_clock::now() < handle.notBefore) return arm(handle, kRearmMillis);
     const std::uint64_t dueMillis = std::exchange(handle.dueMillis, 0);
-    if (dueMillis > 0 && uv_now(handle.timer.loop) > dueMillis + kLateMillis)
-        return arm(handle, kRetryMillis);
+    if (dueMillis > 0 && uv_now(handle.timer.loop) > dueMillis + kMaxDelayMillis)
+        return arm(handle, kRearmMillis);
     // A copy, because the callback may destroy the timer.
     const auto onFire = handle.onFire;
-    Loop::of(handle.timer.loop).guarded(onFire);
+    Loop::of(handle.timer.loop).runGuarded(onFire);
 }
 
 void Timer::stop() { uv_timer_stop(&handle_->timer); }
--- a/src/registry/registry_client.cpp
+++ b/src/registry/registry_client.cpp
@@ -96,7 +96,7 @@
     while (!input.empty()) {
         const std::string piece(input.front());
         input.drop(piece.size());
-        if (!reportInFlight_ || !replies_->read(piece))
+        if (!reportInFlight_ || !replies_->parse(piece))
             return handleConnectionEnd(net::ConnectionEnd::Malformed);
     }
 }
--- a/src/scgi/scgi_server.cpp
+++ b/src/scgi/scgi_server.cpp
@@ -31,7 +31,7 @@
 }  // namespace
 
 struct ScgiServer::ClientConnection : net::ConnectionHandler {
-    ClientConnection(ScgiServer& theServer, net::AcceptedSocket socket)
+    ClientConnection(ScgiServer& theServer, net::PendingConnection socket)
         : server(theServer),
           reader(theServer.config_.requestLimits),
           connection(std::make_unique<net::Connection>(
@@ -92,7 +92,7 @@
       log_(log),
       timeoutTimer_(loop, [this] { checkTimeouts(); }) {
     listener_ = std::make_unique<net::Listener>(
-        loop, config_.listen, [this](net::AcceptedSocket socket) { accept(socket); },
+        loop, config_.listen, [this](net::PendingConnection socket) { accept(socket); },
         [this] { return clients_.size() >= config_.maxConnections; });
     port_ = listener_->port();
     timeoutTimer_.start(kTimeoutCheckInterval);
@@ -100,7 +100,7 @@
 
 ScgiServer::~ScgiServer() = default;
 
-void ScgiServer::accept(net::AcceptedSocket socket) {
+void ScgiServer::accept(net::PendingConnection socket) {
     ++counters_.opened;
     clients_.push_back(std::make_unique<ClientConnection>(*this, socket));
     clients_.back()->position = std::prev(clients_.end());
@@ -233,7 +233,7 @@
         clientsByRequest_.erase(client.requestId);
         requests_.clientCancelled(client.requestId);
     }
-    client.connection->writeLast();
+    client.connection->tryFlush();
     client.connection.reset();
     closedClients_.push_back(std::move(*client.position));
     clients_.erase(client.position);
--- a/src/scgi/scgi_server.h
+++ b/src/scgi/scgi_server.h
@@ -72,7 +72,7 @@
 
 private:
     struct ClientConnection;
-    void accept(net::AcceptedSocket socket);
+    void accept(net::PendingConnection socket);
     void requestComplete(ClientConnection& client);
     std::string submit(ClientConnection& client);
     void respondWithError(ClientConnection& client, int status, const char* code, const std::string& reason);
--- a/src/serve/gateway.cpp
+++ b/src/serve/gateway.cpp
@@ -63,7 +63,7 @@
     requests_.connect(firstSink, upstreamGroups_, noDependencyCalls_);
     if (thriftServer_ && scgiServer_) requests_.addResponseSink(*scgiServer_);
     requests_.executorReady(false, 0ns);
-    loop.onTurn([this] { turnEnded(); });
+    loop.onTurnEnd([this] { turnEnded(); });
     log.info("serving",
              config_.name +
                  (thriftServer_ ? ", thrift on port " + std::to_string(thriftServer_->port()) : "") +
@@ -88,7 +88,7 @@
     if (thriftServer_) thriftServer_->stopReading();
     requests_.processEvents();
     requests_.failUnanswered();
-    if (thriftServer_) thriftServer_->writeLast();
+    if (thriftServer_) thriftServer_->tryFlush();
     loop_.stop();
 }
 
--- a/src/server.cpp
+++ b/src/server.cpp
@@ -43,7 +43,7 @@
     requests_.onHealthChange([this, deregister = config.deregisterWhenUnhealthy](bool healthy) {
         registryClient_.reportReady(!shuttingDown_ && (healthy || !deregister));
     });
-    loop.onTurn([this] { turnEnded(); });
+    loop.onTurnEnd([this] { turnEnded(); });
     log.info("serving",
              "server started: name=" + config.name + " port=" + std::to_string(thriftServer_.port()));
 }
@@ -84,7 +84,7 @@
     thriftServer_.stopReading();
     requests_.processEvents();
     requests_.failUnanswered();
-    thriftServer_.writeLast();
+    thriftServer_.tryFlush();
     log_.info("shutdown", "time is over: open_connections=" + std::to_string(thriftServer_.connections()));
     loop_.stop();
 }
--- a/src/thrift/codec.cpp
+++ b/src/thrift/codec.cpp
@@ -23,8 +23,8 @@
 
 Method methodNamed(std::string_view name) {
     if (name == wire::kServeMethod) return Method::Serve;
-    if (name == wire::kCancelMethod) return Method::Forget;
-    if (name == wire::kHealthCheckMethod) return Method::IsWell;
+    if (name == wire::kCancelMethod) return Method::Cancel;
+    if (name == wire::kHealthCheckMethod) return Method::HealthCheck;
     return Method::Unknown;
 }
 
@@ -41,11 +41,11 @@
                 return true;
             }
             return false;
-        case Method::Forget:
+        case Method::Cancel:
             if (id != kCancelledSequence || type != kI32) return false;
             message.cancelledSequence = in.i32();
             return true;
-        case Method::IsWell:
+        case Method::HealthCheck:
             if (id != kDeepHealthCheck || type != kBool) return false;
             message.deepHealthCheck = in.byte() != 0;
             return true;
@@ -70,14 +70,14 @@
 
 }  // namespace
 
-FrameState lookForFrame(const net::ByteRing& ring, std::size_t& length) {
+FrameState peekFrame(const net::ByteRing& ring, std::size_t& length) {
     if (ring.size() < kFrameHeaderBytes) return FrameState::Partial;
     std::string scratch;
     length = 0;
     for (const char byte : ring.peek(kFrameHeaderBytes, scratch))
         length = length << 8 | static_cast<std::uint8_t>(byte);
-    if (length > kLongestFrame) return FrameState::TooLong;
-    return ring.size() < kFrameHeaderBytes + length ? FrameState::Partial : FrameState::Whole;
+    if (length > kMaxFrameBytes) return FrameState::TooLong;
+    return ring.size() < kFrameHeaderBytes + length ? FrameState::Partial : FrameState::Complete;
 }
 
 std::optional<Message> readMessage(std::string_view frame) {
--- a/src/thrift/codec.h
+++ b/src/thrift/codec.h
@@ -14,13 +14,13 @@
 namespace cottonwing::thrift {
 
 /// The longest content of a frame, in bytes; a longer one is refused by its length, before it is stored.
-inline constexpr std::size_t kLongestFrame = 16384;
+inline constexpr std::size_t kMaxFrameBytes = 16384;
 
 /// The methods of the service, as wire_names.h names them.
 enum class Method {
-    Serve,   ///< A request to run.
-    Forget,  ///< The client stopped waiting for a request.
-    IsWell,  ///< A health check.
+    Serve,        ///< A request to run.
+    Cancel,       ///< The client stopped waiting for a request.
+    HealthCheck,  ///< A health check.
     Unknown
 };
 
@@ -37,11 +37,11 @@
 };
 
 /// What stands at the front of the input.
-enum class FrameState { Partial, Whole, TooLong };
+enum class FrameState { Partial, Complete, TooLong };
 
 /// Looks whether a whole frame stands at the front of the ring.
 /// @param length  receives the length of its content in bytes, once the four bytes of it are in
-FrameState lookForFrame(const net::ByteRing& ring, std::size_t& length);
+FrameState peekFrame(const net::ByteRing& ring, std::size_t& length);
 
 /// Reads the content of one frame; nothing when it is malformed.
 std::optional<Message> readMessage(std::string_view frame);
--- a/src/thrift/connection_table.cpp
+++ b/src/thrift/connection_table.cpp
@@ -10,11 +10,11 @@
 using namespace std::chrono_literals;
 
 // Of the places, one in so many is for connections that never sent a whole message.
-constexpr std::size_t kNewConnectionsDivisor = 4;
+constexpr std::size_t kNewConnectionShareDivisor = 4;
 
 // One that was accepted so short ago may be about to send, and one that was answered so short ago may have
 // yet to read the answer.
-constexpr Duration kRecently = 100ms;
+constexpr Duration kEvictionGracePeriod = 100ms;
 
 }  // namespace
 
@@ -41,12 +41,12 @@
 AcceptDecision ConnectionTable::decideAccept(std::size_t closing, Timestamp now) const {
     using Action = AcceptDecision::Action;
     const bool full = size() + closing >= capacity_;
-    if (!full && new_.size() * kNewConnectionsDivisor < capacity_) return {Action::Accept};
+    if (!full && new_.size() * kNewConnectionShareDivisor < capacity_) return {Action::Accept};
     if (ThriftConnection* const silent = findSilent(now)) return {Action::EvictAndAccept, silent};
     if (!full) return {Action::Accept};
     ThriftConnection* const idle = findIdle();
     if (idle == nullptr) return {Action::Wait};
-    const bool maybeUnreadAnswer = now - idle->lastUsedAt() < kRecently || idle->hasOutput();
+    const bool maybeUnreadAnswer = now - idle->lastUsedAt() < kEvictionGracePeriod || idle->hasOutput();
     if (!maybeUnreadAnswer) return {Action::EvictAndAccept, idle};
     if (closing == 0) return {Action::CloseIdleThenWait, idle};
     return {Action::Wait};
@@ -55,8 +55,8 @@
 // One whose bytes lie in the system unread is not silent.
 ThriftConnection* ConnectionTable::findSilent(Timestamp now) const {
     for (const auto& connection : new_) {
-        if (now - connection->acceptedAt() < kRecently) return nullptr;
-        if (!connection->hasUnread()) return connection.get();
+        if (now - connection->acceptedAt() < kEvictionGracePeriod) return nullptr;
+        if (!connection->hasUnreadBytes()) return connection.get();
     }
     return nullptr;
 }
--- a/src/thrift/request_decoder.cpp
+++ b/src/thrift/request_decoder.cpp
@@ -41,7 +41,7 @@
           now_(now) {}
 
     Result readParts() {
-        if (!message_.fields || !message_.body) return RequestError::MissingPart;
+        if (!message_.fields || !message_.body) return RequestError::MissingFieldsOrBody;
         if (message_.body->size() > kMaxBodyBytes) return RequestError::BodyTooLong;
         incoming_.body = *message_.body;
         return std::nullopt;
@@ -92,7 +92,7 @@
             return RequestError::MalformedTimeout;
         const Timestamp deadline = arrivedAt_ + (timeoutMs ? 1ms * *timeoutMs : longest);
         if (arrivedAt_ > now_ + kMaxClockDifference || deadline < now_ - kMaxClockDifference)
-            return RequestError::ArrivalTimeNotNear;
+            return RequestError::ArrivalTimeOutOfRange;
         incoming_.request.deadline = deadline;
         incoming_.request.queuedBeforeRead = std::max(Duration(0ns), now_ - arrivedAt_);
         incoming_.request.completeBy = now_;
@@ -202,7 +202,7 @@
 
 std::string textOf(RequestError error) {
     switch (error) {
-        case RequestError::MissingPart:
+        case RequestError::MissingFieldsOrBody:
             return "fields and body are needed";
         case RequestError::BodyTooLong:
             return "the body is longer than 2048 bytes";
@@ -214,7 +214,7 @@
             return fieldError(wire::kRequestId, "16 hex digits were expected");
         case RequestError::MalformedArrivalTime:
             return fieldError(wire::kArrivalTimeMs, "Unix milliseconds were expected");
-        case RequestError::ArrivalTimeNotNear:
+        case RequestError::ArrivalTimeOutOfRange:
             return fieldError(wire::kArrivalTimeMs, "a time near the present was expected");
         case RequestError::MalformedTimeout:
             return fieldError(wire::kTimeoutMs, "milliseconds were expected");
--- a/src/thrift/request_decoder.h
+++ b/src/thrift/request_decoder.h
@@ -15,13 +15,13 @@
 
 /// Why a message is no request that can run.
 enum class RequestError {
-    MissingPart,  ///< It lacks its fields or its body.
+    MissingFieldsOrBody,  ///< It lacks its fields or its body.
     BodyTooLong,
     UnknownRequestClass,
     UnknownTenant,
     MalformedRequestId,
     MalformedArrivalTime,
-    ArrivalTimeNotNear,  ///< In the future, or due in the past, by more than clocks differ.
+    ArrivalTimeOutOfRange,  ///< In the future, or due in the past, by more than clocks differ.
     MalformedTimeout,
     MalformedMemory,
     MalformedExpectedWork,
--- a/src/thrift/thrift_connection.cpp
+++ b/src/thrift/thrift_connection.cpp
@@ -21,10 +21,10 @@
 
 }  // namespace
 
-ThriftConnection::ThriftConnection(net::Loop& loop, net::AcceptedSocket socket, Handler& handler,
-                                   std::shared_ptr<net::MemoryBudget> total)
+ThriftConnection::ThriftConnection(net::Loop& loop, net::PendingConnection socket, Handler& handler,
+                                   std::shared_ptr<net::MemoryBudget> bufferBudget)
     : handler_(handler),
-      connection_(loop, socket, *this, {kInputBytes, kOutputBytes, std::move(total)}),
+      connection_(loop, socket, *this, {kInputBytes, kOutputBytes, std::move(bufferBudget)}),
       acceptedAt_(net::unixNow()),
       lastUsedAt_(acceptedAt_) {}
 
@@ -37,18 +37,18 @@
 // Bytes that complete nothing do not count as traffic, and do not prolong the message's time.
 void ThriftConnection::noteIncompleteMessage(bool newMessage, Timestamp now) {
     if (input().empty())
-        messageBegunAt_.reset();
-    else if (newMessage || !messageBegunAt_)
-        messageBegunAt_ = now;
+        messageStartedAt_.reset();
+    else if (newMessage || !messageStartedAt_)
+        messageStartedAt_ = now;
 }
 
 bool ThriftConnection::isMessageOverdue(Timestamp now) const {
-    return messageBegunAt_ && now - *messageBegunAt_ >= kMessageTimeout;
+    return messageStartedAt_ && now - *messageStartedAt_ >= kMessageTimeout;
 }
 
 void ThriftConnection::stopReading(net::ConnectionEnd reason) {
     readingStopped_ = reason;
-    messageBegunAt_.reset();
+    messageStartedAt_.reset();
     connection_.stopReading();
 }
 
@@ -71,27 +71,27 @@
 }
 
 bool ThriftConnection::isIdle() const {
-    return openRequests_.empty() && connection_.input().empty() && !connection_.hasUnread();
+    return openRequests_.empty() && connection_.input().empty() && !connection_.hasUnreadBytes();
 }
 
 void ThriftConnection::send(const std::string& frame) {
     connection_.send(frame);
-    if (outputTakenAt_) return;
-    outputTakenAt_ = lastUsedAt_;
+    if (outputProgressAt_) return;
+    outputProgressAt_ = lastUsedAt_;
     outputBytes_ = 0;
 }
 
 void ThriftConnection::observeOutput(Timestamp now) {
     const std::size_t bytes = connection_.output().size();
     if (bytes == 0)
-        outputTakenAt_.reset();
+        outputProgressAt_.reset();
     else if (bytes < outputBytes_)
-        outputTakenAt_ = now;
+        outputProgressAt_ = now;
     outputBytes_ = bytes;
 }
 
 bool ThriftConnection::isOutputStalled(Timestamp now) const {
-    return outputTakenAt_ && now - *outputTakenAt_ >= kOutputTimeout;
+    return outputProgressAt_ && now - *outputProgressAt_ >= kOutputTimeout;
 }
 
 // The goaway is no traffic: it does not count as use of the connection.
--- a/src/thrift/thrift_connection.h
+++ b/src/thrift/thrift_connection.h
@@ -38,16 +38,16 @@
     };
 
     /// Takes a connection that waits at a listener.
-    /// @param total  the bytes that the buffers of all connections share
-    ThriftConnection(net::Loop& loop, net::AcceptedSocket socket, Handler& handler,
-                     std::shared_ptr<net::MemoryBudget> total);
+    /// @param bufferBudget  the bytes that the buffers of all connections share
+    ThriftConnection(net::Loop& loop, net::PendingConnection socket, Handler& handler,
+                     std::shared_ptr<net::MemoryBudget> bufferBudget);
 
     // Input.
     net::ByteRing& input() { return connection_.input(); }
     /// Bytes wait in the system that no turn has read yet.
-    bool hasUnread() const { return connection_.hasUnread(); }
+    bool hasUnreadBytes() const { return connection_.hasUnreadBytes(); }
     /// Enough for this turn of the loop: the input is offered again in the next one.
-    void readOnLater() { connection_.readOnLater(); }
+    void deferRead() { connection_.deferRead(); }
     /// The input ends in a part of a message, or is empty.
     /// @param newMessage  whole messages were read before it in this turn
     void noteIncompleteMessage(bool newMessage, Timestamp now);
@@ -63,7 +63,7 @@
     void addProtocolError() { ++protocolErrors_; }
     /// A completed request resets the count, so that a long-lived connection is not closed for errors far
     /// apart.
-    void forgiveProtocolErrors() { protocolErrors_ = 0; }
+    void resetProtocolErrors() { protocolErrors_ = 0; }
     /// The client keeps sending malformed requests, or repeats refused ones at once.
     bool hasTooManyProtocolErrors() const;
 
@@ -82,7 +82,7 @@
     /// Writes a frame and watches that the client takes it.
     void send(const std::string& frame);
     bool hasOutput() const { return !connection_.output().empty(); }
-    bool isOutputHalfFull() const { return connection_.halfFull(); }
+    bool isOutputHalfFull() const { return connection_.isOutputHalfFull(); }
     /// Looks whether output was taken since the last look; called at every sweep.
     void observeOutput(Timestamp now);
     /// The client has taken no output for too long.
@@ -97,10 +97,10 @@
 
     // End.
     /// Before it is destroyed: what the system takes of its output at once still goes.
-    void writeLast() { connection_.writeLast(); }
+    void tryFlush() { connection_.tryFlush(); }
     /// Ends in order: output that is on its way still goes. The connection may be destroyed meanwhile.
     /// @param done  called from the loop when its descriptor is free
-    void finish(std::function<void()> done) { connection_.finish(std::move(done)); }
+    void closeGracefully(std::function<void()> done) { connection_.closeGracefully(std::move(done)); }
 
     bool isIdentified() const { return identified_; }
     Timestamp acceptedAt() const { return acceptedAt_; }
@@ -120,9 +120,10 @@
     Timestamp acceptedAt_;
     Timestamp lastUsedAt_;
     std::map<std::int32_t, RequestId> openRequests_;
-    std::optional<Timestamp> messageBegunAt_;  // of the message that is not whole yet
-    std::optional<Timestamp> outputTakenAt_;   // the last sign of output being taken; nothing without output
-    std::size_t outputBytes_ = 0;              // at that time
+    std::optional<Timestamp> messageStartedAt_;  // of the message that is not whole yet
+    std::optional<Timestamp>
+        outputProgressAt_;         // the last sign of output being taken; nothing without output
+    std::size_t outputBytes_ = 0;  // at that time
     std::optional<Timestamp> drainingSince_;
     std::optional<net::ConnectionEnd> readingStopped_;
     int protocolErrors_ = 0;
--- a/src/thrift/thrift_server.cpp
+++ b/src/thrift/thrift_server.cpp
@@ -36,7 +36,7 @@
                            bool timeoutRequired, request::RequestManager& requests, telemetry::Log& log,
                            telemetry::Counters& counters)
     : loop_(loop),
-      total_(std::make_shared<net::MemoryBudget>(net::MemoryBudget{limits.thriftBytes})),
+      bufferBudget_(std::make_shared<net::MemoryBudget>(net::MemoryBudget{limits.thriftBytes})),
       decoder_(std::move(names), requestClasses, timeoutRequired),
       requests_(requests),
       log_(log),
@@ -44,7 +44,8 @@
       connections_(limits.thriftConnections),
       sweepTimer_(loop, [this] { sweep(); }),
       listener_(std::make_unique<net::Listener>(
-          loop, at, [this](net::AcceptedSocket socket) { accept(socket); }, [this] { return !makeRoom(); })) {
+          loop, at, [this](net::PendingConnection socket) { accept(socket); },
+          [this] { return !ensureCapacity(); })) {
     sweepTimer_.start(kSweepInterval);
 }
 
@@ -52,13 +53,13 @@
 
 // Accepting.
 
-void ThriftServer::accept(net::AcceptedSocket socket) {
+void ThriftServer::accept(net::PendingConnection socket) {
     ThriftConnection::Handler& handler = *this;
-    connections_.add(std::make_shared<ThriftConnection>(loop_, socket, handler, total_));
+    connections_.add(std::make_shared<ThriftConnection>(loop_, socket, handler, bufferBudget_));
     counters_.add(Count::ConnectionsOpened);
 }
 
-bool ThriftServer::makeRoom() {
+bool ThriftServer::ensureCapacity() {
     using Action = AcceptDecision::Action;
     const AcceptDecision decision = connections_.decideAccept(*closing_, net::unixNow());
     switch (decision.action) {
@@ -68,7 +69,7 @@
             evict(*decision.connection);
             return true;
         case Action::CloseIdleThenWait:
-            finish(*decision.connection, net::ConnectionEnd::Unused);
+            closeGracefully(*decision.connection, net::ConnectionEnd::Unused);
             return false;
         case Action::Wait:
             return false;
@@ -90,9 +91,9 @@
 void ThriftServer::inputArrived(ThriftConnection& connection) {
     if (connection.readingStopped()) return;
     for (int messages = 0;; ++messages) {
-        if (messages == kMaxMessagesPerTurn || connection.isOutputHalfFull()) return connection.readOnLater();
+        if (messages == kMaxMessagesPerTurn || connection.isOutputHalfFull()) return connection.deferRead();
         std::size_t length = 0;
-        const FrameState state = lookForFrame(connection.input(), length);
+        const FrameState state = peekFrame(connection.input(), length);
         if (state == FrameState::Partial)
             return connection.noteIncompleteMessage(messages > 0, net::unixNow());
         if (state == FrameState::TooLong) return abortMalformed(connection, net::ConnectionEnd::TooLong);
@@ -130,15 +131,15 @@
             if (message.oneway || !connection.canOpenRequest(message.sequence)) return false;
             handleRequest(connection, message);
             return true;
-        case Method::Forget:
+        case Method::Cancel:
             handleCancel(connection, message);
             return true;
-        case Method::IsWell:
+        case Method::HealthCheck:
             handleHealthCheck(connection, message);
             return true;
         case Method::Unknown:
             if (!message.oneway)
-                refuse(connection, message, ApplicationError::UnknownMethod, "no such method");
+                rejectMessage(connection, message, ApplicationError::UnknownMethod, "no such method");
             return true;
     }
     return false;
@@ -147,12 +148,12 @@
 void ThriftServer::handleRequest(ThriftConnection& connection, const Message& message) {
     auto decoded = decoder_.decode(message, net::unixNow());
     if (const auto* const error = std::get_if<RequestError>(&decoded))
-        return refuse(connection, message, ApplicationError::Internal, textOf(*error));
+        return rejectMessage(connection, message, ApplicationError::Internal, textOf(*error));
     auto& incoming = std::get<request::IncomingRequest>(decoded);
     const RequestId id = incoming.request.id;
     if (requests_.contains(id))
-        return refuse(connection, message, ApplicationError::Internal,
-                      textOf(RequestError::RequestInProgress));
+        return rejectMessage(connection, message, ApplicationError::Internal,
+                             textOf(RequestError::RequestInProgress));
     connection.openRequest(message.sequence, id);
     inFlight_[id] = {&connection, message.sequence};
     requests_.accept(std::move(incoming));
@@ -178,8 +179,8 @@
         });
 }
 
-void ThriftServer::refuse(ThriftConnection& connection, const Message& message, ApplicationError error,
-                          const std::string& reason) {
+void ThriftServer::rejectMessage(ThriftConnection& connection, const Message& message, ApplicationError error,
+                                 const std::string& reason) {
     counters_.add(Count::MalformedRequests);
     log_.warn(kLogComponent, message.name.substr(0, kMaxLoggedNameBytes) + " refused: " + reason);
     send(connection, writeApplicationException(message.name, message.sequence, error, reason));
@@ -190,7 +191,7 @@
 
 void ThriftServer::completed(RequestId id, std::string_view result) {
     if (const auto found = inFlight_.find(id); found != inFlight_.end())
-        found->second.connection->forgiveProtocolErrors();
+        found->second.connection->resetProtocolErrors();
     answer(id, [&](std::int32_t sequence) {
         return writeAnswer(wire::kServeMethod, sequence, result, loadShareFields(), true);
     });
@@ -250,18 +251,18 @@
 void ThriftServer::abort(ThriftConnection& connection, net::ConnectionEnd end) {
     counters_.addEnd(end);
     log_.debug(kLogComponent, std::string("connection ended: ") + net::nameOf(end));
-    connection.writeLast();
+    connection.tryFlush();
     remove(connection);
     resumeAccepting();
 }
 
 // In order: answers that are on their way still go, and the end of the connection tells the client what
 // became of a request that crosses it.
-void ThriftServer::finish(ThriftConnection& connection, net::ConnectionEnd end) {
+void ThriftServer::closeGracefully(ThriftConnection& connection, net::ConnectionEnd end) {
     counters_.addEnd(end);
     log_.debug(kLogComponent, std::string("connection ends in order: ") + net::nameOf(end));
     ++*closing_;
-    connection.finish([this, weak = std::weak_ptr<std::size_t>(closing_)] {
+    connection.closeGracefully([this, weak = std::weak_ptr<std::size_t>(closing_)] {
         const auto closing = weak.lock();
         if (!closing) return;  // the server is gone
         --*closing;
@@ -297,7 +298,7 @@
 void ThriftServer::closeSilentConnections(Timestamp now) {
     const ConnectionList& silent = connections_.newConnections();
     while (!silent.empty() && now - silent.front()->acceptedAt() >= kFirstMessageTimeout)
-        finish(*silent.front(), net::ConnectionEnd::TimedOut);
+        closeGracefully(*silent.front(), net::ConnectionEnd::TimedOut);
 }
 
 // One that is too slow at taking its answers ends at once. One that is too slow with a message, or has sent
@@ -313,9 +314,9 @@
             connection.stopReading(net::ConnectionEnd::Malformed);
     }
     if (connection.hasOpenRequests()) return;
-    if (const auto reason = connection.readingStopped()) return finish(connection, *reason);
-    if (connection.isDrainOverdue(now)) return finish(connection, net::ConnectionEnd::Unused);
-    const bool unused = maxIdle_ > 0ns && now - connection.lastUsedAt() >= maxIdle_;
+    if (const auto reason = connection.readingStopped()) return closeGracefully(connection, *reason);
+    if (connection.isDrainOverdue(now)) return closeGracefully(connection, net::ConnectionEnd::Unused);
+    const bool unused = idleTimeout_ > 0ns && now - connection.lastUsedAt() >= idleTimeout_;
     if (unused) connection.drain(now);
 }
 
@@ -339,8 +340,8 @@
         [](ThriftConnection& connection) { connection.stopReading(net::ConnectionEnd::Unused); });
 }
 
-void ThriftServer::writeLast() {
-    forEachConnection([](ThriftConnection& connection) { connection.writeLast(); });
+void ThriftServer::tryFlush() {
+    forEachConnection([](ThriftConnection& connection) { connection.tryFlush(); });
 }
 
 // The action must not remove connections.
--- a/src/thrift/thrift_server.h
+++ b/src/thrift/thrift_server.h
@@ -43,7 +43,7 @@
     /// Fails the request, and counts it as a protocol error of its connection.
     void refused(RequestId id) override;
     /// Drains connections that are unused for this long, from the next sweep on; 0: none.
-    void setIdleTimeout(Duration unusedFor) override { maxIdle_ = unusedFor; }
+    void setIdleTimeout(Duration timeout) override { idleTimeout_ = timeout; }
 
     /// Takes no new connections, and asks the clients for no new requests on those there are.
     void drain();
@@ -51,7 +51,7 @@
     /// its client it crosses the end of the connection.
     void stopReading();
     /// Writes what the system takes at once of the answers that wait.
-    void writeLast();
+    void tryFlush();
     /// Connections that hold a descriptor, those that are being closed included.
     std::size_t connections() const { return connections_.size() + *closing_; }
     bool isListening() const { return listener_ != nullptr; }
@@ -67,8 +67,8 @@
     void inputArrived(ThriftConnection& connection) override;
     void connectionEnded(ThriftConnection& connection, net::ConnectionEnd end) override;
 
-    void accept(net::AcceptedSocket socket);
-    bool makeRoom();
+    void accept(net::PendingConnection socket);
+    bool ensureCapacity();
     void evict(ThriftConnection& connection);
     void resumeAccepting();
 
@@ -78,8 +78,8 @@
     void handleRequest(ThriftConnection& connection, const Message& message);
     void handleCancel(ThriftConnection& connection, const Message& message);
     void handleHealthCheck(ThriftConnection& connection, const Message& message);
-    void refuse(ThriftConnection& connection, const Message& message, ApplicationError error,
-                const std::string& reason);
+    void rejectMessage(ThriftConnection& connection, const Message& message, ApplicationError error,
+                       const std::string& reason);
 
     void answer(RequestId id, const std::function<std::string(std::int32_t)>& frame);
     void answerHealthCheck(ThriftConnection& connection, std::int32_t sequence, bool healthy);
@@ -87,7 +87,7 @@
     Fields loadShareFields() const;
 
     void abort(ThriftConnection& connection, net::ConnectionEnd end);
-    void finish(ThriftConnection& connection, net::ConnectionEnd end);
+    void closeGracefully(ThriftConnection& connection, net::ConnectionEnd end);
     void remove(ThriftConnection& connection);
 
     void sweep();
@@ -98,7 +98,7 @@
     void forEachConnection(Action&& action);
 
     net::Loop& loop_;
-    const std::shared_ptr<net::MemoryBudget> total_;
+    const std::shared_ptr<net::MemoryBudget> bufferBudget_;
     const RequestDecoder decoder_;
     request::RequestManager& requests_;
     telemetry::Log& log_;
@@ -109,7 +109,7 @@
     std::shared_ptr<std::size_t> closing_ = std::make_shared<std::size_t>(0);
     // Where the answers of open requests go; emptied by answers, cancellations and ends of connections.
     std::unordered_map<RequestId, InFlight> inFlight_;
-    Duration maxIdle_{0};
+    Duration idleTimeout_{0};
     net::Timer sweepTimer_;
     std::string scratch_;
     std::unique_ptr<net::Listener> listener_;
--- a/src/worker_pool/worker_pool_client.cpp
+++ b/src/worker_pool/worker_pool_client.cpp
@@ -110,7 +110,7 @@
     markDisconnected();
     // Closed over messages that were not read yet, the old connection would be reset, and what was sent last
     // would be lost with it.
-    if (connection_) connection_->finish([] {});
+    if (connection_) connection_->closeGracefully([] {});
     connect();
 }
 
--- a/tests/loadtest/experiment_test.cpp
+++ b/tests/loadtest/experiment_test.cpp
@@ -245,7 +245,7 @@
 
 int freePort(net::Loop& loop, const std::string& host) {
     return net::Listener(
-               loop, {host, 0}, [](net::AcceptedSocket) {}, [] { return false; })
+               loop, {host, 0}, [](net::PendingConnection) {}, [] { return false; })
         .port();
 }
 
--- a/tests/net/byte_ring_test.cpp
+++ b/tests/net/byte_ring_test.cpp
@@ -13,7 +13,7 @@
 namespace cottonwing::net {
 namespace {
 
-RC_GTEST_PROP(ByteRing, HoldsWhatAStringWould, (const std::vector<std::string>& pieces, std::uint8_t drops)) {
+RC_GTEST_PROP(ByteRing, BehavesLikeAString, (const std::vector<std::string>& pieces, std::uint8_t drops)) {
     ByteRing ring(64);
     std::string model;
     std::string scratch;
@@ -23,10 +23,10 @@
         if (fits) model += piece;
         RC_ASSERT(ring.peek(model.size(), scratch) == model);
         RC_ASSERT(ring.find('a', 0) == std::min(model.find('a'), model.size()));
-        const std::size_t gone = std::min<std::size_t>(model.size(), drops % 23);
-        ring.drop(gone);
-        model.erase(0, gone);
-        RC_ASSERT(ring.size() == model.size() && ring.size() + ring.room() == 64);
+        const std::size_t dropped = std::min<std::size_t>(model.size(), drops % 23);
+        ring.drop(dropped);
+        model.erase(0, dropped);
+        RC_ASSERT(ring.size() == model.size() && ring.size() + ring.freeBytes() == 64);
         RC_ASSERT(ring.capacity() <= 64);
     }
 }
@@ -51,13 +51,13 @@
         ASSERT_TRUE(first.write(std::string(6000, 'x')));
         EXPECT_FALSE(second.write(std::string(6000, 'y')));
         EXPECT_TRUE(second.empty());
-        EXPECT_TRUE(second.space(4000).empty() || second.capacity() + first.capacity() <= 8192);
+        EXPECT_TRUE(second.prepare(4000).empty() || second.capacity() + first.capacity() <= 8192);
         EXPECT_LE(budget->usedBytes, 8192U);
     }
     EXPECT_EQ(budget->usedBytes, 0U);
 }
 
-TEST(ByteRing, FindsAndShowsBytesAcrossTheEndOfItsStorage) {
+TEST(ByteRing, FindsAndPeeksBytesThatWrapAround) {
     ByteRing ring(8);
     ASSERT_TRUE(ring.write("abcdef"));
     ring.drop(5);
@@ -69,7 +69,7 @@
     EXPECT_EQ(ring.find('j', 0), 4U);
     EXPECT_EQ(ring.find('j', 4), 4U);
     EXPECT_EQ(ring.find('f', 1), ring.size());
-    EXPECT_EQ(ring.room(), 2U);
+    EXPECT_EQ(ring.freeBytes(), 2U);
 }
 
 }  // namespace
--- a/tests/net/connection_end_test.cpp
+++ b/tests/net/connection_end_test.cpp
@@ -11,7 +11,7 @@
 namespace cottonwing::net {
 namespace {
 
-TEST(ConnectionEnd, EachHasOneOutcomeAndItsOwnName) {
+TEST(ConnectionEnd, EachHasAnOutcomeAndADistinctName) {
     const std::map<ConnectionEnd, Outcome> expected = {{ConnectionEnd::PeerClosed, Outcome::ConnectionLost},
                                                        {ConnectionEnd::Reset, Outcome::ConnectionLost},
                                                        {ConnectionEnd::ConnectRefused, Outcome::Unreachable},
--- a/tests/net/connection_test.cpp
+++ b/tests/net/connection_test.cpp
@@ -14,7 +14,7 @@
 namespace cottonwing::net {
 namespace {
 
-constexpr std::size_t kPlentyBytes = 1 << 20;
+constexpr std::size_t kLargeBufferBytes = 1 << 20;
 
 // Keeps what a connection reports.
 struct Recorder : ConnectionHandler {
@@ -24,8 +24,8 @@
         text += connection.input().peek(connection.input().size(), scratch);
         connection.input().drop(connection.input().size());
     }
-    void ended(Connection& connection, ConnectionEnd how) override {
-        end = how;
+    void ended(Connection& connection, ConnectionEnd reason) override {
+        end = reason;
         if (owned.get() == &connection) owned.reset();
     }
 
@@ -40,9 +40,9 @@
     explicit Server(Loop& loop)
         : listener(
               loop, {"127.0.0.1", 0},
-              [this, &loop](AcceptedSocket socket) {
+              [this, &loop](PendingConnection socket) {
                   owned = std::make_unique<Connection>(loop, socket, *this,
-                                                       BufferLimits{kPlentyBytes, kPlentyBytes});
+                                                       BufferLimits{kLargeBufferBytes, kLargeBufferBytes});
               },
               [this] { return full; }) {}
     Address address() const { return {"127.0.0.1", listener.port()}; }
@@ -53,13 +53,13 @@
 
 // A client of the server, which connects at once.
 struct Client : Recorder {
-    Client(Loop& loop, const Server& server, std::size_t outputBytes = kPlentyBytes) {
+    Client(Loop& loop, const Server& server, std::size_t outputBytes = kLargeBufferBytes) {
         owned = std::make_unique<Connection>(loop, server.address(), *this,
-                                             BufferLimits{kPlentyBytes, outputBytes});
+                                             BufferLimits{kLargeBufferBytes, outputBytes});
     }
 };
 
-TEST(Connection, WritesWhatWasSentBeforeItOpened) {
+TEST(Connection, WritesBytesThatWereSentBeforeItWasOpen) {
     Loop loop;
     Server server(loop);
     Client client(loop, server);
@@ -73,7 +73,7 @@
     EXPECT_EQ(client.text, "answer");
 }
 
-TEST(Connection, ReportsThatThePeerClosed) {
+TEST(Connection, ReportsACloseByThePeer) {
     Loop loop;
     Server server(loop);
     Client client(loop, server);
@@ -84,17 +84,17 @@
     EXPECT_FALSE(client.end.has_value()) << "its owner hears nothing of an end of its own";
 }
 
-TEST(Connection, ReportsARefusalFromTheLoop) {
+TEST(Connection, ReportsARefusedConnectionFromTheLoop) {
     Loop loop;
-    Address nobody;
+    Address unusedAddress;
     {
         const Server gone(loop);
-        nobody = gone.address();
+        unusedAddress = gone.address();
     }
-    loop.turnWithoutWaiting();  // closes the listener
+    loop.runWithoutWaiting();  // closes the listener
     Recorder client;
-    client.owned =
-        std::make_unique<Connection>(loop, nobody, client, BufferLimits{kPlentyBytes, kPlentyBytes});
+    client.owned = std::make_unique<Connection>(loop, unusedAddress, client,
+                                                BufferLimits{kLargeBufferBytes, kLargeBufferBytes});
     EXPECT_FALSE(client.end.has_value());
     testing::runUntil(loop, [&] { return client.end.has_value(); });
     EXPECT_EQ(client.end, ConnectionEnd::ConnectRefused);
@@ -111,14 +111,14 @@
     EXPECT_EQ(server.text, "");
 }
 
-TEST(Connection, ReadOnLaterCallsAgainInTheNextTurnWithoutNewBytes) {
+TEST(Connection, DeferReadCallsTheHandlerInTheNextTurnWithoutNewBytes) {
     Loop loop;
     Server server(loop);
     Client client(loop, server);
     client.owned->send("once");
     testing::runUntil(loop, [&] { return server.text == "once"; });
     const int arrivals = server.arrivals;
-    server.owned->readOnLater();
+    server.owned->deferRead();
     testing::runUntil(loop, [&] { return server.arrivals > arrivals; });
     EXPECT_EQ(server.arrivals, arrivals + 1);
     EXPECT_EQ(server.text, "once");
@@ -132,13 +132,13 @@
     server.owned->stopReading();
     client.owned->send("unheard");
     server.owned->send("still written");
-    testing::runUntil(loop, [&] { return client.text == "still written" && server.owned->hasUnread(); });
+    testing::runUntil(loop, [&] { return client.text == "still written" && server.owned->hasUnreadBytes(); });
     EXPECT_EQ(client.text, "still written");
-    EXPECT_TRUE(server.owned->hasUnread());
+    EXPECT_TRUE(server.owned->hasUnreadBytes());
     EXPECT_EQ(server.text, "");
 }
 
-TEST(Connection, FinishWritesTheRestBeforeItsEnd) {
+TEST(Connection, GracefulCloseWritesTheRemainingOutputFirst) {
     Loop loop;
     Server server(loop);
     Client client(loop, server);
@@ -146,7 +146,7 @@
     const std::string rest(500000, 'r');
     bool closed = false;
     server.owned->send(rest);
-    server.owned->finish([&] { closed = true; });
+    server.owned->closeGracefully([&] { closed = true; });
     server.owned.reset();
     testing::runUntil(loop, [&] { return client.end.has_value(); });
     EXPECT_EQ(client.end, ConnectionEnd::PeerClosed);
@@ -155,13 +155,13 @@
     EXPECT_TRUE(closed);
 }
 
-TEST(Listener, LeavesAConnectionWaitingWhileItIsFull) {
+TEST(Listener, LeavesAConnectionPendingWhileItIsFull) {
     Loop loop;
     Server server(loop);
     server.full = true;
     Client client(loop, server);
     testing::runUntil(loop, [&] { return client.owned->isOpen(); });  // as the system accepts it
-    for (int turn = 0; turn < 3; ++turn) loop.turnWithoutWaiting();
+    for (int turn = 0; turn < 3; ++turn) loop.runWithoutWaiting();
     EXPECT_EQ(server.owned, nullptr);
     server.full = false;
     server.listener.resume();
@@ -173,7 +173,7 @@
     Loop loop;
     const Server server(loop);
     EXPECT_THROW(Listener(
-                     loop, server.address(), [](AcceptedSocket) {}, [] { return false; }),
+                     loop, server.address(), [](PendingConnection) {}, [] { return false; }),
                  std::runtime_error);
 }
 
--- a/tests/net/http_response_parser_test.cpp
+++ b/tests/net/http_response_parser_test.cpp
@@ -15,37 +15,37 @@
 namespace cottonwing::net {
 namespace {
 
-TEST(HttpResponseParser, ReadsResponsesHoweverTheyAreSplit) {
+TEST(HttpResponseParser, ParsesResponsesSplitAtAnyByte) {
     const std::string first = testing::FakeHttpServer::reply(503, "body", "Op-Not-Begun: 1\r\n");
     const std::string second = testing::FakeHttpServer::reply(204);
     for (std::size_t cut = 0; cut < first.size(); ++cut) {
         std::vector<HttpResponseParser::Response> responses;
-        HttpResponseParser reader(
+        HttpResponseParser parser(
             [&](HttpResponseParser::Response&& response) { responses.push_back(std::move(response)); });
-        EXPECT_TRUE(reader.read(first.substr(0, cut)));
+        EXPECT_TRUE(parser.parse(first.substr(0, cut)));
         EXPECT_TRUE(responses.empty());
-        EXPECT_TRUE(reader.read(first.substr(cut)));
-        EXPECT_TRUE(reader.read(second));
+        EXPECT_TRUE(parser.parse(first.substr(cut)));
+        EXPECT_TRUE(parser.parse(second));
         ASSERT_EQ(responses.size(), 2U);
         EXPECT_EQ(responses[0].status, 503);
         EXPECT_EQ(responses[0].body, "body");
-        EXPECT_TRUE(responses[0].has("op-not-begun", "1"));
+        EXPECT_TRUE(responses[0].hasHeader("op-not-begun", "1"));
         EXPECT_EQ(responses[1].status, 204);
-        EXPECT_TRUE(responses[1].keepsOpen);
-        EXPECT_FALSE(responses[1].has("op-not-begun", "1"));
+        EXPECT_TRUE(responses[1].keepAlive);
+        EXPECT_FALSE(responses[1].hasHeader("op-not-begun", "1"));
     }
 }
 
-RC_GTEST_PROP(HttpResponseParser, KeepsNoMoreThanItReadsOfAnyBytes,
+RC_GTEST_PROP(HttpResponseParser, StoresNoMoreThanItsInput,
               (const std::string& bytes, std::uint8_t at, char other)) {
     std::size_t stored = 0;
     const auto onResponse = [&](HttpResponseParser::Response&& response) {
         stored = response.body.size() + response.headers.size();
     };
-    HttpResponseParser(onResponse).read(bytes);
+    HttpResponseParser(onResponse).parse(bytes);
     std::string reply = testing::FakeHttpServer::reply(200, bytes, "A: b\r\n");
     reply[at % reply.size()] = other;
-    HttpResponseParser(onResponse).read(reply);
+    HttpResponseParser(onResponse).parse(reply);
     RC_ASSERT(stored <= reply.size() + 4);
 }
 
@@ -62,29 +62,30 @@
           std::string("HTTP/1.1 200 OK\r\nContent-Length: -3\r\n\r\nabc"),
           std::string("HTTP/1.1 101 Switching\r\nConnection: upgrade\r\nUpgrade: x\r\n\r\n")}) {
         int responses = 0;
-        EXPECT_FALSE(HttpResponseParser([&](HttpResponseParser::Response&&) { ++responses; }).read(malformed))
+        EXPECT_FALSE(
+            HttpResponseParser([&](HttpResponseParser::Response&&) { ++responses; }).parse(malformed))
             << malformed;
         EXPECT_EQ(responses, 0);
     }
 }
 
 // Interim responses in front and bytes behind a response cost at most the connection.
-TEST(HttpResponseParser, AResponseCountsBehindInterimOnesAndBeforeSurplusBytes) {
+TEST(HttpResponseParser, DeliversAResponseAfterInterimOnesAndBeforeSurplusBytes) {
     using testing::FakeHttpServer;
     const std::string good = FakeHttpServer::reply(200, "body");
     const std::string interim = "HTTP/1.1 102 Wait\r\nA: b\r\n\r\n";
     const std::vector<std::pair<std::string, bool>> cases = {
         {interim + interim + good, true}, {good + good, false}, {good + "\x7fnoise", false}};
-    for (const auto& [bytes, keepsOpen] : cases)
-        for (std::size_t cut = 0; cut <= (keepsOpen ? bytes.size() - 1 : 0); ++cut) {
+    for (const auto& [bytes, keepAlive] : cases)
+        for (std::size_t cut = 0; cut <= (keepAlive ? bytes.size() - 1 : 0); ++cut) {
             std::vector<HttpResponseParser::Response> responses;
-            HttpResponseParser reader(
+            HttpResponseParser parser(
                 [&](HttpResponseParser::Response&& response) { responses.push_back(std::move(response)); });
-            EXPECT_TRUE(reader.read(bytes.substr(0, cut)));
-            EXPECT_TRUE(reader.read(bytes.substr(cut)));
+            EXPECT_TRUE(parser.parse(bytes.substr(0, cut)));
+            EXPECT_TRUE(parser.parse(bytes.substr(cut)));
             ASSERT_EQ(responses.size(), 1U);
             EXPECT_EQ(responses[0].body, "body");
-            EXPECT_EQ(responses[0].keepsOpen, keepsOpen);
+            EXPECT_EQ(responses[0].keepAlive, keepAlive);
         }
 }
 
--- a/tests/net/loop_test.cpp
+++ b/tests/net/loop_test.cpp
@@ -17,36 +17,36 @@
 
 using namespace std::chrono_literals;
 
-TEST(Loop, ReportsWhatACallbackThrows) {
+TEST(Loop, ReportsExceptionsOfCallbacks) {
     Loop loop;
-    std::string trouble;
-    loop.onUncaughtException([&](const std::string& what) { trouble = what; });
+    std::string error;
+    loop.onUncaughtException([&](const std::string& what) { error = what; });
     Timer timer(loop, [] { throw std::runtime_error("thrown"); });
     timer.start(0ns);
-    testing::runUntil(loop, [&] { return !trouble.empty(); });
-    EXPECT_EQ(trouble, "thrown");
+    testing::runUntil(loop, [&] { return !error.empty(); });
+    EXPECT_EQ(error, "thrown");
 }
 
-TEST(Loop, CallsOnceAfterTheNextPoll) {
+TEST(Loop, CallsAfterPollCallbacksOnce) {
     Loop loop;
     int calls = 0;
     loop.afterPoll([&] { ++calls; });
     EXPECT_EQ(calls, 0);
-    loop.turnWithoutWaiting();
-    loop.turnWithoutWaiting();
+    loop.runWithoutWaiting();
+    loop.runWithoutWaiting();
     EXPECT_EQ(calls, 1);
 }
 
-TEST(Loop, RunsTheTurnsCallbackOnceATurn) {
+TEST(Loop, RunsTheTurnEndCallbackOncePerTurn) {
     Loop loop;
     int turns = 0;
-    loop.onTurn([&] { ++turns; });
-    loop.turnWithoutWaiting();
+    loop.onTurnEnd([&] { ++turns; });
+    loop.runWithoutWaiting();
     EXPECT_EQ(turns, 0) << "nothing to wait for";
     Timer timer(loop, [] {});
     timer.start(1h);
-    loop.turnWithoutWaiting();
-    loop.turnWithoutWaiting();
+    loop.runWithoutWaiting();
+    loop.runWithoutWaiting();
     EXPECT_EQ(turns, 2);
 }
 
--- a/tests/net/timer_test.cpp
+++ b/tests/net/timer_test.cpp
@@ -46,7 +46,7 @@
     EXPECT_FALSE(stoppedFired);
 }
 
-TEST(Timer, NeverFiresFromWithinStart) {
+TEST(Timer, DoesNotFireFromWithinStart) {
     Loop loop;
     bool fired = false;
     Timer timer(loop, [&] { fired = true; });
--- a/tests/request/event_ordering_test.cpp
+++ b/tests/request/event_ordering_test.cpp
@@ -31,7 +31,7 @@
         : loop(theLoop),
           listener(
               loop, {"127.0.0.1", 0},
-              [this](net::AcceptedSocket waiting) {
+              [this](net::PendingConnection waiting) {
                   connection.reset(new net::Connection(loop, waiting, *this, {1 << 20, 1 << 20}));
               },
               [] { return false; }) {}
@@ -52,9 +52,9 @@
     const std::string answer(300000, 'a');  // more than the system takes at once
     server.connection->send(answer);
     client.send("crosses");
-    EXPECT_TRUE(server.connection->hasUnread());
+    EXPECT_TRUE(server.connection->hasUnreadBytes());
     bool done = false;
-    server.connection->finish([&] { done = true; });
+    server.connection->closeGracefully([&] { done = true; });
     server.connection.reset();
     runUntil(loop, [&] { return client.over(); });
     EXPECT_TRUE(client.ended);
@@ -72,7 +72,7 @@
     RawClient client(server.listener.port());
     runUntil(loop, [&] { return server.connection != nullptr; });
     bool done = false;
-    server.connection->finish([&] { done = true; });
+    server.connection->closeGracefully([&] { done = true; });
     server.connection.reset();
     runUntil(loop, [&] { return done; });  // the client neither reads nor ends
     EXPECT_TRUE(client.over());
@@ -84,7 +84,7 @@
     RawClient client(server->listener.port());
     runUntil(*loop, [&] { return server->connection != nullptr; });
     server->connection->send(std::string(1 << 19, 'a'));
-    server->connection->finish([] {});
+    server->connection->closeGracefully([] {});
     server.reset();
     loop.reset();
 }
--- a/tests/scgi/scgi_test.cpp
+++ b/tests/scgi/scgi_test.cpp
@@ -304,7 +304,7 @@
     GatewayFixture fixture({loadtest::ScgiServerTerms{}});
     const Duration from = net::unixNow();
     fixture.gateway->beginShutdown();
-    while (net::unixNow() < from + 296ms) fixture.loop.turnWithoutWaiting();
+    while (net::unixNow() < from + 296ms) fixture.loop.runWithoutWaiting();
     testing::RawClient client(fixture.port());
     client.send(scgi::writeRequest({{"REQUEST_METHOD", "GET"}, {"REQUEST_URI", "/list/all"}}, ""));
     // The drain is due by now, so its timer fires before the loop polls the sockets.
--- a/tests/server_test.cpp
+++ b/tests/server_test.cpp
@@ -85,7 +85,7 @@
                         frames::serve(2, ThriftTestClient::fields(2), "two");
     for (const char byte : bytes) {
         on.sidecar->say({&byte, 1});
-        on.loop.turnOnce();
+        on.loop.runOnce();
     }
     on.running(1);
     on.running(2);
@@ -248,7 +248,7 @@
                                  asks.size() - written % asks.size(), MSG_DONTWAIT | MSG_NOSIGNAL);
         if (now > 0) written += static_cast<std::size_t>(now);
         stuck = now > 0 ? 0 : stuck + 1;
-        on.loop.turnWithoutWaiting();
+        on.loop.runWithoutWaiting();
     }
     const std::int32_t sequence = on.sidecar->ask(1);
     on.running(1);
@@ -325,7 +325,7 @@
     std::uint64_t most = 0;
     on.wait([&] {
         const std::uint64_t before = on.count(Count::CancelMessages);
-        on.loop.turnWithoutWaiting();
+        on.loop.runWithoutWaiting();
         most = std::max(most, on.count(Count::CancelMessages) - before);
         return on.count(Count::CancelMessages) == 600;
     });
@@ -671,7 +671,7 @@
     close(peer);
     records.startCall(2, ThriftTestClient::trace(2), 5s, "second");
     EXPECT_EQ(records.idleConnections(), 0U);
-    loop.turnWithoutWaiting();
+    loop.runWithoutWaiting();
     const auto [again, second] = serve();
     runUntil(loop, [&] { return counters.of(Count::CallsOk) == 2; });
     EXPECT_NE(second.find("\r\n\r\nsecond"), second.npos);
@@ -682,7 +682,7 @@
     });
     // A reply that came in time is read after a stand-still, though the patience is over by then.
     records.startCall(4, ThriftTestClient::trace(4), 100ms, "slow machine");
-    loop.turnWithoutWaiting();
+    loop.runWithoutWaiting();
     char bytes[4096];
     runUntil(loop, [&, fd = again] { return recv(fd, bytes, sizeof bytes, MSG_DONTWAIT) > 0; });
     EXPECT_EQ(send(again, reply.data(), reply.size(), 0), static_cast<ssize_t>(reply.size()));
@@ -787,7 +787,7 @@
     on.wait([&] { return on.pool.polls > polls; });
     std::this_thread::sleep_for(400ms);  // the machine stands still
     const std::uint64_t before = on.count(Count::EventBatches);
-    on.loop.turnOnce();
+    on.loop.runOnce();
     on.wait([&] { return on.lines.str().find("process stalled: tick_delay_ms=") != std::string::npos; });
     EXPECT_LE(on.count(Count::EventBatches) - before, 2U);
     EXPECT_LE(on.pool.polls, polls + 2);  // of the twenty alarms that the time would hold
@@ -911,7 +911,7 @@
         if (draw(200) == 0) from.hangUp();
         if (draw(400) == 0 && from.connection) from.say("no frame at all");
         play();
-        on.loop.turnWithoutWaiting();
+        on.loop.runWithoutWaiting();
     }
     ASSERT_EQ(number, 1500);
     on.wait([&] {
--- a/tests/soak/soak_run.cpp
+++ b/tests/soak/soak_run.cpp
@@ -43,7 +43,7 @@
     const std::string host = "127." + std::to_string(64 + getpid() % 128) + "." +
                              std::to_string(seed / 250 % 250) + "." + std::to_string(2 + seed % 250);
     const net::Listener probe(
-        loop, {host, 0}, [](net::AcceptedSocket) {}, [] { return false; });
+        loop, {host, 0}, [](net::PendingConnection) {}, [] { return false; });
     return {host, probe.port()};
 }
 
@@ -109,7 +109,7 @@
     });
     startLife();
     timer_.start(kTick);
-    while (!done_) loop_.turnOnce();
+    while (!done_) loop_.runOnce();
 }
 
 void SoakRun::tick() {
--- a/tests/support/before_each_poll.h
+++ b/tests/support/before_each_poll.h
@@ -16,7 +16,7 @@
 public:
     BeforeEachPoll(net::Loop& loop, std::function<void()> what)
         : handle_(new uv_prepare_t), what_(std::move(what)) {
-        uv_prepare_init(loop.raw(), handle_);
+        uv_prepare_init(loop.uvLoop(), handle_);
         handle_->data = this;
         uv_prepare_start(handle_,
                          [](uv_prepare_t* handle) { static_cast<BeforeEachPoll*>(handle->data)->what_(); });
--- a/tests/support/event_loop_helpers.h
+++ b/tests/support/event_loop_helpers.h
@@ -22,7 +22,7 @@
     net::Timer tick(loop, [] {});
     while (!condition() && !late) {
         tick.start(10ms);
-        loop.turnOnce();
+        loop.runOnce();
     }
     ASSERT_FALSE(late) << "waited for in vain";
 }
--- a/tests/support/fake_server.h
+++ b/tests/support/fake_server.h
@@ -23,7 +23,7 @@
         : onText_(std::move(onText)),
           listener_(std::make_unique<net::Listener>(
               loop, net::Address{"127.0.0.1", port},
-              [this, &loop](net::AcceptedSocket socket) {
+              [this, &loop](net::PendingConnection socket) {
                   ++accepted;
                   Line line;
                   line.number = accepted;
@@ -62,7 +62,7 @@
     int accepted = 0;
 
 private:
-    std::unique_ptr<net::Connection> newConnection(net::Loop& loop, net::AcceptedSocket socket) {
+    std::unique_ptr<net::Connection> newConnection(net::Loop& loop, net::PendingConnection socket) {
         return std::unique_ptr<net::Connection>(new net::Connection(loop, socket, *this, {1 << 20, 1 << 20}));
     }
     void arrived(net::Connection& from) override {
--- a/tests/support/thrift_test_client.h
+++ b/tests/support/thrift_test_client.h
@@ -58,7 +58,7 @@
     void arrived(net::Connection& from) override {
         std::size_t length = 0;
         std::string scratch;
-        while (thrift::lookForFrame(from.input(), length) == thrift::FrameState::Whole) {
+        while (thrift::peekFrame(from.input(), length) == thrift::FrameState::Complete) {
             heard.push_back(frames::read(std::string(from.input().peek(4 + length, scratch).substr(4))));
             from.input().drop(4 + length);
             if (heard.back().method == "goaway")
--- a/tests/thrift/codec_test.cpp
+++ b/tests/thrift/codec_test.cpp
@@ -20,7 +20,7 @@
 
 const testing::FieldMap kFields = {{"route", "read"}, {"trace", "9b1f03aa5c7e2d41"}};
 
-TEST(Thrift, ReadsWhatThePublishedLibraryWrites) {
+TEST(ThriftCodec, DecodesMessagesOfThePublishedLibrary) {
     const auto serve = decode(frames::serve(7, kFields, std::string("a\0b", 3)));
     ASSERT_TRUE(serve);
     EXPECT_EQ(serve->method, Method::Serve);
@@ -36,7 +36,7 @@
               Method::Unknown);
 }
 
-TEST(Thrift, ThePublishedLibraryReadsWhatIsWritten) {
+TEST(ThriftCodec, ThePublishedLibraryDecodesTheReplies) {
     const auto read = [](const std::string& frame) { return frames::read(frame.substr(4)); };
     const auto answer = read(thrift::writeAnswer("serve", 5, "result", {{"advice", "0.5"}}, true));
     EXPECT_EQ(answer.kind + answer.method + answer.body, "answerserveresult");
@@ -54,7 +54,7 @@
     EXPECT_EQ(read(thrift::writeGoaway()).method, "goaway");
 }
 
-TEST(Thrift, SkipsFieldsItDoesNotKnow) {
+TEST(ThriftCodec, SkipsUnknownFields) {
     const auto message = decode(frames::frame("serve", protocol::T_CALL, 3, [](TBinaryProtocol& out) {
         out.writeFieldBegin("new", protocol::T_STRUCT, 9);
         out.writeFieldBegin("list", protocol::T_LIST, 1);
@@ -76,15 +76,15 @@
     EXPECT_FALSE(message->fields);
 }
 
-TEST(Thrift, AFrameIsWholeAtItsLastByteOnly) {
+TEST(ThriftCodec, AFrameIsCompleteOnlyAtItsLastByte) {
     const std::string frame = frames::serve(1, kFields, "body");
     const std::string two = frame + frames::forget(2, 1);
     for (std::size_t cut = 0; cut <= two.size(); ++cut) {
         net::ByteRing ring(32768);
         ASSERT_TRUE(ring.write(std::string_view(two).substr(0, cut)));
         std::size_t length = 0;
-        EXPECT_EQ(thrift::lookForFrame(ring, length),
-                  cut < frame.size() ? FrameState::Partial : FrameState::Whole);
+        EXPECT_EQ(thrift::peekFrame(ring, length),
+                  cut < frame.size() ? FrameState::Partial : FrameState::Complete);
         // The content cut short is malformed wherever it is cut.
         if (cut < 4 || cut >= frame.size()) continue;
         EXPECT_FALSE(thrift::readMessage(std::string_view(frame).substr(4, cut - 4))) << cut;
@@ -92,14 +92,14 @@
     EXPECT_FALSE(decode(frame + "x"));  // bytes behind the end
 }
 
-TEST(Thrift, RefusesWhatIsTooLongBeforeItIsStored) {
+TEST(ThriftCodec, RejectsATooLongFrameByItsLengthPrefix) {
     net::ByteRing ring(32768);
     ASSERT_TRUE(ring.write(std::string("\0\0\x40\x01", 4)));
     std::size_t length = 0;
-    EXPECT_EQ(thrift::lookForFrame(ring, length), FrameState::TooLong);
+    EXPECT_EQ(thrift::peekFrame(ring, length), FrameState::TooLong);
 }
 
-TEST(Thrift, RefusesWhatIsMalformed) {
+TEST(ThriftCodec, RejectsMalformedMessages) {
     const std::string good = frames::serve(1, kFields, "body").substr(4);
     std::string old = good;
     old[0] = 0;  // no version: the older, unchecked form
@@ -119,7 +119,8 @@
     EXPECT_FALSE(thrift::readMessage(huge));
 }
 
-RC_GTEST_PROP(Thrift, AnyBytesAreReadOrRefused, (const std::string& bytes, std::uint8_t at, char other)) {
+RC_GTEST_PROP(ThriftCodec, AnyBytesAreDecodedOrRejected,
+              (const std::string& bytes, std::uint8_t at, char other)) {
     thrift::readMessage(bytes);
     std::string frame = frames::serve(1, kFields, bytes).substr(4);
     RC_ASSERT(thrift::readMessage(frame)->body == bytes);
--- a/tests/thrift/connection_table_test.cpp
+++ b/tests/thrift/connection_table_test.cpp
@@ -14,12 +14,12 @@
 
 constexpr std::size_t kCapacity = 8;
 
-struct SilentOwner : net::ConnectionHandler {
+struct IgnoringConnectionHandler : net::ConnectionHandler {
     void arrived(net::Connection& /*connection*/) override {}
     void ended(net::Connection& /*connection*/, net::ConnectionEnd /*end*/) override {}
 };
 
-struct SilentHandler : ThriftConnection::Handler {
+struct IgnoringHandler : ThriftConnection::Handler {
     void inputArrived(ThriftConnection& /*connection*/) override {}
     void connectionEnded(ThriftConnection& /*connection*/, net::ConnectionEnd /*end*/) override {}
 };
@@ -32,7 +32,7 @@
         const std::size_t before = table.size();
         const net::Address address{"127.0.0.1", listener.port()};
         clients.push_back(
-            std::make_unique<net::Connection>(loop, address, clientOwner, net::BufferLimits{1024, 1024}));
+            std::make_unique<net::Connection>(loop, address, clientHandler, net::BufferLimits{1024, 1024}));
         testing::runUntil(loop, [&] { return table.size() > before; });
         return *table.newConnections().back();
     }
@@ -47,16 +47,17 @@
     static Timestamp justNow() { return net::unixNow() - 1s; }
 
     net::Loop loop;
-    SilentOwner clientOwner;
-    SilentHandler handler;
-    std::shared_ptr<net::MemoryBudget> total =
+    IgnoringConnectionHandler clientHandler;
+    IgnoringHandler handler;
+    std::shared_ptr<net::MemoryBudget> bufferBudget =
         std::make_shared<net::MemoryBudget>(net::MemoryBudget{1 << 20});
     ConnectionTable table{kCapacity};
-    net::Listener listener{loop, net::Address{"127.0.0.1", 0},
-                           [this](net::AcceptedSocket socket) {
-                               table.add(std::make_shared<ThriftConnection>(loop, socket, handler, total));
-                           },
-                           [] { return false; }};
+    net::Listener listener{
+        loop, net::Address{"127.0.0.1", 0},
+        [this](net::PendingConnection socket) {
+            table.add(std::make_shared<ThriftConnection>(loop, socket, handler, bufferBudget));
+        },
+        [] { return false; }};
     std::vector<std::unique_ptr<net::Connection>> clients;
 };
 
@@ -74,14 +75,14 @@
     EXPECT_EQ(decision.connection, &oldest);
 }
 
-TEST_F(ConnectionTableTest, SparesNewConnectionsThatWereAcceptedJustNow) {
+TEST_F(ConnectionTableTest, DoesNotEvictRecentlyAcceptedConnections) {
     connect();
     connect();
     EXPECT_EQ(table.decideAccept(0, justNow()).action, Action::Accept);
     EXPECT_EQ(table.decideAccept(kCapacity, justNow()).action, Action::Wait);
 }
 
-TEST_F(ConnectionTableTest, EvictsTheIdleConnectionUnusedForTheLongestWhenFull) {
+TEST_F(ConnectionTableTest, EvictsTheLeastRecentlyUsedIdleConnectionWhenFull) {
     ThriftConnection& first = connectIdentified();
     const ThriftConnection& second = connectIdentified();
     table.touch(first, net::unixNow());
@@ -90,7 +91,7 @@
     EXPECT_EQ(decision.connection, &second);
 }
 
-TEST_F(ConnectionTableTest, ConnectionsWithOpenRequestsKeepTheirPlaces) {
+TEST_F(ConnectionTableTest, NeverEvictsConnectionsWithOpenRequests) {
     ThriftConnection& busy = connectIdentified();
     busy.openRequest(1, 55);
     EXPECT_EQ(table.decideAccept(kCapacity - 1, later()).action, Action::Wait);
@@ -98,7 +99,7 @@
     EXPECT_EQ(table.decideAccept(kCapacity - 2, later()).connection, &idle);
 }
 
-TEST_F(ConnectionTableTest, AnIdleConnectionUsedJustNowIsClosedInOrderOneAtATime) {
+TEST_F(ConnectionTableTest, ClosesRecentlyUsedIdleConnectionsGracefullyOneAtATime) {
     const ThriftConnection& first = connectIdentified();
     while (table.size() < kCapacity) connectIdentified();
     const AcceptDecision decision = table.decideAccept(0, justNow());
@@ -135,7 +136,7 @@
     EXPECT_FALSE(connection.hasOpenRequests());
 }
 
-TEST_F(ConnectionTableTest, AMessageIsOverdueFromItsFirstByteOn) {
+TEST_F(ConnectionTableTest, TheMessageTimeoutCountsFromTheFirstByte) {
     ThriftConnection& connection = connect();
     connection.noteIncompleteMessage(true, 10s);
     EXPECT_FALSE(connection.isMessageOverdue(20s));  // there is no input
@@ -151,18 +152,18 @@
     EXPECT_EQ(connection.readingStopped(), net::ConnectionEnd::TimedOut);
 }
 
-TEST_F(ConnectionTableTest, EightProtocolErrorsAreTooManyUnlessARequestWasServed) {
+TEST_F(ConnectionTableTest, EightProtocolErrorsWithoutACompletedRequestAreTooMany) {
     ThriftConnection& connection = connect();
     for (int errors = 0; errors < 7; ++errors) connection.addProtocolError();
     EXPECT_FALSE(connection.hasTooManyProtocolErrors());
-    connection.forgiveProtocolErrors();
+    connection.resetProtocolErrors();
     connection.addProtocolError();
     EXPECT_FALSE(connection.hasTooManyProtocolErrors());
     for (int errors = 0; errors < 7; ++errors) connection.addProtocolError();
     EXPECT_TRUE(connection.hasTooManyProtocolErrors());
 }
 
-TEST_F(ConnectionTableTest, OutputIsStalledUntilItIsTaken) {
+TEST_F(ConnectionTableTest, OutputIsStalledUntilItIsWritten) {
     ThriftConnection& connection = connectIdentified();
     table.touch(connection, 10s);
     connection.send(writeGoaway());
--- a/tests/thrift/request_decoder_test.cpp
+++ b/tests/thrift/request_decoder_test.cpp
@@ -57,7 +57,7 @@
     return errorOf(changed);
 }
 
-TEST(RequestDecoder, MapsEachFieldToItsTerm) {
+TEST(RequestDecoder, DecodesAllFields) {
     const request::IncomingRequest incoming = decoded(message());
     const Request& request = incoming.request;
     EXPECT_EQ(request.id, 0x9b1f03aa5c7e2d41U);
@@ -83,14 +83,14 @@
     EXPECT_EQ(request.rank, 0);
 }
 
-TEST(RequestDecoder, TakesTheTimeoutOfTheClassWhereClientsSendNone) {
+TEST(RequestDecoder, DefaultsToTheTimeoutOfTheClass) {
     Message plain = message();
     plain.fields->erase("patience");
     EXPECT_EQ(decoded(plain, false).request.deadline, 1764576008100ms);
     EXPECT_EQ(errorOf(plain), "patience: milliseconds were expected");
 }
 
-TEST(RequestDecoder, BoundsTheExpectedWorkByTheTimeoutOfTheClass) {
+TEST(RequestDecoder, CapsTheExpectedWorkAtTheTimeoutOfTheClass) {
     Message heavy = message();
     heavy.fields->insert_or_assign("weight", "1e300");
     EXPECT_EQ(decoded(heavy).request.expectedWork, 8s);
@@ -102,7 +102,7 @@
     EXPECT_TRUE(decoded(retry).request.isRetry);
 }
 
-TEST(RequestDecoder, KeepsKeysOfClassesAndTenantsApart) {
+TEST(RequestDecoder, ScopesKeysToClassAndTenant) {
     Message keyed = message();
     keyed.fields->insert_or_assign("route", "keyed");
     EXPECT_EQ(decoded(keyed).idempotencyKey, "1/1/the-key");
@@ -110,13 +110,13 @@
     EXPECT_EQ(decoded(keyed).idempotencyKey, "1/0/the-key");
 }
 
-TEST(RequestDecoder, AnArrivalAheadOfTheClockWasNotQueued) {
+TEST(RequestDecoder, AnArrivalTimeInTheFutureMeansNoQueueing) {
     Message early = message();
     early.fields->insert_or_assign("born", "1764576001123");
     EXPECT_EQ(decoded(early).request.queuedBeforeRead, 0ns);
 }
 
-TEST(RequestDecoder, TellsClientsInTheSameWordsWhatIsWrong) {
+TEST(RequestDecoder, HasAStableTextForEachError) {
     Message withoutFields = message();
     withoutFields.fields.reset();
     Message withoutBody = message();
@@ -139,7 +139,7 @@
     EXPECT_EQ(textOf(RequestError::RequestInProgress), "trace: in hand already");
 }
 
-TEST(RequestDecoder, RefusesTimesOutOfRange) {
+TEST(RequestDecoder, RejectsTimesOutOfRange) {
     for (const char* value : {"", "1e3", "0", "-5", "2305843009214"})
         EXPECT_EQ(errorWith("born", value), "born: Unix milliseconds were expected") << value;
     for (const char* value : {"1000", "1764575990000", "1764576001124"})
@@ -148,7 +148,7 @@
         EXPECT_EQ(errorWith("patience", value), "patience: milliseconds were expected") << value;
 }
 
-TEST(RequestDecoder, RefusesNumbersOutOfRange) {
+TEST(RequestDecoder, RejectsNumbersOutOfRange) {
     for (const char* value : {"", "0", "-1", "2000", "nan", "1kb"})
         EXPECT_EQ(errorWith("size", value), "size: kilobytes were expected") << value;
     for (const char* value : {"-1", "nan", "inf", "1e400"})
