--- a/src/net/address.h
+++ b/src/net/address.h
@@ -1,5 +1,5 @@
 /// @file
-/// An IPv4 address with a port, and the one place that reads one from text.
+/// An IPv4 address with a port, and its parser.
 #pragma once
 
 #include <optional>
@@ -15,9 +15,9 @@
 
     bool operator==(const Address&) const = default;
 
-    /// Reads "host:port", for example "127.0.0.1:8080".
-    /// @param lowestPort the smallest port that is accepted; 1 where the address is one to connect to.
-    /// @return nothing when the host is no dotted IPv4 address or the port is not from lowestPort to 65535.
+    /// Parses "host:port", for example "127.0.0.1:8080".
+    /// @param lowestPort the smallest valid port; 1 for an address to connect to.
+    /// @return nothing if the host is not a dotted IPv4 address or the port is not in lowestPort..65535.
     static std::optional<Address> parse(std::string_view text, int lowestPort = 0);
 };
 
--- a/src/net/byte_ring.cpp
+++ b/src/net/byte_ring.cpp
@@ -32,7 +32,7 @@
 }
 
 std::span<char> ByteRing::prepare(std::size_t wanted) {
-    // Without growth what is free in the present storage is offered.
+    // If the ring cannot grow, the free part of the current storage is returned.
     if (size_ + wanted > capacity_ && capacity_ < maxBytes_) static_cast<void>(grow(size_ + wanted));
     if (size_ == capacity_) return {};
     const std::size_t tail = (head_ + size_) % capacity_;
--- a/src/net/byte_ring.h
+++ b/src/net/byte_ring.h
@@ -1,5 +1,5 @@
 /// @file
-/// The buffer of one direction of one connection.
+/// A ring buffer of bytes: the input or the output buffer of a connection.
 #pragma once
 
 #include <cstddef>
@@ -12,54 +12,55 @@
 
 namespace cottonwing::net {
 
-/// A queue of bytes in a ring that grows as needed up to its limit, and within a budget that it may share
-/// with other rings. One that becomes empty releases its storage if that is larger than 16 kB.
+/// A FIFO queue of bytes in a ring buffer, which grows on demand up to its own limit and within a memory
+/// budget that it may share with other rings. When the ring becomes empty, storage larger than 16 kB is
+/// freed.
 ///
-/// Views that it returns are valid until the next call that is not const.
+/// Returned views are valid until the next call of a non-const member function.
 class ByteRing {
 public:
-    /// @param maxBytes that it may hold.
-    /// @param budget counts the capacity of the ring; none: only maxBytes limits it.
+    /// @param maxBytes the largest number of bytes in the ring.
+    /// @param budget charged with the capacity of the ring; if null, only maxBytes limits it.
     explicit ByteRing(std::size_t maxBytes, std::shared_ptr<MemoryBudget> budget = nullptr);
     ~ByteRing();
     ByteRing(const ByteRing&) = delete;
     ByteRing& operator=(const ByteRing&) = delete;
 
-    /// Bytes that it holds.
     std::size_t size() const { return size_; }
     bool empty() const { return size_ == 0; }
-    /// Bytes that it may still take under its own limit; the budget may allow fewer.
+    /// The number of bytes that can still be appended under maxBytes; the budget may allow fewer.
     std::size_t freeBytes() const { return maxBytes_ - size_; }
-    /// Bytes that are allocated.
+    /// The allocated storage in bytes.
     std::size_t capacity() const { return capacity_; }
 
-    /// Appends all of the bytes or, where they don't fit under the limit or the budget, none.
-    /// @return whether they were appended.
+    /// Appends all of the bytes, or none if they exceed the limit or the budget.
+    /// @return whether the bytes were appended.
     bool write(std::string_view bytes);
 
-    /// Free storage behind the last byte, in one piece, which may be shorter than wanted; commit() appends
-    /// what was put there. Empty only when the ring is full or the budget is used up.
+    /// Returns contiguous free storage behind the last byte, for the caller to fill and then commit(). It may
+    /// be shorter than wanted, and is empty only when the ring is full or the budget is exhausted.
     std::span<char> prepare(std::size_t wanted = 1);
 
-    /// Appends the first count bytes of what space() returned.
+    /// Appends the first count bytes of the storage that prepare() returned.
     void commit(std::size_t count) { size_ += count; }
 
-    /// The position of the first such byte at or after from, or size() when there is none.
+    /// The position of the first occurrence of byte at or after from, or size() if there is none.
     std::size_t find(char byte, std::size_t from) const;
 
-    /// The first bytes, as far as they lie in one piece; empty only when the ring is.
+    /// The longest contiguous run of bytes at the front; empty only if the ring is empty.
     std::string_view front() const;
 
-    /// The first count bytes in one piece; they are copied to scratch where they lie in two.
-    /// @param count not more than size().
+    /// The first count bytes as one contiguous view. Bytes that wrap around the end of the storage are copied
+    /// to scratch, which the view then refers to.
+    /// @param count at most size().
     std::string_view peek(std::size_t count, std::string& scratch) const;
 
     /// Removes the first count bytes.
-    /// @param count not more than size().
+    /// @param count at most size().
     void drop(std::size_t count);
 
-    /// Keeps the present storage alive while the system still reads from it, also if the ring grows
-    /// meanwhile.
+    /// Shares ownership of the current storage, so that a pending write can still read from it after the ring
+    /// has grown.
     std::shared_ptr<char[]> pin() const { return storage_; }
 
 private:
@@ -70,7 +71,7 @@
     std::shared_ptr<MemoryBudget> budget_;
     std::shared_ptr<char[]> storage_;
     std::size_t capacity_ = 0;
-    std::size_t head_ = 0;  // position of the first byte in the storage
+    std::size_t head_ = 0;  // offset of the first byte in the storage
     std::size_t size_ = 0;
 };
 
--- a/src/net/channel.cpp
+++ b/src/net/channel.cpp
@@ -13,8 +13,8 @@
 
 namespace {
 
-// A peer ends its side as soon as it reads that we ended ours; one that does not is not waited for any
-// longer.
+// A peer normally closes its side as soon as it reads our end of stream; a peer that does not is not waited
+// for any longer.
 constexpr Duration kCloseTimeout = std::chrono::seconds(1);
 
 }  // namespace
@@ -41,8 +41,8 @@
                            self->loop_.runGuarded([self, status] { self->onConnected(status); });
                        });
     if (error == 0) return;
-    // For example without a descriptor left. Reported at the end of the turn: the caller is still in its
-    // constructor.
+    // For example, no file descriptor is available. Reported at the end of the turn, because the Connection
+    // is still being constructed.
     pendingEnd_ = ConnectionEnd::ConnectRefused;
     requestFlush();
 }
@@ -68,7 +68,7 @@
     if (!output_.empty()) requestFlush();
 }
 
-// A peer that does not read its answers is not read from either: see isOutputHalfFull().
+// A peer that does not read our output is not read from either: see isOutputHalfFull().
 void Channel::resumeReading() {
     if (reading_ || !connected_ || state_ == State::Closed) return;
     const bool closing = state_ == State::Closing;
@@ -94,7 +94,7 @@
 }
 
 void Channel::onRead(ssize_t count) {
-    if (count == 0) return;  // libuv: nothing to read now
+    if (count == 0) return;  // libuv's equivalent of EAGAIN
     if (state_ == State::Closing) return discardInput(count);
     if (count == UV_EOF) return fail(ConnectionEnd::PeerClosed);
     if (count == UV_ENOBUFS) return fail(ConnectionEnd::TooLong);  // the input buffer has no space
@@ -103,7 +103,7 @@
     if (connection_ != nullptr) connection_->handler_.arrived(*connection_);
 }
 
-// While finishing: a request that is read now could not be answered any more.
+// While closing: a request that is read now could no longer be answered.
 void Channel::discardInput(ssize_t count) {
     if (count > 0) {
         input_.commit(static_cast<std::size_t>(count));
@@ -115,8 +115,8 @@
     if (outputShutDown_) close();
 }
 
-// A peer that never stops sending does not hold up the others: its turn ends here, and it is read on after
-// theirs.
+// Keeps a peer that never stops sending from starving the others: it is read again in the next turn, after
+// them.
 void Channel::deferRead() {
     if (readDeferred_ || state_ == State::Closed) return;
     pauseReading();
@@ -127,7 +127,7 @@
 
 void Channel::resumeDeferredRead() {
     inReadQueue_ = false;
-    if (isOutputHalfFull()) return;  // flush() puts it into the queue again when the output is written
+    if (isOutputHalfFull()) return;  // outputWritten() schedules it again once the output is flushed
     readDeferred_ = false;
     resumeReading();
     if (connection_ != nullptr) connection_->handler_.arrived(*connection_);
@@ -158,8 +158,8 @@
     loop_.flushAtEndOfTurn(this);
 }
 
-// Offers the first piece of the output, which may lie in two, to the system. Returns how many bytes it took,
-// or an error of libuv.
+// Writes the first contiguous part of the output without blocking. Returns the number of bytes written or a
+// libuv error code.
 int Channel::tryWrite() {
     const uv_buf_t buffer = bufferOf(output_.front());
     const int taken = uv_try_write(asStream(tcp_), &buffer, 1);
@@ -186,7 +186,7 @@
     outputWritten();
 }
 
-// The system takes nothing more now: libuv writes the first piece when it does.
+// The socket is not writable: libuv writes the first contiguous part when it becomes writable.
 void Channel::startWrite() {
     const std::string_view piece = output_.front();
     const uv_buf_t buffer = bufferOf(piece);
@@ -224,7 +224,8 @@
     state_ = State::Closing;
     readDeferred_ = false;
     closeTimer_ = std::make_unique<Timer>(loop_, [this] { close(); });
-    // One that never opened has nothing to write; it is closed by the timer too, never from within this call.
+    // A connection that was never open has nothing to flush. It is closed by the timer as well, so never from
+    // within this call.
     closeTimer_->start(connected_ ? kCloseTimeout : Duration(0));
     loop_.addClosing(this);
     input_.drop(input_.size());
--- a/src/net/channel.h
+++ b/src/net/channel.h
@@ -14,55 +14,58 @@
 
 namespace cottonwing::net {
 
-/// What of a connection has to outlive the Connection object: libuv uses the handle and the buffers until its
-/// close callback has run, and a connection that ends in order still writes its output when its owner has
-/// gone. A channel is created by its Connection and deletes itself in the close callback.
+/// The part of a connection that outlives the Connection object: libuv uses the handle and the buffers until
+/// the close callback has run, and a connection that closes gracefully still writes its output after the
+/// Connection was destroyed. A channel is created by its Connection and deletes itself in the close callback.
 ///
-/// Any call of the handler may destroy the Connection, and with that close the channel; the channel itself is
-/// deleted only in a later turn.
+/// Any call of the handler may destroy the Connection and thereby close the channel; the channel itself is
+/// deleted only in a later turn of the loop.
 class Channel {
 public:
     Channel(Loop& loop, Connection* connection, const BufferLimits& limits);
 
-    /// Begins to connect. A failure is reported to the handler at the end of the turn.
+    /// Starts to connect. A failure is reported to the handler at the end of the turn or later, never from
+    /// within this call.
     void connect(const Address& address);
-    /// Takes over the connection that waits at the listener. Closes the channel when it throws.
+    /// Accepts the pending connection of the listener.
+    /// @throws std::runtime_error after closing the channel, if the system call fails.
     void accept(ListenerHandle& listener);
 
-    /// Appends to the output, which is written at the end of the turn. Where it does not fit the connection
-    /// ends there instead, with ConnectionEnd::TooLong.
+    /// Appends to the output, which is written at the end of the turn. If the bytes do not fit, the
+    /// connection ends at that point instead, with ConnectionEnd::TooLong.
     void send(std::string_view bytes);
-    /// Writes what the system takes at once. Unlike flush() it reports no error.
+    /// Writes as much output as the socket accepts without blocking. Unlike flush(), reports no errors and
+    /// does not schedule the rest.
     void tryFlush();
-    /// Writes what the system takes now, and goes on when it takes more; called at the end of a turn.
+    /// Writes the output, the rest of it as soon as the socket becomes writable. Called at the end of a turn.
     void flush();
 
-    /// Stops reading until the next turn, in which the handler is called even if no byte arrives.
+    /// Pauses reading until the next turn, in which arrived() is called even if no more bytes were received.
     void deferRead();
-    /// The loop's answer to deferRead(), in the next turn.
+    /// Called by the loop in the turn after deferRead().
     void resumeDeferredRead();
-    /// Nothing more is read for the handler.
+    /// Stops reading for good.
     void stopInput();
 
-    /// Ends in order, without an owner from here on (see Connection::closeGracefully).
+    /// Detaches from the Connection and closes gracefully (see Connection::closeGracefully()).
     void closeGracefully(std::function<void()> onClosed);
-    /// Closes the handle at once; a second call does nothing.
+    /// Closes the handle at once. Idempotent.
     void close();
 
     ByteRing& input() { return input_; }
     const ByteRing& output() const { return output_; }
-    /// Whether more of the output buffer is used than free.
+    /// Whether more than half of the output buffer is in use.
     bool isOutputHalfFull() const { return output_.size() > output_.freeBytes(); }
     bool isConnected() const { return connected_; }
-    /// Whether bytes wait in the system that no turn has read yet.
+    /// Whether the socket's receive buffer holds bytes that have not been read yet.
     bool hasUnreadBytes() const;
 
 private:
     enum class State {
-        Connecting,  // no byte can be read or written yet
+        Connecting,  // not readable or writable yet
         Open,
-        Closing,  // its owner has gone: the output is written, the input dropped
-        Closed    // waits for libuv's close callback
+        Closing,  // detached from its Connection: output is written, input discarded
+        Closed    // waiting for libuv's close callback
     };
 
     ~Channel() = default;
@@ -85,28 +88,28 @@
     uv_write_t writeRequest_;
     uv_shutdown_t shutdownRequest_;
     Loop& loop_;
-    Connection* connection_;  // none while finishing or closed
+    Connection* connection_;  // null while closing or closed
     ByteRing input_;
     ByteRing output_;
 
     State state_ = State::Connecting;
-    bool connected_ = false;                   // it has been open, and stays true
-    std::optional<ConnectionEnd> pendingEnd_;  // a failure that flush() reports
+    bool connected_ = false;                   // stays true once the connection was open
+    std::optional<ConnectionEnd> pendingEnd_;  // a failure for flush() to report
 
     bool reading_ = false;
     bool readDeferred_ = false;               // until the next turn
-    bool inReadQueue_ = false;                // the loop will call resumeDeferredRead()
-    bool inputStopped_ = false;               // for good
-    bool inFlushQueue_ = false;               // the loop will call flush()
-    bool writePending_ = false;               // the system took less than all; libuv writes the rest
-    std::size_t pendingBytes_ = 0;            // of that write
-    std::shared_ptr<char[]> pendingStorage_;  // that it reads from
-
-    // While finishing.
+    bool inReadQueue_ = false;                // resumeDeferredRead() is scheduled
+    bool inputStopped_ = false;               // permanently
+    bool inFlushQueue_ = false;               // flush() is scheduled
+    bool writePending_ = false;               // the socket was not writable; libuv writes when it is
+    std::size_t pendingBytes_ = 0;            // size of that write
+    std::shared_ptr<char[]> pendingStorage_;  // the storage that it reads from
+
+    // While closing gracefully.
     bool shutdownRequested_ = false;
-    bool outputShutDown_ = false;  // our side of the connection is closed, behind the last byte of output
-    bool peerClosed_ = false;      // so is the peer's
-    std::unique_ptr<Timer> closeTimer_;  // limits the wait for the peer's end
+    bool outputShutDown_ = false;        // our side is shut down, after the last byte of output
+    bool peerClosed_ = false;            // the peer has shut down its side
+    std::unique_ptr<Timer> closeTimer_;  // limits the wait for the peer to close
     std::function<void()> onClosed_;
 };
 
--- a/src/net/clock.h
+++ b/src/net/clock.h
@@ -1,13 +1,13 @@
 /// @file
-/// The clock that all points in time of the program refer to.
+/// The clock of all timestamps in the program.
 #pragma once
 
 #include "overload/types.h"
 
 namespace cottonwing::net {
 
-/// Nanoseconds since the Unix epoch, by the system's clock. Deadlines on the wire are points on this clock;
-/// it may be set back, so code that needs a time that never decreases has to guard against that.
+/// Nanoseconds since the Unix epoch, read from the system clock. Deadlines on the wire refer to this clock.
+/// It may be set back, so code that relies on monotonic time has to guard against that.
 Duration unixNow();
 
 }  // namespace cottonwing::net
--- a/src/net/connection.h
+++ b/src/net/connection.h
@@ -1,5 +1,5 @@
 /// @file
-/// A TCP connection with one buffer for each direction.
+/// A TCP connection with an input and an output buffer.
 #pragma once
 
 #include <functional>
@@ -19,84 +19,86 @@
 class Channel;
 class Connection;
 
-/// What the buffers of a connection may hold.
+/// The capacity limits of a connection's buffers.
 struct BufferLimits {
     std::size_t inputBytes;
     std::size_t outputBytes;
-    std::shared_ptr<MemoryBudget> budget = nullptr;  ///< shared with other connections; none: no common limit
+    std::shared_ptr<MemoryBudget> budget = nullptr;  ///< shared with other connections; null: no shared limit
 };
 
-/// Hears of the events of a connection. Each function is called from the loop and may destroy the connection.
-/// One handler may serve several connections.
+/// Receives the events of a connection. Each function is called from the event loop and may destroy the
+/// connection. One handler may serve several connections.
 class ConnectionHandler {
 public:
     virtual ~ConnectionHandler() = default;
 
-    /// Bytes were added to the connection's input, or deferRead() asked for this call. What the handler
-    /// does not drop from the input stays there.
+    /// Called when bytes were added to the connection's input, or as requested by deferRead(). Bytes that the
+    /// handler does not drop from the input stay there.
     virtual void arrived(Connection& connection) = 0;
 
-    /// The connection has ended by itself; the handler destroys it. Called once, and never because the owner
-    /// destroyed or finished the connection.
+    /// Called when the peer or an error has ended the connection; the handler has to destroy it. Called at
+    /// most once, and never after the owner has destroyed the connection or called closeGracefully().
     virtual void ended(Connection& connection, ConnectionEnd end) = 0;
 };
 
-/// A connection that its owner ends by destroying it or by closeGracefully().
+/// A TCP connection. The owner closes it at once by destroying it, or gracefully with closeGracefully().
 class Connection {
 public:
-    /// Begins to connect. A failure is reported by ended(), never from within the constructor. Bytes may be
-    /// sent at once; they are written when the connection has opened.
-    /// @param handler has to outlive the connection.
+    /// Starts to connect. A failure is reported through ConnectionHandler::ended(), never from within the
+    /// constructor. send() may be called immediately; the bytes are written once the connection is open.
+    /// @param handler must outlive the connection.
     Connection(Loop& loop, const Address& to, ConnectionHandler& handler, const BufferLimits& limits);
 
-    /// Accepts a connection that waits at a listener.
-    /// @throws std::runtime_error when the system refuses.
+    /// Accepts a pending connection of a listener.
+    /// @throws std::runtime_error if the system call fails.
     Connection(Loop& loop, PendingConnection socket, ConnectionHandler& handler, const BufferLimits& limits);
 
-    /// Closes at once; the handler hears nothing. Output that is not written yet is lost. Over bytes that
-    /// were not read the system resets the connection, which takes what the peer has yet to read with it.
+    /// Closes at once, without calling the handler. Output that is not written yet is lost. If received bytes
+    /// were not read, the system resets the connection, which also discards output that the peer has not read
+    /// yet.
     ~Connection();
     Connection(const Connection&) = delete;
     Connection& operator=(const Connection&) = delete;
 
-    /// Bytes that have been read and not dropped yet. The connection reads on while there is space.
+    /// Received bytes that have not been dropped yet. Reading continues while the buffer has space.
     ByteRing& input();
     const ByteRing& input() const;
-    /// Bytes that wait to be written.
+    /// Bytes that have not been written yet.
     const ByteRing& output() const;
 
-    /// Appends to the output, which is written at the end of the turn. When it does not fit into the output
-    /// buffer, the connection ends there instead, with ConnectionEnd::TooLong.
+    /// Appends to the output, which is written at the end of the turn. If the bytes do not fit into the
+    /// output buffer, the connection ends at that point instead, with ConnectionEnd::TooLong.
     void send(std::string_view bytes);
 
-    /// Ends this connection's share of the turn: arrived() is called again in the next turn, also if nothing
-    /// more arrives, after other connections have had theirs.
+    /// Pauses reading until the next turn, so that other connections are served first. arrived() is called
+    /// again in that turn, even if no more bytes were received.
     void deferRead();
 
-    /// Nothing more is read, for good. Output is still written.
+    /// Stops reading for good. Output is still written.
     void stopReading();
 
-    /// Whether bytes wait in the system that no turn has read yet.
+    /// Whether the socket's receive buffer holds bytes that have not been read yet.
     bool hasUnreadBytes() const;
 
-    /// Writes what the system takes at once, for use just before the connection is destroyed.
+    /// Writes as much output as the socket accepts without blocking, for use just before the connection is
+    /// destroyed. Errors are not reported.
     void tryFlush();
 
-    /// Ends the connection in order. It is the last call: the object is only to be destroyed after it. The
-    /// rest of the output is written, then our side is closed; input is dropped until the peer closes its
-    /// side too, for 1 second at most.
-    /// @param done runs from the loop when the descriptor is free again.
+    /// Closes the connection gracefully: writes the remaining output, shuts down our side, then discards
+    /// input until the peer closes its side, for at most 1 second. After this call the object may only be
+    /// destroyed; destroying it does not interrupt the graceful close.
+    /// @param done called from the loop once the descriptor has been released.
     void closeGracefully(std::function<void()> done);
 
-    /// Whether more of the output buffer is used than free. Until that changes nothing is read.
+    /// Whether more than half of the output buffer is in use. While it is, nothing is read.
     bool isOutputHalfFull() const;
 
-    /// Whether it has opened.
+    /// Whether the connection has been established.
     bool isOpen() const;
 
 private:
     friend class Channel;
-    Channel* channel_;  // deletes itself once it is closed; none after closeGracefully()
+    Channel* channel_;  // deletes itself once it is closed; null after closeGracefully()
     ConnectionHandler& handler_;
 };
 
--- a/src/net/connection_end.cpp
+++ b/src/net/connection_end.cpp
@@ -30,7 +30,7 @@
     switch (end) {
         case ConnectionEnd::ConnectRefused:
         case ConnectionEnd::ConnectTimedOut:
-            return Outcome::Unreachable;  // no byte of the call left this process
+            return Outcome::Unreachable;  // no byte of the call was sent
         case ConnectionEnd::TimedOut:
             return Outcome::TimedOut;
         case ConnectionEnd::Abandoned:
@@ -43,7 +43,7 @@
         case ConnectionEnd::Unused:
             break;
     }
-    return Outcome::ConnectionLost;  // the call may have had its effect
+    return Outcome::ConnectionLost;  // the call may have taken effect
 }
 
 }  // namespace cottonwing::net
--- a/src/net/connection_end.h
+++ b/src/net/connection_end.h
@@ -1,31 +1,31 @@
 /// @file
-/// The ways in which a connection can end, and what each means for a call that was out on it. The one type
-/// for it: servers, clients, log and counters all use it.
+/// The reasons for which a connection ends, and the outcome that each implies for a call in flight on it.
+/// Shared by servers, clients, logs and counters.
 #pragma once
 
 #include "overload/types.h"
 
 namespace cottonwing::net {
 
-/// Why a connection ended. The order is that of the counters in the printed line.
+/// Why a connection ended. The order is that of the counters in the printed counter line.
 enum class ConnectionEnd {
-    PeerClosed,       ///< the peer closed it in order
-    Reset,            ///< it broke while it was open
-    ConnectRefused,   ///< it never opened
-    ConnectTimedOut,  ///< it did not open in time
-    TimedOut,         ///< closed by us: the wait for the peer was over
-    Abandoned,        ///< closed by us: nobody wants the answer any more
-    Malformed,        ///< closed by us: bytes that can't be read
-    TooLong,          ///< closed by us: more bytes than its buffer may hold
-    Unused            ///< closed by us: idle, or its place was needed
+    PeerClosed,       ///< the peer closed it gracefully
+    Reset,            ///< it failed while it was open
+    ConnectRefused,   ///< it could not be established
+    ConnectTimedOut,  ///< it was not established in time
+    TimedOut,         ///< closed by us: the peer did not act in time
+    Abandoned,        ///< closed by us: the response is no longer needed
+    Malformed,        ///< closed by us: malformed input
+    TooLong,          ///< closed by us: more bytes than the buffer limit allows
+    Unused            ///< closed by us: idle, or evicted for a new connection
 };
 
 inline constexpr int kConnectionEnds = static_cast<int>(ConnectionEnd::Unused) + 1;
 
-/// The name in log lines and counters, such as "peer-closed".
+/// The name in log lines and counters, for example "peer-closed".
 const char* nameOf(ConnectionEnd end);
 
-/// The one place where the end of a connection becomes the outcome of a call that waited for its answer.
+/// The outcome of a call that was waiting for its response when the connection ended.
 Outcome outcomeOf(ConnectionEnd end);
 
 }  // namespace cottonwing::net
--- a/src/net/http_response_parser.cpp
+++ b/src/net/http_response_parser.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-constexpr std::size_t kMaxBytes = 65536;  // of all headers, and of the body
+constexpr std::size_t kMaxBytes = 65536;  // of the headers together, and of the body
 constexpr int kMaxInterimResponses = 8;
 
-// Results of the callbacks of http_parser: it fails on any other value.
+// Return values of http_parser callbacks: 0 continues, -1 makes http_parser_execute() fail.
 constexpr int kContinue = 0;
 constexpr int kFail = -1;
 
@@ -61,7 +61,7 @@
     inHeaderValue_ = false;
 }
 
-// A name or a value may arrive in several parts.
+// A header name or value may arrive in several parts.
 int HttpResponseParser::addHeaderName(std::string_view part) {
     std::string& headers = response_.headers;
     if (inHeaderValue_) headers += '\n';
@@ -79,8 +79,8 @@
     return append(response_.headers, part);
 }
 
-// A body that claims gigabytes is given up at its headers rather than read; one that ends with its connection
-// can't be told from one that was cut.
+// A body that is too long according to Content-Length is rejected before it is read. A body that is delimited
+// by the end of the connection is rejected, because it can't be told from a truncated one.
 int HttpResponseParser::endHeaders() {
     response_.headers += '\n';
     const bool hasLength = parser_.content_length != ULLONG_MAX;
@@ -93,7 +93,7 @@
 void HttpResponseParser::endResponse() {
     response_.status = static_cast<int>(parser_.status_code);
     response_.keepAlive = http_should_keep_alive(&parser_) != 0;
-    // Leaves http_parser_execute() at once: onResponse may destroy the parser.
+    // Makes http_parser_execute() return immediately, because onResponse may destroy the parser.
     http_parser_pause(&parser_, 1);
 }
 
@@ -106,7 +106,7 @@
         if (error != HPE_PAUSED || upgrade) return false;
 
         bytes.remove_prefix(taken);
-        // Each response is read afresh, whatever the one before it said of the connection.
+        // Reset, because the state of the previous response (such as Connection: close) must not carry over.
         http_parser_init(&parser_, HTTP_RESPONSE);
         if (isInterim()) {
             if (++interimResponses_ > kMaxInterimResponses) return false;
--- a/src/net/http_response_parser.h
+++ b/src/net/http_response_parser.h
@@ -1,5 +1,5 @@
 /// @file
-/// Reads the responses of an HTTP/1.1 server as their bytes arrive.
+/// An incremental parser of HTTP/1.1 responses.
 #pragma once
 
 #include <http_parser.h>
@@ -10,8 +10,8 @@
 
 namespace cottonwing::net {
 
-/// Parses the responses that arrive on one connection, one after the other. Interim responses (1xx) in front
-/// of a response are skipped, 8 at most. Headers and body are limited to 64 kB each.
+/// Parses the successive responses on one connection. Skips up to 8 interim responses (1xx) before each
+/// response. The headers and the body are limited to 64 kB each.
 class HttpResponseParser {
 public:
     /// A complete response.
@@ -19,23 +19,24 @@
         int status = 0;
         bool keepAlive = true;  ///< whether the connection may be used for another request
         std::string body;
-        std::string headers;  ///< "\nname:value" for each header and "\n" at the end; names in lower case
+        std::string headers;  ///< "\nname:value" for each header, then "\n"; names in lower case
 
-        /// Whether a header has exactly this value.
+        /// Whether there is a header with exactly this value.
         /// @param header the name in lower case.
         bool hasHeader(std::string_view header, std::string_view value) const;
     };
 
-    /// @param onResponse hears of each complete response from within parse(), which returns after it: it may
-    ///        destroy the parser.
+    /// @param onResponse called with each complete response from within parse(), which returns right after
+    /// it;
+    ///        it may destroy the parser.
     explicit HttpResponseParser(std::function<void(Response&&)> onResponse);
     HttpResponseParser(const HttpResponseParser&) = delete;
     HttpResponseParser& operator=(const HttpResponseParser&) = delete;
 
-    /// Reads the next bytes of the connection.
-    /// @return false when they are no response, one that is too long or one that does not say where it ends:
-    ///         the connection is of no more use. Bytes behind a complete response belong to no request: the
-    ///         response counts, with keepAlive false, and they are dropped.
+    /// Parses the next bytes of the connection.
+    /// @return false if the response is malformed, too long or of unspecified length; the connection can then
+    ///         no longer be used. Bytes that follow a complete response belong to no request: the response is
+    ///         delivered with keepAlive false, and the bytes are dropped.
     bool parse(std::string_view bytes);
 
 private:
@@ -53,9 +54,9 @@
     http_parser parser_;
     http_parser_settings callbacks_;
     std::function<void(Response&&)> onResponse_;
-    Response response_;           // that is being read
-    bool inHeaderValue_ = false;  // of the header that was read last
-    int interimResponses_ = 0;    // skipped in front of this response
+    Response response_;           // that is being parsed
+    bool inHeaderValue_ = false;  // the last header element that was parsed is a value
+    int interimResponses_ = 0;    // skipped before the current response
 };
 
 }  // namespace cottonwing::net
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -10,14 +10,14 @@
 
 namespace {
 
-constexpr int kBacklogConnections = 511;  // that the system holds for us
+constexpr int kBacklogConnections = 511;  // the length of the system's accept queue
 
 }  // namespace
 
 void ListenerHandle::acceptPendingUnlessFull() {
     hasPendingConnection = isFull();
-    // A connection that is not accepted stays in the system's queue, and libuv does not ask the system for
-    // more until it is.
+    // A connection that is not accepted stays in the system's accept queue, and libuv stops polling the
+    // listening socket until it is accepted.
     if (!hasPendingConnection) onConnection(PendingConnection(*this));
 }
 
@@ -30,7 +30,7 @@
     int error = uv_tcp_bind(&handle_->tcp, reinterpret_cast<const sockaddr*>(&bindTo), 0);
     if (error == 0) {
         error = uv_listen(asStream(handle_->tcp), kBacklogConnections, [](uv_stream_t* stream, int status) {
-            if (status != 0) return;  // out of descriptors: libuv has dropped the connection that waited
+            if (status != 0) return;  // no descriptors left: libuv has closed the pending connection
             auto* handle = static_cast<ListenerHandle*>(stream->data);
             Loop::of(stream->loop).runGuarded([handle] { handle->acceptPendingUnlessFull(); });
         });
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -11,8 +11,9 @@
 
 struct ListenerHandle;
 
-/// A connection that waits at a listener. Valid only during the listener's callback, which passes it to the
-/// constructor of one Connection; one that is not taken stays in the system's queue.
+/// A connection in the listener's backlog that is ready to be accepted. Valid only during the listener's
+/// callback, which passes it to the constructor of one Connection; otherwise the connection stays in the
+/// system's accept queue.
 class PendingConnection {
 private:
     friend class Connection;
@@ -22,26 +23,27 @@
     ListenerHandle* listener_;
 };
 
-/// Listens on an address while it exists.
+/// Listens on an address for as long as the object exists.
 class Listener {
 public:
-    /// @param address port 0 lets the system choose; port() says which it took.
-    /// @param onConnection runs on the loop for each connection that waits, unless isFull() holds.
-    /// @param isFull whether there is no place for another connection. It may close connections to make
-    ///        place. While it returns true, connections wait in the system until resume() is called.
-    /// @throws std::runtime_error when the address can't be bound.
+    /// @param address with port 0 the system chooses the port; see port().
+    /// @param onConnection called from the loop for each pending connection, unless isFull() returns true.
+    /// @param isFull whether no further connection can be accepted. It may close connections to make room.
+    ///        When it returns true, new connections stay in the system's accept queue until resume() is
+    ///        called.
+    /// @throws std::runtime_error if the address can't be bound.
     Listener(Loop& loop, const Address& address, std::function<void(PendingConnection)> onConnection,
              std::function<bool()> isFull);
-    /// Stops listening. Connections that wait in the system are reset by it.
+    /// Stops listening. The system resets the connections that are still in its accept queue.
     ~Listener();
     Listener(const Listener&) = delete;
     Listener& operator=(const Listener&) = delete;
 
-    /// Asks isFull() again and accepts a connection that waits; does nothing when none had to wait. Not to be
-    /// called from within isFull().
+    /// Calls isFull() again and accepts the pending connection if there is room. Does nothing if no
+    /// connection was held back. Must not be called from within isFull().
     void resume();
 
-    /// The port that it listens on.
+    /// The port on which it listens.
     int port() const;
 
 private:
--- a/src/net/listener_handle.h
+++ b/src/net/listener_handle.h
@@ -1,5 +1,5 @@
 /// @file
-/// Internal to net: the handle behind a Listener, which Connection accepts from.
+/// Internal to net: the libuv handle behind a Listener, from which a Channel accepts.
 #pragma once
 
 #include <uv.h>
@@ -14,7 +14,7 @@
     uv_tcp_t tcp;
     std::function<void(PendingConnection)> onConnection;
     std::function<bool()> isFull;
-    bool hasPendingConnection = false;  // not accepted, because isFull() held
+    bool hasPendingConnection = false;  // held back because isFull() returned true
 
     void acceptPendingUnlessFull();
 };
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -11,13 +11,13 @@
 
 struct Loop::Handles {
     uv_loop_t loop;
-    uv_prepare_t prepare;  // fires just before the loop waits: the end of the turn
-    uv_check_t check;      // fires just after the sockets were looked at
-    uv_idle_t idle;  // keeps the loop from waiting while connections have input that is still to be read
+    uv_prepare_t prepare;  // runs just before the loop polls: the end of the turn
+    uv_check_t check;      // runs just after the loop has polled
+    uv_idle_t idle;        // keeps the loop from blocking while reads are deferred
 };
 
 Loop::Loop() : handles_(std::make_unique<Handles>()) {
-    std::signal(SIGPIPE, SIG_IGN);  // a write to a connection that the peer has closed reports it instead
+    std::signal(SIGPIPE, SIG_IGN);  // a write to a closed connection fails with EPIPE instead
     if (const int error = uv_loop_init(&handles_->loop); error != 0)
         throw std::runtime_error(std::string("loop: ") + uv_strerror(error));
     handles_->loop.data = this;
@@ -26,7 +26,7 @@
     handles_->prepare.data = this;
     uv_prepare_start(&handles_->prepare,
                      [](uv_prepare_t* handle) { static_cast<Loop*>(handle->data)->endTurn(); });
-    uv_unref(asHandle(handles_->prepare));  // on its own it is no reason to go on
+    uv_unref(asHandle(handles_->prepare));  // does not keep the loop running
 
     uv_check_init(&handles_->loop, &handles_->check);
     handles_->check.data = this;
@@ -60,7 +60,7 @@
     runGuarded([this] {
         if (onTurnEnd_) onTurnEnd_();
     });
-    // A channel that fails here may remove others from the list, or add some.
+    // A channel that fails here may remove other channels from the list or add some.
     while (!toFlush_.empty()) {
         Channel* const channel = toFlush_.back();
         toFlush_.pop_back();
@@ -73,7 +73,7 @@
     uv_check_start(&handles_->check, [](uv_check_t* handle) {
         auto* self = static_cast<Loop*>(handle->data);
         uv_check_stop(handle);
-        // Taken out first: a callback may ask for another one, which is for the next poll.
+        // Moved out first: a callback that calls afterPoll() again is scheduled for the next poll.
         for (const auto& callback : std::exchange(self->afterPoll_, {})) self->runGuarded(callback);
     });
 }
@@ -85,7 +85,8 @@
                   [](uv_idle_t* handle) { static_cast<Loop*>(handle->data)->resumeDeferredReads(); });
 }
 
-// Handles each channel that is in the list now once; what a channel adds is for the next turn.
+// Handles each channel that is in the list at the start once; channels that are added meanwhile are handled
+// in the next turn.
 void Loop::resumeDeferredReads() {
     for (std::size_t left = toRead_.size(); left > 0 && !toRead_.empty(); --left) {
         Channel* const channel = toRead_.front();
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -1,7 +1,7 @@
 /// @file
-/// The event loop. One turn: timers fire and sockets are read; then the turn's callback runs once; then each
-/// connection with output is written once; then the loop waits for the next event. There is one thread: every
-/// callback runs on the loop, and none may block.
+/// The event loop. Each turn (iteration) fires timers and reads from sockets, then runs the callback of
+/// onTurnEnd() once, then flushes each connection with output, then waits for the next event. The loop is
+/// single-threaded: all callbacks run on it, and none may block.
 #pragma once
 
 #include <exception>
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "net/clock.h"
-#include "net/timer.h"  // for those that name timers and include only this
+#include "net/timer.h"  // for users of timers that include only this header
 
 struct uv_loop_s;  // of libuv
 
@@ -20,43 +20,43 @@
 
 class Channel;
 
-/// An event loop. Everything that refers to it (timers, listeners, connections) has to be destroyed first;
-/// connections that are still finishing are closed by the destructor.
+/// An event loop. Everything that refers to it (timers, listeners, connections) must be destroyed first;
+/// connections that are still closing gracefully are closed by the destructor.
 class Loop {
 public:
-    /// @throws std::runtime_error when the system has no descriptors left for it.
+    /// @throws std::runtime_error if no file descriptor is available.
     Loop();
     ~Loop();
     Loop(const Loop&) = delete;
     Loop& operator=(const Loop&) = delete;
 
-    /// Sets the callback that runs once a turn, after the events of the turn have been read.
+    /// Sets the callback that runs once per turn, after the events of the turn have been handled.
     void onTurnEnd(std::function<void()> callback) { onTurnEnd_ = std::move(callback); }
 
-    /// Sets the callback that hears what() of each exception that a callback threw. No exception may pass
-    /// through libuv, which is a C library; the loop goes on.
+    /// Sets the callback that receives what() of each exception that a callback has thrown. Exceptions must
+    /// not propagate through libuv, which is a C library; the loop continues after them.
     void onUncaughtException(std::function<void(const std::string&)> callback) {
         onUncaughtException_ = std::move(callback);
     }
 
-    /// Turns until stop() is called or nothing is left to wait for.
+    /// Runs until stop() is called or there is nothing left to wait for.
     void run();
 
-    /// One turn, which waits for something to happen. Without a timer, listener or connection to wait for it
-    /// does nothing.
+    /// Runs one turn, which blocks until there is an event. Does nothing if there is no timer, listener or
+    /// connection to wait for.
     void runOnce();
 
-    /// The same without waiting.
+    /// Runs one turn without blocking.
     void runWithoutWaiting();
 
-    /// Ends run() after the present turn. May be called from any callback.
+    /// Makes run() return after the current turn. May be called from any callback.
     void stop();
 
-    /// Calls next once, after the sockets have next been looked at: whatever had arrived in the system before
-    /// this call has been handled by then. May be called from any callback, from next too.
+    /// Calls next once, after the next poll of the sockets: whatever the system had received before this call
+    /// has been handled by then. May be called from any callback, including next.
     void afterPoll(std::function<void()> next);
 
-    /// Runs work and passes on what it throws to the callback of onTrouble().
+    /// Runs work and passes exceptions that it throws to the callback of onUncaughtException().
     template <typename Work>
     void runGuarded(Work&& work) noexcept {
         try {
@@ -66,15 +66,15 @@
         }
     }
 
-    /// The loop of libuv, for the few classes outside net that bring handles of their own to it.
+    /// The underlying libuv loop, for the few classes outside net that register their own handles.
     uv_loop_s* uvLoop();
 
-    /// The loop that owns the given loop of libuv.
+    /// The Loop that owns the given libuv loop.
     static Loop& of(const uv_loop_s* raw);
 
 private:
     friend class Channel;
-    struct Handles;  // of libuv
+    struct Handles;  // libuv handles
 
     void endTurn();
     void resumeDeferredReads();
@@ -88,10 +88,10 @@
     std::unique_ptr<Handles> handles_;
     std::function<void()> onTurnEnd_;
     std::function<void(const std::string&)> onUncaughtException_;
-    std::vector<std::function<void()>> afterPoll_;  // emptied by the next poll
-    std::vector<Channel*> toFlush_;                 // with output; emptied at the end of each turn
-    std::vector<Channel*> toRead_;   // with more input than one turn may read; emptied by the next turn
-    std::vector<Channel*> closing_;  // without an owner; emptied when the peer ends or the timeout passes
+    std::vector<std::function<void()>> afterPoll_;  // run after the next poll
+    std::vector<Channel*> toFlush_;                 // have output; emptied at the end of each turn
+    std::vector<Channel*> toRead_;                  // deferred reading; emptied in the next turn
+    std::vector<Channel*> closing_;  // closing gracefully; removed when the peer closes or the timeout passes
 };
 
 }  // namespace cottonwing::net
--- a/src/net/memory_budget.h
+++ b/src/net/memory_budget.h
@@ -1,5 +1,5 @@
 /// @file
-/// A limit on memory that several buffers share.
+/// A memory limit that several buffers share.
 #pragma once
 
 #include <cstddef>
@@ -7,7 +7,7 @@
 
 namespace cottonwing::net {
 
-/// What the buffers of one kind of connection may allocate together, and what they have allocated.
+/// The limit on the total allocation of a group of buffers, and their current allocation.
 struct MemoryBudget {
     std::size_t limitBytes = SIZE_MAX;
     std::size_t usedBytes = 0;
--- a/src/net/signal.h
+++ b/src/net/signal.h
@@ -1,5 +1,5 @@
 /// @file
-/// Signals of the system as events of the loop.
+/// POSIX signals as events of the loop.
 #pragma once
 
 #include <functional>
@@ -8,12 +8,12 @@
 
 namespace cottonwing::net {
 
-/// Handles one signal number while it exists. It does not keep the loop running on its own. When the last
-/// handler of a number is destroyed the system's default action applies again.
+/// Handles one signal number for as long as the object exists. It does not keep the loop running by itself.
+/// When the last handler of a signal number is destroyed, the default action applies again.
 class Signal {
 public:
-    /// @param number a signal number such as SIGTERM.
-    /// @param onSignal runs on the loop, not in the signal handler of the system: it may do anything.
+    /// @param number a signal number, for example SIGTERM.
+    /// @param onSignal runs on the loop, not in signal-handler context: it need not be async-signal-safe.
     Signal(Loop& loop, int number, std::function<void()> onSignal);
     ~Signal();
     Signal(const Signal&) = delete;
--- a/src/net/timer.cpp
+++ b/src/net/timer.cpp
@@ -11,15 +11,15 @@
 
 namespace {
 
-constexpr std::uint64_t kMaxDelayMillis = 10;  // beyond this the process has stood still
-constexpr std::uint64_t kRearmMillis = 1;      // how soon to look again when it must not fire yet
+constexpr std::uint64_t kMaxDelayMillis = 10;  // a longer delay means that the process was stalled
+constexpr std::uint64_t kRearmMillis = 1;      // delay until the next check when it must not fire yet
 
 }  // namespace
 
 struct Timer::Handle {
     uv_timer_t timer;
     std::function<void()> onFire;
-    std::uint64_t dueMillis = 0;  // on the loop's clock; 0 once the sockets were read after a stand-still
+    std::uint64_t dueMillis = 0;  // on the loop's clock; 0 once the delay was checked
     std::chrono::steady_clock::time_point notBefore{};
 };
 
@@ -46,9 +46,10 @@
 }
 
 void Timer::fire(Handle& handle) {
-    // The loop's clock is cut to whole milliseconds: counted from its present value, some waits are too
-    // short.
+    // The loop's clock is truncated to whole milliseconds, so libuv may fire a fraction of a millisecond
+    // early.
     if (std::chrono::steady_clock::now() < handle.notBefore) return arm(handle, kRearmMillis);
+    // After a stall the sockets are read before the timer fires.
     const std::uint64_t dueMillis = std::exchange(handle.dueMillis, 0);
     if (dueMillis > 0 && uv_now(handle.timer.loop) > dueMillis + kMaxDelayMillis)
         return arm(handle, kRearmMillis);
--- a/src/net/timer.h
+++ b/src/net/timer.h
@@ -1,5 +1,5 @@
 /// @file
-/// A timer on the loop that fires once for each start.
+/// A one-shot timer on the event loop.
 #pragma once
 
 #include <cstdint>
@@ -11,24 +11,24 @@
 
 class Loop;
 
-/// Fires once, at or after the time asked for: whole milliseconds, counted from the present time (not from
-/// the loop's cached time) and rounded up. When it would fire more than 10 ms late, the process has stood
-/// still: the sockets are read first, because what lies there arrived in time, and the timer fires after
-/// that.
+/// Fires once per start, never early. The wait is rounded up to whole milliseconds and counted from the
+/// actual time, not from the loop's cached time. A timer that would fire more than 10 ms late indicates that
+/// the process was stalled: the sockets are read first, because data that arrived in time may still be
+/// unread, and the timer fires after that.
 class Timer {
 public:
-    /// Does not start the timer. The callback runs on the loop; it may start, stop or destroy the timer.
+    /// Does not start the timer. The callback runs on the loop and may start, stop or destroy the timer.
     Timer(Loop& loop, std::function<void()> onFire);
     /// Stops the timer.
     ~Timer();
     Timer(const Timer&) = delete;
     Timer& operator=(const Timer&) = delete;
 
-    /// Fires after wait, which replaces an earlier start that has not fired. A wait of 0 or less fires in the
-    /// next turn, never from within this call.
+    /// Schedules the timer to fire after wait; replaces an earlier start that has not fired yet. With a wait
+    /// of 0 or less it fires in the next turn, never from within this call.
     void start(Duration wait);
 
-    /// Cancels the start; without one it does nothing.
+    /// Cancels a pending start, if any.
     void stop();
 
 private:
--- a/src/net/uv_support.h
+++ b/src/net/uv_support.h
@@ -1,5 +1,5 @@
 /// @file
-/// Internal to net: the conversions that libuv needs, in one place.
+/// Internal to net: conversions for libuv.
 #pragma once
 
 #include <uv.h>
@@ -10,10 +10,10 @@
 
 namespace cottonwing::net {
 
-/// The stream that a TCP handle is.
+/// A TCP handle as its base type.
 inline uv_stream_t* asStream(uv_tcp_t& tcp) { return reinterpret_cast<uv_stream_t*>(&tcp); }
 
-/// The handle that any of libuv's handle types is.
+/// Any libuv handle as its base type.
 template <typename UvHandle>
 uv_handle_t* asHandle(UvHandle& handle) {
     return reinterpret_cast<uv_handle_t*>(&handle);
@@ -26,12 +26,12 @@
     uv_close(handle, [](uv_handle_t* closed) { delete static_cast<Container*>(closed->data); });
 }
 
-/// A buffer for writing. libuv does not change the bytes, although its type says that it could.
+/// A buffer for writing. libuv does not modify the bytes, although uv_buf_t is not const.
 inline uv_buf_t bufferOf(std::string_view bytes) {
     return uv_buf_init(const_cast<char*>(bytes.data()), static_cast<unsigned>(bytes.size()));
 }
 
-/// @throws std::runtime_error when the host is no dotted IPv4 address.
+/// @throws std::runtime_error if the host is not a dotted IPv4 address.
 sockaddr_in socketAddress(const Address& address);
 
 }  // namespace cottonwing::net
--- a/src/thrift/binary_protocol.h
+++ b/src/thrift/binary_protocol.h
@@ -1,6 +1,6 @@
 /// @file
-/// Thrift's strict binary protocol in framed transport, its bytes alone: what the server's side and a
-/// client's side are both made of. Pure. All numbers are in network byte order.
+/// The encoding of Thrift's strict binary protocol over framed transport, shared by servers and clients. Pure
+/// functions on bytes, no I/O. All numbers are in network byte order.
 #pragma once
 
 #include <cstddef>
@@ -13,13 +13,13 @@
 
 namespace cottonwing::thrift {
 
-/// A map of texts, as all structs of the service carry their fields.
+/// A map of strings. All structs of the service carry their fields in such a map.
 using Fields = std::map<std::string, std::string, std::less<>>;
 
-/// The type of a value: its code on the wire.
+/// The type code of a value on the wire.
 using TypeCode = std::uint8_t;
 
-inline constexpr TypeCode kStop = 0;  ///< The end of a struct.
+inline constexpr TypeCode kStop = 0;  ///< Ends a struct.
 inline constexpr TypeCode kBool = 2;
 inline constexpr TypeCode kByte = 3;
 inline constexpr TypeCode kDouble = 4;
@@ -32,7 +32,7 @@
 inline constexpr TypeCode kSet = 14;
 inline constexpr TypeCode kList = 15;
 
-/// The kind of a message: its code on the wire.
+/// The type code of a message on the wire.
 using MessageKind = std::uint8_t;
 
 inline constexpr MessageKind kCall = 1;
@@ -45,20 +45,21 @@
 inline constexpr std::uint32_t kVersionMask = 0xffffff00U;
 inline constexpr std::uint32_t kKindMask = 0xffU;
 
-/// How deep a value is nested in others.
+/// The nesting depth of a value.
 struct Depth {
     int value = 0;
     Depth next() const { return {value + 1}; }
 };
 
-/// Values nested deeper than this are malformed, so that no message exhausts the stack.
+/// Values that are nested deeper than this are malformed, so that no message can exhaust the stack.
 inline constexpr int kMaxDepth = 16;
 
-/// Bytes of the length in front of each frame.
+/// The size of the length prefix of each frame in bytes.
 inline constexpr std::size_t kFrameHeaderBytes = 4;
 
-/// Reads values from the content of one frame. After the first error it reads zeros and empty texts, so that
-/// callers check good() once, at the end. The bytes have to outlive the reader and the texts it returns.
+/// Reads values from the content of one frame. After the first error it returns zeros and empty strings, so
+/// that callers need to check good() only once, at the end. The bytes must outlive the reader and the strings
+/// that it returns.
 class Reader {
 public:
     explicit Reader(std::string_view bytes) : rest_(bytes) {}
@@ -79,7 +80,7 @@
         return result;
     }
 
-    /// An unsigned number of so many bytes, 8 at most.
+    /// An unsigned number of the given width in bytes, at most 8.
     std::uint64_t number(std::size_t width) {
         std::uint64_t value = 0;
         for (const char byte : bytes(width)) value = value << 8 | static_cast<std::uint8_t>(byte);
@@ -88,10 +89,10 @@
     std::uint8_t byte() { return static_cast<std::uint8_t>(number(1)); }
     std::int32_t i32() { return static_cast<std::int32_t>(length()); }
 
-    /// A text with its length in front. A length that is negative or goes past the end is an error.
+    /// A length-prefixed string. A length that is negative or exceeds the remaining bytes is an error.
     std::string_view string() { return bytes(length()); }
 
-    /// Passes over a value of a type.
+    /// Skips a value of the given type.
     void skip(std::uint8_t type, Depth depth = {}) {
         if (depth.value > kMaxDepth) return fail();
         switch (type) {
@@ -127,8 +128,8 @@
         }
     }
 
-    /// Calls take(id, type) for each field of a struct. It returns whether it has read the value; a value
-    /// that it has not read is skipped.
+    /// Calls take(id, type) for each field of a struct; take returns whether it has read the value. Values
+    /// that it has not read are skipped.
     template <typename Take>
     void fields(Take&& take) {
         while (const std::uint8_t type = byte()) {
@@ -138,7 +139,7 @@
         }
     }
 
-    /// A map of texts; nothing when it is malformed or has entries of other types, which are skipped.
+    /// A map of strings; nothing if it is malformed or has entries of other types, which are skipped.
     std::optional<Fields> map() {
         const std::uint8_t keyType = byte();
         const std::uint8_t valueType = byte();
@@ -168,7 +169,8 @@
             skip(type, depth.next());
         }
     }
-    // Every entry of a map or list is at least a byte long, so a huge count ends at the end of the frame.
+    // Each entry of a map or list is at least one byte long, so a loop over a huge count stops at the end of
+    // the frame.
     void skipMap(Depth depth) {
         const std::uint8_t keyType = byte();
         const std::uint8_t valueType = byte();
@@ -186,17 +188,17 @@
     bool good_ = true;
 };
 
-/// Writes one message as a whole frame.
+/// Writes one message as a complete frame.
 class Writer {
 public:
     Writer(MessageKind kind, std::string_view method, std::int32_t sequence) {
-        number(0, kFrameHeaderBytes);  // the frame's length, known at the end
+        number(0, kFrameHeaderBytes);  // placeholder for the frame length, set by take()
         number(kVersion | kind, 4);
         string(method);
         number(static_cast<std::uint32_t>(sequence), 4);
     }
-    /// The lower bytes of a number, so many.
-    // NOLINTNEXTLINE(bugprone-easily-swappable-parameters): callers give the width as a literal, and last.
+    /// Writes the low-order width bytes of a number.
+    // NOLINTNEXTLINE(bugprone-easily-swappable-parameters): callers always pass the width as a literal.
     void number(std::uint64_t value, int width) {
         for (int shift = 8 * (width - 1); shift >= 0; shift -= 8)
             bytes_.push_back(static_cast<char>(value >> shift & 0xff));
@@ -205,7 +207,7 @@
         number(text.size(), 4);
         bytes_.append(text);
     }
-    /// The head of a struct's field; its value follows.
+    /// Writes the header of a struct field; the value has to follow.
     void field(TypeCode type, std::uint16_t id) {
         number(type, 1);
         number(id, 2);
@@ -219,10 +221,10 @@
             string(text);
         }
     }
-    /// The end of a struct.
+    /// Ends a struct.
     void stop() { number(kStop, 1); }
 
-    /// The frame, with its length in front. The writer is used up.
+    /// Returns the complete frame with its length prefix. The writer must not be used afterwards.
     std::string take() {
         const std::size_t length = bytes_.size() - kFrameHeaderBytes;
         for (std::size_t i = 0; i < kFrameHeaderBytes; ++i)
--- a/src/thrift/codec.cpp
+++ b/src/thrift/codec.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// Ids of the fields of the service's structs.
+// Field ids of the service's structs.
 constexpr std::int16_t kRequestFields = 1;
 constexpr std::int16_t kRequestBody = 2;
 constexpr std::int16_t kCancelledSequence = 1;
@@ -18,7 +18,7 @@
 constexpr std::uint16_t kApplicationExceptionText = 1;
 constexpr std::uint16_t kApplicationExceptionCode = 2;
 
-// The fields of a result: exactly one of them is set.
+// The fields of a method's result struct, of which exactly one is set.
 enum class ResultField : std::uint16_t { Answer = 0, Busy = 1, Failed = 2 };
 
 Method methodNamed(std::string_view name) {
@@ -28,7 +28,7 @@
     return Method::Unknown;
 }
 
-// Reads one argument of a method; false when it is none that the method has.
+// Reads one argument of a method. Returns false if the method has no such argument.
 bool readArgument(Reader& in, std::int16_t id, std::uint8_t type, Message& message) {
     switch (message.method) {
         case Method::Serve:
@@ -57,7 +57,7 @@
 
 void beginResult(Writer& out, ResultField field) { out.field(kStruct, static_cast<std::uint16_t>(field)); }
 
-// A reply that holds one exception of the service: its field in the result, and the map in it.
+// A reply with an exception of the service, whose only field is a map.
 std::string writeException(std::int32_t sequence, ResultField resultField, const Fields& fields) {
     Writer out(kReply, wire::kServeMethod, sequence);
     beginResult(out, resultField);
--- a/src/thrift/codec.h
+++ b/src/thrift/codec.h
@@ -1,6 +1,6 @@
 /// @file
-/// The messages of the Thrift service between clients and the server. Pure: bytes in, values out. What the
-/// fields of a request mean is up to request_decoder.h.
+/// Encodes and decodes the messages of the Thrift service. Pure functions, no I/O. The fields of a request
+/// are interpreted by request_decoder.h.
 #pragma once
 
 #include <cstdint>
@@ -13,54 +13,55 @@
 
 namespace cottonwing::thrift {
 
-/// The longest content of a frame, in bytes; a longer one is refused by its length, before it is stored.
+/// The largest content of a frame in bytes. A longer frame is rejected by its length prefix, before it is
+/// stored.
 inline constexpr std::size_t kMaxFrameBytes = 16384;
 
-/// The methods of the service, as wire_names.h names them.
+/// The methods of the service; wire_names.h has their names on the wire.
 enum class Method {
-    Serve,        ///< A request to run.
+    Serve,        ///< Runs a request.
     Cancel,       ///< The client stopped waiting for a request.
-    HealthCheck,  ///< A health check.
+    HealthCheck,  ///< Asks whether the instance is healthy.
     Unknown
 };
 
-/// One message of a client; what was absent or of another type is left empty.
+/// A message from a client. Arguments that were absent or of another type are left empty.
 struct Message {
     Method method = Method::Unknown;
-    std::string name;  ///< Of the method, as it came.
+    std::string name;  ///< The method name as received.
     bool oneway = false;
     std::int32_t sequence = 0;
     std::optional<Fields> fields;                   ///< Of a request.
     std::optional<std::string> body;                ///< Of a request.
     std::optional<std::int32_t> cancelledSequence;  ///< The request that the client stopped waiting for.
-    bool deepHealthCheck = false;                   ///< The health check wants work done for its answer.
+    bool deepHealthCheck = false;                   ///< The health check has to run test work.
 };
 
-/// What stands at the front of the input.
+/// The state of the first frame of the input.
 enum class FrameState { Partial, Complete, TooLong };
 
-/// Looks whether a whole frame stands at the front of the ring.
-/// @param length  receives the length of its content in bytes, once the four bytes of it are in
+/// Inspects the first frame of the ring without removing it.
+/// @param length  receives the length of the frame's content in bytes once the length prefix is complete
 FrameState peekFrame(const net::ByteRing& ring, std::size_t& length);
 
-/// Reads the content of one frame; nothing when it is malformed.
+/// Decodes the content of one frame; nothing if it is malformed.
 std::optional<Message> readMessage(std::string_view frame);
 
-/// The codes of application exceptions that Thrift defines, as far as they are used here.
+/// The codes of Thrift application exceptions that the server sends.
 enum class ApplicationError : std::int32_t { UnknownMethod = 1, Internal = 6, Protocol = 7 };
 
-/// The reply to a request that was served, or to a health check; `good` tells whether the instance is
-/// healthy. This and the following write one whole frame each.
+/// The reply to a completed request or to a health check; `good` says whether the instance is healthy. This
+/// and the following functions return one complete frame each.
 std::string writeAnswer(std::string_view method, std::int32_t sequence, std::string_view body,
                         const Fields& fields, bool good);
-/// The reply to a request that was rejected and never ran.
+/// The reply to a request that was rejected without running.
 std::string writeBusy(std::int32_t sequence, const Fields& fields);
 /// The reply to a request that failed.
 std::string writeFailed(std::int32_t sequence, const Fields& fields);
-/// The reply to a message that could not be understood.
+/// The reply to a message that is invalid.
 std::string writeApplicationException(std::string_view method, std::int32_t sequence, ApplicationError error,
                                       std::string_view text);
-/// The notice that no new request should be sent on this connection.
+/// The message that asks the client to send no new requests on this connection.
 std::string writeGoaway();
 
 }  // namespace cottonwing::thrift
--- a/src/thrift/connection_table.cpp
+++ b/src/thrift/connection_table.cpp
@@ -9,11 +9,11 @@
 
 using namespace std::chrono_literals;
 
-// Of the places, one in so many is for connections that never sent a whole message.
+// The fraction of the capacity, 1/4, that is available to connections that never sent a complete message.
 constexpr std::size_t kNewConnectionShareDivisor = 4;
 
-// One that was accepted so short ago may be about to send, and one that was answered so short ago may have
-// yet to read the answer.
+// A connection that was accepted this recently may be about to send, and the client of one that was used this
+// recently may not have read its response yet.
 constexpr Duration kEvictionGracePeriod = 100ms;
 
 }  // namespace
@@ -52,7 +52,7 @@
     return {Action::Wait};
 }
 
-// One whose bytes lie in the system unread is not silent.
+// A connection with unread bytes in the socket's receive buffer is not silent.
 ThriftConnection* ConnectionTable::findSilent(Timestamp now) const {
     for (const auto& connection : new_) {
         if (now - connection->acceptedAt() < kEvictionGracePeriod) return nullptr;
--- a/src/thrift/connection_table.h
+++ b/src/thrift/connection_table.h
@@ -1,5 +1,5 @@
 /// @file
-/// The connections of the Thrift server, and which of them gives way when there are too many.
+/// The connections of the Thrift server, and the eviction policy for when there are too many.
 #pragma once
 
 #include <cstddef>
@@ -14,38 +14,37 @@
 struct AcceptDecision {
     enum class Action {
         Accept,
-        EvictAndAccept,     ///< Close `connection` at once and accept.
-        CloseIdleThenWait,  ///< Close `connection` in order; its place is free once it is closed.
+        EvictAndAccept,     ///< Close `connection` immediately and accept.
+        CloseIdleThenWait,  ///< Close `connection` gracefully; accept once it is closed.
         Wait
     };
     Action action = Action::Accept;
     ThriftConnection* connection = nullptr;
 };
 
-/// Owns the connections: the new ones in the order of their acceptance, the identified ones in the order of
-/// their last use.
+/// Owns the connections: the new ones in order of acceptance, the identified ones in order of last use.
 class ConnectionTable {
 public:
-    /// @param capacity  how many connections there may be, those that are being closed included
+    /// @param capacity  the maximum number of connections, including those that are being closed
     explicit ConnectionTable(std::size_t capacity) : capacity_(capacity) {}
 
     void add(std::shared_ptr<ThriftConnection> connection);
-    /// The connection has sent a whole message.
+    /// Marks the connection as identified: it has sent a complete message.
     void identify(ThriftConnection& connection);
-    /// A message or an answer used the connection.
+    /// Records that the connection was used by a message or a response.
     void touch(ThriftConnection& connection, Timestamp now);
-    /// Destroys the connection, unless it is shared elsewhere.
+    /// Removes the connection, which destroys it unless there are other owners.
     void remove(ThriftConnection& connection);
 
     std::size_t size() const { return identified_.size() + new_.size(); }
-    /// The one that was used the longest ago is in front.
+    /// Least recently used first.
     const ConnectionList& identified() const { return identified_; }
-    /// The one that was accepted first is in front.
+    /// First accepted first.
     const ConnectionList& newConnections() const { return new_; }
 
-    /// Decides whether a connection can be accepted and which one is evicted for it: new connections that
-    /// never sent a whole message first (only a part of the places is for them), then the least recently used
-    /// one without open requests. Connections with open requests are never evicted.
+    /// Decides whether a connection can be accepted and which one is evicted for it: first a new connection,
+    /// which never sent a complete message (only a fraction of the capacity is for those), then the least
+    /// recently used one without open requests. Connections with open requests are never evicted.
     /// @param closing  connections outside the table that still hold their descriptors
     AcceptDecision decideAccept(std::size_t closing, Timestamp now) const;
 
--- a/src/thrift/request_decoder.cpp
+++ b/src/thrift/request_decoder.cpp
@@ -21,15 +21,15 @@
 constexpr std::size_t kMaxIdempotencyKeyBytes = 64;
 constexpr double kMaxMemoryKb = 2000;  // exclusive
 constexpr double kNanosecondsPerMillisecond = 1e6;
-// Later times would overflow once they are counted in nanoseconds.
+// Later times would overflow when converted to nanoseconds.
 constexpr std::int64_t kMaxArrivalTimeMs = INT64_MAX / 4000000;
-// The clocks of a client and of this machine may differ by this much: a request may have arrived so far in
-// the future, or be due so far in the past.
+// The tolerated difference between the clocks of a client and of this host: the arrival time may be in the
+// future, and the deadline in the past, by at most this much.
 constexpr Duration kMaxClockDifference = 1s;
 
 using Result = std::optional<RequestError>;
 
-// One message on its way to a request: each step reads one field, and returns what is wrong with it.
+// The decoding of one message: each step reads one field and returns its error, if any.
 class Decoding {
 public:
     Decoding(const Message& message, const config::NameTables& names,
@@ -81,9 +81,8 @@
         return std::nullopt;
     }
 
-    // No client waits for longer than the timeout of the class, nor for another time where it does not say
-    // so. A request beyond that says nothing about overload, and its figures would distort the means of the
-    // controller.
+    // A client's timeout is at most that of the class, which is also the default. A request beyond the limits
+    // indicates no overload, and its times would distort the averages of the overload controller.
     Result readTimeout() {
         const auto timeoutMs = number<std::int64_t>(wire::kTimeoutMs);
         const Duration longest = requestClass_->timeout;
@@ -106,7 +105,7 @@
         return std::nullopt;
     }
 
-    // A rough figure that no bound is set for: more than fits before the timeout counts as much as that.
+    // An estimate without an upper limit in the protocol: capped at the timeout of the class.
     Result readExpectedWork() {
         if (text(wire::kExpectedWorkMs).empty()) return std::nullopt;
         const auto workMs = number<double>(wire::kExpectedWorkMs);
@@ -125,7 +124,7 @@
         return std::nullopt;
     }
 
-    // Checked only: nothing depends on the number.
+    // Only validated: the number is not used.
     Result readClientNumber() {
         if (text(wire::kClientNumber).empty()) return std::nullopt;
         const auto client = number<std::int64_t>(wire::kClientNumber);
@@ -140,7 +139,7 @@
         return std::nullopt;
     }
 
-    // One tenant's key is not another's, and a key belongs to one class: both go in front of it.
+    // Keys are scoped to a tenant and a request class, so both are prefixed to the key.
     Result readIdempotencyKey() {
         if (requestClass_->idempotency != Idempotency::WithKey) return std::nullopt;
         const std::string_view key = text(wire::kIdempotencyKey);
@@ -157,13 +156,13 @@
 private:
     bool has(std::string_view name) const { return message_.fields->contains(name); }
 
-    // Empty when the field is absent.
+    // Empty if the field is absent.
     std::string_view text(std::string_view name) const {
         const auto found = message_.fields->find(name);
         return found == message_.fields->end() ? std::string_view() : std::string_view(found->second);
     }
 
-    // Nothing when the field is absent, or is no finite number from its first byte to its last.
+    // Nothing if the field is absent or is not entirely a finite number.
     template <typename T>
     std::optional<T> number(std::string_view name) const {
         const std::string_view digits = text(name);
@@ -187,7 +186,7 @@
     request::IncomingRequest incoming_;
 };
 
-// In the order in which errors are reported; each step may rest on those before it.
+// In the order in which errors are reported; each step may depend on the previous ones.
 using Step = Result (Decoding::*)();
 constexpr Step kSteps[] = {
     &Decoding::readParts,        &Decoding::readRequestClass, &Decoding::readTenant,
--- a/src/thrift/request_decoder.h
+++ b/src/thrift/request_decoder.h
@@ -1,5 +1,5 @@
 /// @file
-/// Decodes a message of the `serve` method into a request. Pure: no socket, and the time is an argument.
+/// Decodes a message of the `serve` method into a request. Pure: no I/O, and the time is an argument.
 #pragma once
 
 #include <string>
@@ -13,15 +13,16 @@
 
 namespace cottonwing::thrift {
 
-/// Why a message is no request that can run.
+/// Why a message is not a valid request.
 enum class RequestError {
-    MissingFieldsOrBody,  ///< It lacks its fields or its body.
+    MissingFieldsOrBody,  ///< The fields or the body are absent.
     BodyTooLong,
     UnknownRequestClass,
     UnknownTenant,
     MalformedRequestId,
     MalformedArrivalTime,
-    ArrivalTimeOutOfRange,  ///< In the future, or due in the past, by more than clocks differ.
+    ArrivalTimeOutOfRange,  ///< The request arrived in the future, or its deadline is in the past, by more
+                            ///< than the tolerated clock difference.
     MalformedTimeout,
     MalformedMemory,
     MalformedExpectedWork,
@@ -32,20 +33,21 @@
     RequestInProgress  ///< Another request with the same id is in progress.
 };
 
-/// The text that the client gets with the application exception.
+/// The text of the application exception that the client receives.
 std::string textOf(RequestError error);
 
-/// Decodes requests by one configuration.
+/// Decodes requests according to a configuration.
 class RequestDecoder {
 public:
-    /// @param names            of request classes and tenants, as indices into the configuration
-    /// @param requestClasses   the classes by index
-    /// @param timeoutRequired  each request has to say how long its client waits; else a request may leave it
-    ///                         out, and the timeout of its class holds
+    /// @param names            maps the names of request classes and tenants to indices
+    /// @param requestClasses   the request classes by index
+    /// @param timeoutRequired  whether each request must state its client's timeout; if not, a request
+    /// without
+    ///                         one gets the timeout of its class
     RequestDecoder(config::NameTables names, std::vector<RequestClass> requestClasses, bool timeoutRequired);
 
-    /// Decodes one message. Fields that are unknown are ignored; the first field that is wrong is the error.
-    /// @param now  the present time, for how long the request waited to be read
+    /// Decodes one message. Unknown fields are ignored. Returns the error of the first invalid field.
+    /// @param now  the current time, from which the time that the request waited to be read is derived
     std::variant<request::IncomingRequest, RequestError> decode(const Message& message, Timestamp now) const;
 
 private:
--- a/src/thrift/thrift_connection.cpp
+++ b/src/thrift/thrift_connection.cpp
@@ -15,8 +15,8 @@
 constexpr std::size_t kInputBytes = 32 << 10;
 constexpr std::size_t kOutputBytes = 256 << 10;
 constexpr int kMaxProtocolErrors = 8;
-constexpr Duration kMessageTimeout = 1500ms;  // from a message's first byte to its last
-constexpr Duration kOutputTimeout = 2s;       // with output that nobody takes
+constexpr Duration kMessageTimeout = 1500ms;  // from the first byte of a message to its last
+constexpr Duration kOutputTimeout = 2s;       // without the client reading any output
 constexpr Duration kDrainTimeout = 1s;        // for the client to close an idle connection after goaway
 
 }  // namespace
@@ -34,7 +34,7 @@
     handler_.connectionEnded(*this, end);
 }
 
-// Bytes that complete nothing do not count as traffic, and do not prolong the message's time.
+// Bytes that do not complete a message are not counted as use, and do not extend the message's timeout.
 void ThriftConnection::noteIncompleteMessage(bool newMessage, Timestamp now) {
     if (input().empty())
         messageStartedAt_.reset();
@@ -94,7 +94,7 @@
     return outputProgressAt_ && now - *outputProgressAt_ >= kOutputTimeout;
 }
 
-// The goaway is no traffic: it does not count as use of the connection.
+// The goaway does not count as use of the connection.
 void ThriftConnection::drain(Timestamp now) {
     if (drainingSince_) return;
     drainingSince_ = now;
--- a/src/thrift/thrift_server.cpp
+++ b/src/thrift/thrift_server.cpp
@@ -15,9 +15,9 @@
 using telemetry::Count;
 
 constexpr char kLogComponent[] = "sidecar";        // as on-call pages and alerts know it
-constexpr std::size_t kMaxLoggedNameBytes = 40;    // of a method that the client named
-constexpr int kMaxMessagesPerTurn = 64;            // of one connection; the rest waits for its next turn
-constexpr Duration kFirstMessageTimeout = 1500ms;  // from the acceptance to the first whole message
+constexpr std::size_t kMaxLoggedNameBytes = 40;    // of a method name from a client
+constexpr int kMaxMessagesPerTurn = 64;            // per connection; the rest is read in the next turn
+constexpr Duration kFirstMessageTimeout = 1500ms;  // from acceptance to the first complete message
 constexpr Duration kSweepInterval = 100ms;
 constexpr int kLoadShareDecimals = 4;
 
@@ -105,7 +105,7 @@
     }
 }
 
-// The next message, of which the input holds the whole frame; nothing when it is malformed.
+// Removes and decodes the next message, whose complete frame is in the input; nothing if it is malformed.
 std::optional<Message> ThriftServer::takeMessage(ThriftConnection& connection, std::size_t length) {
     const std::size_t frameBytes = kFrameHeaderBytes + length;
     net::ByteRing& input = connection.input();
@@ -124,7 +124,7 @@
     abort(connection, end);
 }
 
-// False when the message breaks the protocol, and the connection can't go on.
+// Returns false if the message violates the protocol such that the connection can't be continued.
 bool ThriftServer::handle(ThriftConnection& connection, const Message& message) {
     switch (message.method) {
         case Method::Serve:
@@ -159,7 +159,7 @@
     requests_.accept(std::move(incoming));
 }
 
-// Without effect when the request is answered already: the answer crossed the message.
+// Without effect if the request is already answered: the response and the cancellation crossed on the wire.
 void ThriftServer::handleCancel(ThriftConnection& connection, const Message& message) {
     counters_.add(Count::CancelMessages);
     const auto id = connection.closeRequest(message.cancelledSequence.value_or(0));
@@ -170,9 +170,9 @@
 
 void ThriftServer::handleHealthCheck(ThriftConnection& connection, const Message& message) {
     counters_.add(Count::HealthChecks);
-    if (message.oneway) return;  // nobody waits for the answer
+    if (message.oneway) return;  // no response is expected
     if (!message.deepHealthCheck) return answerHealthCheck(connection, message.sequence, requests_.healthy());
-    // The connection may end before the work does.
+    // The connection may end before the check completes.
     requests_.checkWorkGetsDone(
         [this, weak = connection.weak_from_this(), sequence = message.sequence](bool healthy) {
             if (const auto still = weak.lock()) answerHealthCheck(*still, sequence, healthy);
@@ -215,7 +215,7 @@
     failed(id);
 }
 
-// The one place where an open request is closed by an answer.
+// Sends the response to an open request and closes it. All responses go through here.
 void ThriftServer::answer(RequestId id, const std::function<std::string(std::int32_t)>& frame) {
     const auto found = inFlight_.find(id);
     if (found == inFlight_.end()) return;
@@ -247,7 +247,7 @@
     abort(connection, end);
 }
 
-// At once, without waiting for the other side.
+// Closes immediately, without waiting for the peer.
 void ThriftServer::abort(ThriftConnection& connection, net::ConnectionEnd end) {
     counters_.addEnd(end);
     log_.debug(kLogComponent, std::string("connection ended: ") + net::nameOf(end));
@@ -256,22 +256,22 @@
     resumeAccepting();
 }
 
-// In order: answers that are on their way still go, and the end of the connection tells the client what
-// became of a request that crosses it.
+// Closes gracefully: pending responses are still written, and the end of the connection tells the client that
+// a request which crossed it gets no response.
 void ThriftServer::closeGracefully(ThriftConnection& connection, net::ConnectionEnd end) {
     counters_.addEnd(end);
     log_.debug(kLogComponent, std::string("connection ends in order: ") + net::nameOf(end));
     ++*closing_;
     connection.closeGracefully([this, weak = std::weak_ptr<std::size_t>(closing_)] {
         const auto closing = weak.lock();
-        if (!closing) return;  // the server is gone
+        if (!closing) return;  // the server was destroyed
         --*closing;
         resumeAccepting();
     });
     remove(connection);
 }
 
-// Its open requests are cancelled, and it is destroyed.
+// Cancels the open requests of the connection and destroys it.
 void ThriftServer::remove(ThriftConnection& connection) {
     for (const auto& [sequence, id] : connection.closeAllRequests()) {
         inFlight_.erase(id);
@@ -282,14 +282,14 @@
 
 // Sweeping.
 
-// Looks at all connections, whose number is bounded, ten times a second.
+// Checks all connections, whose number is limited, ten times a second.
 void ThriftServer::sweep() {
     const Timestamp now = net::unixNow();
     sweepTimer_.start(kSweepInterval);
     closeSilentConnections(now);
     const ConnectionList& identified = connections_.identified();
     for (auto next = identified.begin(); next != identified.end();) {
-        ThriftConnection& connection = **next++;  // the check may destroy it
+        ThriftConnection& connection = **next++;  // may be destroyed by the check
         checkConnection(connection, now);
     }
     resumeAccepting();
@@ -301,9 +301,9 @@
         closeGracefully(*silent.front(), net::ConnectionEnd::TimedOut);
 }
 
-// One that is too slow at taking its answers ends at once. One that is too slow with a message, or has sent
-// too many that can't be understood, ends once its open requests are answered. One that was asked to drain
-// and stays ends, and one that is unused is asked to.
+// Enforces the limits on a connection. If the client does not read its responses, closes it immediately. If
+// the client does not complete a message in time, or has sent too many invalid ones, closes it once its open
+// requests are answered. Closes a draining connection that the client left open, and drains an unused one.
 void ThriftServer::checkConnection(ThriftConnection& connection, Timestamp now) {
     connection.observeOutput(now);
     if (connection.isOutputStalled(now)) return abort(connection, net::ConnectionEnd::TimedOut);
@@ -322,8 +322,8 @@
 
 // Draining.
 
-// Connections that lie at the listener were accepted by the system, and are ours to answer: they are taken in
-// first.
+// Connections in the system's accept queue are already established for their clients, so they are accepted
+// and served before the listener is closed.
 void ThriftServer::drain() {
     loop_.afterPoll([this, alive = std::weak_ptr<std::size_t>(closing_)] {
         if (!alive.expired()) stopListening();
@@ -344,7 +344,7 @@
     forEachConnection([](ThriftConnection& connection) { connection.tryFlush(); });
 }
 
-// The action must not remove connections.
+// The action must not add or remove connections.
 template <typename Action>
 void ThriftServer::forEachConnection(Action&& action) {
     for (const ConnectionList* list : {&connections_.identified(), &connections_.newConnections()}) {
--- a/src/thrift/thrift_server.h
+++ b/src/thrift/thrift_server.h
@@ -1,5 +1,5 @@
 /// @file
-/// The Thrift server: requests in, answers out in any order, health checks, cancellations and goaway.
+/// The Thrift server: handles requests, cancellations and health checks, and sends responses in any order.
 #pragma once
 
 #include <functional>
@@ -20,42 +20,42 @@
 
 namespace cottonwing::thrift {
 
-/// Accepts connections of clients, hands their requests to the request manager and sends its answers. All of
-/// it happens on the loop's thread.
+/// Accepts connections of clients, passes their requests to the request manager and sends back its responses.
+/// Runs entirely on the thread of the event loop.
 class ThriftServer : public request::ResponseSink, private ThriftConnection::Handler {
 public:
-    /// Listens at once.
-    /// @param limits            the bounds on connections and on the bytes of their buffers
-    /// @param names             of request classes and tenants
-    /// @param requestClasses    the classes by index; copied
-    /// @param timeoutRequired   each request has to say how long its client waits
-    /// @throws std::runtime_error when the address can't be listened on
+    /// Starts to listen.
+    /// @param limits            the limits on the number of connections and on the size of their buffers
+    /// @param names             the names of request classes and tenants
+    /// @param requestClasses    the request classes by index; copied
+    /// @param timeoutRequired   whether each request must state its client's timeout
+    /// @throws std::runtime_error if the address can't be bound
     ThriftServer(net::Loop& loop, const net::Address& at, const config::ResourceLimits& limits,
                  config::NameTables names, const std::vector<RequestClass>& requestClasses,
                  bool timeoutRequired, request::RequestManager& requests, telemetry::Log& log,
                  telemetry::Counters& counters);
     ~ThriftServer() override;
 
-    // The answer to one request each; without effect when its connection is gone.
+    // Each sends the response to one request; without effect if its connection is gone.
     void completed(RequestId id, std::string_view result) override;
     void rejected(RequestId id, const Pushback& pushback) override;
     void failed(RequestId id) override;
-    /// Fails the request, and counts it as a protocol error of its connection.
+    /// Like failed(), and counts as a protocol error of the connection.
     void refused(RequestId id) override;
-    /// Drains connections that are unused for this long, from the next sweep on; 0: none.
+    /// Drains connections that were unused for this long, from the next sweep on; 0: never.
     void setIdleTimeout(Duration timeout) override { idleTimeout_ = timeout; }
 
-    /// Takes no new connections, and asks the clients for no new requests on those there are.
+    /// Stops accepting connections, and asks the clients to send no new requests on the existing ones.
     void drain();
-    /// Nothing more is read: a request that was read now could not be answered before the process ends. To
-    /// its client it crosses the end of the connection.
+    /// Stops reading from all connections, because a request that is read now could not be answered before
+    /// the process ends. Its client sees the connection close without a response.
     void stopReading();
-    /// Writes what the system takes at once of the answers that wait.
+    /// Writes as many pending responses as the sockets accept without blocking.
     void tryFlush();
-    /// Connections that hold a descriptor, those that are being closed included.
+    /// The number of connections that hold a descriptor, including those that are being closed.
     std::size_t connections() const { return connections_.size() + *closing_; }
     bool isListening() const { return listener_ != nullptr; }
-    /// Only while it is listening.
+    /// The port; valid only while listening.
     int port() const { return listener_->port(); }
 
 private:
@@ -104,10 +104,11 @@
     telemetry::Log& log_;
     telemetry::Counters& counters_;
     ConnectionTable connections_;
-    // Connections that left the table and are being closed; it counts down from callbacks that may outlive
-    // the server.
+    // The number of connections that left the table and are still being closed. Shared, because it is
+    // decremented by callbacks that may outlive the server.
     std::shared_ptr<std::size_t> closing_ = std::make_shared<std::size_t>(0);
-    // Where the answers of open requests go; emptied by answers, cancellations and ends of connections.
+    // The destinations of responses to open requests. Entries are removed by responses, cancellations and the
+    // end of their connection.
     std::unordered_map<RequestId, InFlight> inFlight_;
     Duration idleTimeout_{0};
     net::Timer sweepTimer_;
--- a/tests/net/address_test.cpp
+++ b/tests/net/address_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Which texts are read as addresses.
+/// Parsing of addresses.
 #include "net/address.h"
 
 #include <gtest/gtest.h>
--- a/tests/net/byte_ring_test.cpp
+++ b/tests/net/byte_ring_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// ByteRing against a plain string, and its memory.
+/// ByteRing compared with a plain string, and its use of memory.
 #include "net/byte_ring.h"
 
 #include <gtest/gtest.h>
@@ -36,7 +36,7 @@
     EXPECT_EQ(ring.capacity(), 0U);
     ASSERT_TRUE(ring.write("x"));
     EXPECT_LE(ring.capacity(), 2048U);
-    const auto pinned = ring.pin();  // a write in progress reads from here
+    const auto pinned = ring.pin();  // as for a pending write
     ASSERT_TRUE(ring.write(std::string(100000, 'y')));
     EXPECT_EQ(pinned[0], 'x');
     ring.drop(ring.size());
@@ -61,7 +61,7 @@
     ByteRing ring(8);
     ASSERT_TRUE(ring.write("abcdef"));
     ring.drop(5);
-    ASSERT_TRUE(ring.write("ghijk"));  // "fghijk", of which the storage holds "fgh" at its end
+    ASSERT_TRUE(ring.write("ghijk"));  // "fghijk": "fgh" at the end of the storage, the rest wraps around
     EXPECT_LT(ring.front().size(), ring.size());
     std::string scratch;
     EXPECT_EQ(ring.peek(ring.size(), scratch), "fghijk");
--- a/tests/net/connection_end_test.cpp
+++ b/tests/net/connection_end_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// What each end of a connection means for a call that was out on it.
+/// The outcome of a call in flight for each end of its connection.
 #include "net/connection_end.h"
 
 #include <gtest/gtest.h>
--- a/tests/net/connection_test.cpp
+++ b/tests/net/connection_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Connections and listeners on loopback. How connections end in order is in event_ordering_test.cpp too.
+/// Connections and listeners on loopback. Graceful closes are also covered by event_ordering_test.cpp.
 #include "net/connection.h"
 
 #include <gtest/gtest.h>
@@ -16,7 +16,7 @@
 
 constexpr std::size_t kLargeBufferBytes = 1 << 20;
 
-// Keeps what a connection reports.
+// Records the events of a connection.
 struct Recorder : ConnectionHandler {
     void arrived(Connection& connection) override {
         ++arrivals;
@@ -35,7 +35,7 @@
     std::optional<ConnectionEnd> end;
 };
 
-// A listener on a port that the system chose, which accepts one connection.
+// Accepts one connection, on a port that the system chooses.
 struct Server : Recorder {
     explicit Server(Loop& loop)
         : listener(
@@ -51,7 +51,7 @@
     Listener listener;
 };
 
-// A client of the server, which connects at once.
+// Connects to the server.
 struct Client : Recorder {
     Client(Loop& loop, const Server& server, std::size_t outputBytes = kLargeBufferBytes) {
         owned = std::make_unique<Connection>(loop, server.address(), *this,
@@ -81,7 +81,8 @@
     client.owned.reset();
     testing::runUntil(loop, [&] { return server.end.has_value(); });
     EXPECT_EQ(server.end, ConnectionEnd::PeerClosed);
-    EXPECT_FALSE(client.end.has_value()) << "its owner hears nothing of an end of its own";
+    EXPECT_FALSE(client.end.has_value())
+        << "the handler must not be called when the owner closes the connection";
 }
 
 TEST(Connection, ReportsARefusedConnectionFromTheLoop) {
@@ -105,7 +106,7 @@
     Server server(loop);
     Client client(loop, server, 100);
     client.owned->send(std::string(101, 'x'));
-    EXPECT_FALSE(client.end.has_value()) << "reported from the loop";
+    EXPECT_FALSE(client.end.has_value()) << "must be reported from the loop";
     testing::runUntil(loop, [&] { return client.end.has_value(); });
     EXPECT_EQ(client.end, ConnectionEnd::TooLong);
     EXPECT_EQ(server.text, "");
@@ -160,7 +161,7 @@
     Server server(loop);
     server.full = true;
     Client client(loop, server);
-    testing::runUntil(loop, [&] { return client.owned->isOpen(); });  // as the system accepts it
+    testing::runUntil(loop, [&] { return client.owned->isOpen(); });  // the system completes the handshake
     for (int turn = 0; turn < 3; ++turn) loop.runWithoutWaiting();
     EXPECT_EQ(server.owned, nullptr);
     server.full = false;
--- a/tests/net/http_response_parser_test.cpp
+++ b/tests/net/http_response_parser_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// HTTP responses read whole, split at every byte, malformed and at random.
+/// Parsing of HTTP responses: complete, split at each byte, malformed and random.
 #include "net/http_response_parser.h"
 
 #include <gtest/gtest.h>
@@ -56,7 +56,7 @@
     for (int i = 0; i < 20; ++i) interim += "HTTP/1.1 100 Continue\r\n\r\n";
     for (const std::string& malformed :
          {FakeHttpServer::reply(200, std::string(70000, 'x')), gigabytes, interim,
-          std::string("\x7f\0\xff?", 4), std::string("HTTP/1.1 200 OK\r\n\r\nno end is told"),
+          std::string("\x7f\0\xff?", 4), std::string("HTTP/1.1 200 OK\r\n\r\nof unspecified length"),
           "HTTP/1.1 200 OK\r\nA: " + std::string(90000, 'x'),
           std::string("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 4\r\n\r\nabcd"),
           std::string("HTTP/1.1 200 OK\r\nContent-Length: -3\r\n\r\nabc"),
@@ -69,7 +69,8 @@
     }
 }
 
-// Interim responses in front and bytes behind a response cost at most the connection.
+// Interim responses before a response are skipped. Surplus bytes after it only prevent reuse of the
+// connection.
 TEST(HttpResponseParser, DeliversAResponseAfterInterimOnesAndBeforeSurplusBytes) {
     using testing::FakeHttpServer;
     const std::string good = FakeHttpServer::reply(200, "body");
--- a/tests/net/loop_test.cpp
+++ b/tests/net/loop_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The turns of the loop, what its callbacks throw, and signals.
+/// Turns of the event loop, exceptions of callbacks, and signals.
 #include "net/loop.h"
 
 #include <gtest/gtest.h>
@@ -42,7 +42,7 @@
     int turns = 0;
     loop.onTurnEnd([&] { ++turns; });
     loop.runWithoutWaiting();
-    EXPECT_EQ(turns, 0) << "nothing to wait for";
+    EXPECT_EQ(turns, 0) << "there is nothing to wait for";
     Timer timer(loop, [] {});
     timer.start(1h);
     loop.runWithoutWaiting();
--- a/tests/net/timer_test.cpp
+++ b/tests/net/timer_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// When timers fire.
+/// When timers fire, and their lifetime.
 #include "net/timer.h"
 
 #include <gtest/gtest.h>
@@ -23,7 +23,7 @@
     });
     const Duration from = unixNow();
     timer.start(20ms);
-    timer.start(10500us);  // in place of the first
+    timer.start(10500us);  // replaces the first start
     testing::runUntil(loop, [&] { return fired > 0; });
     EXPECT_GE(at - from, 10500us);
     bool after = false;
--- a/tests/thrift/codec_test.cpp
+++ b/tests/thrift/codec_test.cpp
@@ -1,4 +1,4 @@
-// The Thrift codec: pure, so it is fed whole, cut at every byte, wrongly and at random.
+// The Thrift codec against the published Thrift library, and with truncated, malformed and random input.
 #include "thrift/codec.h"
 
 #include <gtest/gtest.h>
@@ -68,7 +68,7 @@
         out.writeFieldStop();
         out.writeFieldBegin("body", protocol::T_STRING, 2);
         out.writeBinary("kept");
-        out.writeFieldBegin("fields", protocol::T_I32, 1);  // of another type: as if absent
+        out.writeFieldBegin("fields", protocol::T_I32, 1);  // of another type, so treated as absent
         out.writeI32(4);
     }));
     ASSERT_TRUE(message);
@@ -85,11 +85,11 @@
         std::size_t length = 0;
         EXPECT_EQ(thrift::peekFrame(ring, length),
                   cut < frame.size() ? FrameState::Partial : FrameState::Complete);
-        // The content cut short is malformed wherever it is cut.
+        // Truncated content is malformed wherever it is cut.
         if (cut < 4 || cut >= frame.size()) continue;
         EXPECT_FALSE(thrift::readMessage(std::string_view(frame).substr(4, cut - 4))) << cut;
     }
-    EXPECT_FALSE(decode(frame + "x"));  // bytes behind the end
+    EXPECT_FALSE(decode(frame + "x"));  // surplus bytes after the message
 }
 
 TEST(ThriftCodec, RejectsATooLongFrameByItsLengthPrefix) {
@@ -102,18 +102,18 @@
 TEST(ThriftCodec, RejectsMalformedMessages) {
     const std::string good = frames::serve(1, kFields, "body").substr(4);
     std::string old = good;
-    old[0] = 0;  // no version: the older, unchecked form
+    old[0] = 0;  // the older, non-strict encoding, which has no version
     EXPECT_FALSE(thrift::readMessage(old));
     std::string reply = good;
     reply[3] = 2;
     EXPECT_FALSE(thrift::readMessage(reply));
     std::string longer = good;
-    longer[4] = 0x7f;  // the name's length
+    longer[4] = 0x7f;  // the length of the method name
     EXPECT_FALSE(thrift::readMessage(longer));
     std::string deep = good.substr(0, good.find("serve") + 5 + 4);
     for (int i = 0; i < 2000; ++i) deep += std::string("\x0c\0\x09", 3);
     EXPECT_FALSE(thrift::readMessage(deep));
-    // A list said to be four thousand million long, of structs that each are one byte.
+    // A list with a claimed length of 2^32 - 1, of structs of one byte each.
     std::string huge =
         good.substr(0, good.find("serve") + 5 + 4) + std::string("\x0f\0\x09\x0c\xff\xff\xff\xff", 8);
     EXPECT_FALSE(thrift::readMessage(huge));
--- a/tests/thrift/connection_table_test.cpp
+++ b/tests/thrift/connection_table_test.cpp
@@ -1,4 +1,4 @@
-// Connections of the Thrift server and which of them gives way. The times are arguments, so nothing waits.
+// The connections of the Thrift server and their eviction. Times are arguments, so no test has to wait.
 #include "thrift/connection_table.h"
 
 #include <gtest/gtest.h>
@@ -24,10 +24,10 @@
     void connectionEnded(ThriftConnection& /*connection*/, net::ConnectionEnd /*end*/) override {}
 };
 
-// Clients connect to a listener, whose connections go into the table as new ones.
+// Clients connect to a listener that adds the accepted connections to the table.
 class ConnectionTableTest : public ::testing::Test {
 protected:
-    // The connection that was accepted last.
+    // Connects a client and returns the accepted connection.
     ThriftConnection& connect() {
         const std::size_t before = table.size();
         const net::Address address{"127.0.0.1", listener.port()};
@@ -41,9 +41,9 @@
         table.identify(connection);
         return connection;
     }
-    // Later than all connections were accepted or used, by more than counts as just now.
+    // A time at which no connection counts as recently accepted or used.
     static Timestamp later() { return net::unixNow() + 1s; }
-    // Before they were accepted or used for longer than that.
+    // A time at which all connections count as recently accepted or used.
     static Timestamp justNow() { return net::unixNow() - 1s; }
 
     net::Loop loop;
@@ -139,13 +139,13 @@
 TEST_F(ConnectionTableTest, TheMessageTimeoutCountsFromTheFirstByte) {
     ThriftConnection& connection = connect();
     connection.noteIncompleteMessage(true, 10s);
-    EXPECT_FALSE(connection.isMessageOverdue(20s));  // there is no input
+    EXPECT_FALSE(connection.isMessageOverdue(20s));  // no input
     ASSERT_TRUE(connection.input().write("part"));
     connection.noteIncompleteMessage(false, 10s);
-    connection.noteIncompleteMessage(false, 11s);  // more bytes of it don't prolong its time
+    connection.noteIncompleteMessage(false, 11s);  // more bytes don't extend the timeout
     EXPECT_FALSE(connection.isMessageOverdue(11499ms));
     EXPECT_TRUE(connection.isMessageOverdue(11500ms));
-    connection.noteIncompleteMessage(true, 11s);  // another message was begun
+    connection.noteIncompleteMessage(true, 11s);  // another message was started
     EXPECT_FALSE(connection.isMessageOverdue(12499ms));
     connection.stopReading(net::ConnectionEnd::TimedOut);
     EXPECT_FALSE(connection.isMessageOverdue(99s));
@@ -179,7 +179,7 @@
     ThriftConnection& connection = connect();
     connection.openRequest(1, 55);
     connection.drain(10s);
-    connection.drain(20s);  // it was asked already
+    connection.drain(20s);  // the goaway was already sent
     EXPECT_TRUE(connection.isDraining());
     EXPECT_FALSE(connection.isDrainOverdue(11s));
     connection.closeRequest(1);
--- a/tests/thrift/request_decoder_test.cpp
+++ b/tests/thrift/request_decoder_test.cpp
@@ -1,4 +1,4 @@
-// The request decoder: what each field becomes, and the exact text of each error, which clients see.
+// The request decoder: the meaning of each field, and the exact text of each error, which clients receive.
 #include "thrift/request_decoder.h"
 
 #include <gtest/gtest.h>
