--- a/src/net/channel.cpp
+++ b/src/net/channel.cpp
@@ -51,7 +51,7 @@
     const int error = uv_accept(asStream(listener.tcp), asStream(tcp_));
     if (error != 0) {
         close();
-        throw std::runtime_error(std::string("accept: ") + uv_strerror(error));
+        throw std::runtime_error(std::string("can't accept connection: ") + uv_strerror(error));
     }
     uv_tcp_nodelay(&tcp_, 1);
     state_ = State::Open;
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -37,7 +37,8 @@
     }
     if (error == 0) return;
     closeThenDelete<ListenerHandle>(asHandle(handle_->tcp));
-    throw std::runtime_error(std::string("can't listen: ") + uv_strerror(error));
+    throw std::runtime_error("can't listen on " + address.host + ":" + std::to_string(address.port) + ": " +
+                             uv_strerror(error));
 }
 
 Listener::~Listener() { closeThenDelete<ListenerHandle>(asHandle(handle_->tcp)); }
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -19,7 +19,7 @@
 Loop::Loop() : handles_(std::make_unique<Handles>()) {
     std::signal(SIGPIPE, SIG_IGN);  // a write to a closed connection fails with EPIPE instead
     if (const int error = uv_loop_init(&handles_->loop); error != 0)
-        throw std::runtime_error(std::string("loop: ") + uv_strerror(error));
+        throw std::runtime_error(std::string("can't initialize event loop: ") + uv_strerror(error));
     handles_->loop.data = this;
 
     uv_prepare_init(&handles_->loop, &handles_->prepare);
--- a/src/net/uv_support.cpp
+++ b/src/net/uv_support.cpp
@@ -7,7 +7,7 @@
 sockaddr_in socketAddress(const Address& address) {
     sockaddr_in result{};
     if (uv_ip4_addr(address.host.c_str(), address.port, &result) != 0)
-        throw std::runtime_error("address " + address.host + " can't be read");
+        throw std::runtime_error("invalid IPv4 address: " + address.host);
     return result;
 }
 
--- a/src/thrift/thrift_server.cpp
+++ b/src/thrift/thrift_server.cpp
@@ -14,7 +14,7 @@
 using namespace std::chrono_literals;
 using telemetry::Count;
 
-constexpr char kLogComponent[] = "sidecar";        // as on-call pages and alerts know it
+constexpr char kLogComponent[] = "thrift";
 constexpr std::size_t kMaxLoggedNameBytes = 40;    // of a method name from a client
 constexpr int kMaxMessagesPerTurn = 64;            // per connection; the rest is read in the next turn
 constexpr Duration kFirstMessageTimeout = 1500ms;  // from acceptance to the first complete message
@@ -120,7 +120,9 @@
 void ThriftServer::abortMalformed(ThriftConnection& connection, net::ConnectionEnd end) {
     counters_.add(Count::MalformedFrames);
     log_.warn(kLogComponent,
-              end == net::ConnectionEnd::TooLong ? "a frame is too long" : "a frame is malformed");
+              end == net::ConnectionEnd::TooLong
+                  ? "frame exceeds " + std::to_string(kMaxFrameBytes) + " bytes; closing the connection"
+                  : "malformed frame; closing the connection");
     abort(connection, end);
 }
 
@@ -182,7 +184,8 @@
 void ThriftServer::rejectMessage(ThriftConnection& connection, const Message& message, ApplicationError error,
                                  const std::string& reason) {
     counters_.add(Count::MalformedRequests);
-    log_.warn(kLogComponent, message.name.substr(0, kMaxLoggedNameBytes) + " refused: " + reason);
+    log_.warn(kLogComponent,
+              "invalid " + message.name.substr(0, kMaxLoggedNameBytes) + " message: " + reason);
     send(connection, writeApplicationException(message.name, message.sequence, error, reason));
     connection.addProtocolError();
 }
@@ -260,7 +263,7 @@
 // a request which crossed it gets no response.
 void ThriftServer::closeGracefully(ThriftConnection& connection, net::ConnectionEnd end) {
     counters_.addEnd(end);
-    log_.debug(kLogComponent, std::string("connection ends in order: ") + net::nameOf(end));
+    log_.debug(kLogComponent, std::string("closing connection gracefully: ") + net::nameOf(end));
     ++*closing_;
     connection.closeGracefully([this, weak = std::weak_ptr<std::size_t>(closing_)] {
         const auto closing = weak.lock();
