--- a/benchmarks/routing_benchmark.cpp
+++ b/benchmarks/routing_benchmark.cpp
@@ -13,28 +13,30 @@
 using namespace cottonwing;
 using namespace cottonwing::routing;
 
-std::vector<Route> routesOf(std::int64_t count) {
-    std::vector<Route> all;
+std::vector<Route> makeRoutes(std::int64_t count) {
+    std::vector<Route> routes;
     for (std::int64_t n = 0; n < count; ++n) {
         const std::string area = "/area" + std::to_string(n % 97);
         const std::string path = n % 3 == 0   ? area + "/hall" + std::to_string(n) + "/:item"
                                  : n % 3 == 1 ? area + "/court" + std::to_string(n) + "/*"
                                               : area + "/list" + std::to_string(n);
-        all.push_back({path,
-                       n % 5 == 0 ? std::vector<std::string>{"GET"} : std::vector<std::string>{},
-                       {},
-                       static_cast<std::uint64_t>(n)});
+        routes.push_back({path,
+                          n % 5 == 0 ? std::vector<std::string>{"GET"} : std::vector<std::string>{},
+                          {},
+                          static_cast<std::uint64_t>(n)});
     }
-    return all;
+    return routes;
 }
 
-std::vector<std::string> pathsOf(const std::vector<Route>& routes) {
-    std::mt19937 chance(7);
+std::vector<std::string> makePaths(const std::vector<Route>& routes) {
+    std::mt19937 random(7);
     std::vector<std::string> paths;
     for (int n = 0; n < 1024; ++n) {
-        std::string path = routes[chance() % routes.size()].path;
-        if (const auto name = path.find("/:"); name != path.npos) path = path.substr(0, name) + "/77";
-        if (const auto rest = path.find("/*"); rest != path.npos) path = path.substr(0, rest) + "/day/2";
+        std::string path = routes[random() % routes.size()].path;
+        if (const auto parameter = path.find("/:"); parameter != path.npos)
+            path = path.substr(0, parameter) + "/77";
+        if (const auto wildcard = path.find("/*"); wildcard != path.npos)
+            path = path.substr(0, wildcard) + "/day/2";
         paths.push_back(path);
     }
     return paths;
@@ -42,48 +44,52 @@
 
 const auto kNoHeader = [](std::string_view) -> std::optional<std::string_view> { return std::nullopt; };
 
-void trie(benchmark::State& state) {
-    const auto list = routesOf(state.range(0));
-    const auto paths = pathsOf(list);
-    Routes routes;
-    for (const Route& route : list) routes.add(route);
-    std::size_t at = 0;
-    for (auto _ : state) benchmark::DoNotOptimize(routes.find(paths[at++ % paths.size()], "GET", kNoHeader));
+void findInTrie(benchmark::State& state) {
+    const auto routeList = makeRoutes(state.range(0));
+    const auto paths = makePaths(routeList);
+    RouteTable routes;
+    for (const Route& route : routeList) routes.add(route);
+    std::size_t index = 0;
+    for (auto _ : state)
+        benchmark::DoNotOptimize(routes.find(paths[index++ % paths.size()], "GET", kNoHeader));
 }
-BENCHMARK(trie)->Arg(10)->Arg(1000)->Arg(100000);
+BENCHMARK(findInTrie)->Arg(10)->Arg(1000)->Arg(100000);
 
-void plainList(benchmark::State& state) {
-    const auto list = routesOf(state.range(0));
-    const auto paths = pathsOf(list);
-    std::size_t at = 0;
+void findInList(benchmark::State& state) {
+    const auto routeList = makeRoutes(state.range(0));
+    const auto paths = makePaths(routeList);
+    std::size_t index = 0;
     for (auto _ : state)
-        benchmark::DoNotOptimize(findPlainly(list, paths[at++ % paths.size()], "GET", kNoHeader));
+        benchmark::DoNotOptimize(
+            findByLinearSearch(routeList, paths[index++ % paths.size()], "GET", kNoHeader));
 }
-BENCHMARK(plainList)->Arg(10)->Arg(1000)->Arg(100000);
+BENCHMARK(findInList)->Arg(10)->Arg(1000)->Arg(100000);
 
 // A choice with all that goes with it: who may be used, one more in flight, and its end.
 void choose(benchmark::State& state) {
     const auto count = static_cast<std::size_t>(state.range(1));
-    Choice choice(static_cast<Way>(state.range(0)));
-    Members members{MemberTerms{}};
-    std::mt19937 chance(7);
-    for (std::size_t n = 0; n < count; ++n) choice.add(members.add());
+    LoadBalancer balancer(static_cast<LoadBalancingPolicy>(state.range(0)));
+    OutlierDetector detector{OutlierDetectionConfig{}};
+    std::mt19937 random(7);
+    for (std::size_t n = 0; n < count; ++n) balancer.add(detector.add());
     Duration now{0};
-    const auto usable = [&](std::size_t at) { return members.usable(at, now); };
-    std::uint64_t subject = 0;
+    const auto isUsable = [&](std::size_t index) { return detector.isUsable(index, now); };
+    std::uint64_t routingKey = 0;
     for (auto _ : state) {
         now += std::chrono::microseconds(100);
-        const auto at = choice.choose(++subject, std::nullopt, usable, chance);
-        choice.began(*at);
-        choice.ended(*at, std::chrono::milliseconds(5 + subject % 7), now);
-        members.good(*at, now);
+        const auto index = balancer.choose(++routingKey, std::nullopt, isUsable, random);
+        balancer.requestStarted(*index);
+        balancer.requestEnded(*index, std::chrono::milliseconds(5 + routingKey % 7), now);
+        detector.recordSuccess(*index, now);
     }
 }
-void ways(benchmark::internal::Benchmark* which) {
-    for (const Way way : {Way::RoundRobin, Way::Least, Way::TwoChoices, Way::BySubject})
-        for (const int count : {10, 100, 2000}) which->Args({static_cast<int>(way), count});
+void allPolicies(benchmark::internal::Benchmark* benchmark) {
+    for (const LoadBalancingPolicy policy :
+         {LoadBalancingPolicy::RoundRobin, LoadBalancingPolicy::LeastRequests,
+          LoadBalancingPolicy::PowerOfTwoChoices, LoadBalancingPolicy::ConsistentHash})
+        for (const int count : {10, 100, 2000}) benchmark->Args({static_cast<int>(policy), count});
 }
-BENCHMARK(choose)->Apply(ways)->ArgNames({"way", "servers"});
+BENCHMARK(choose)->Apply(allPolicies)->ArgNames({"way", "servers"});
 
 }  // namespace
 
--- a/src/loadtest/experiment.cpp
+++ b/src/loadtest/experiment.cpp
@@ -292,7 +292,7 @@
                                {"signal", "share_of"}};
     char seed[20];
     std::snprintf(seed, sizeof seed, "%016llx",
-                  static_cast<unsigned long long>(routing::spread(
+                  static_cast<unsigned long long>(routing::splitMix64(
                       plan.seed * 1000 + at + 1000000 * static_cast<std::uint64_t>(backend.crashes))));
     return {
         {"name", backend.name},
--- a/src/loadtest/load_clients.cpp
+++ b/src/loadtest/load_clients.cpp
@@ -12,7 +12,7 @@
 namespace cottonwing::loadtest {
 
 using namespace std::chrono_literals;
-using routing::Began;
+using routing::ExecutionState;
 
 namespace {
 
@@ -42,9 +42,10 @@
 }  // namespace
 
 std::string traceOf(std::uint64_t seed, std::uint64_t number, int attempt) {
-    // spread() takes no two numbers to one, and a seed shifts all of a run's
+    // splitMix64() takes no two numbers to one, and a seed shifts all of a run's
     // numbers alike.
-    return hex16(routing::spread(routing::spread(seed) + number * 16 + static_cast<std::uint64_t>(attempt)));
+    return hex16(
+        routing::splitMix64(routing::splitMix64(seed) + number * 16 + static_cast<std::uint64_t>(attempt)));
 }
 
 std::string bodyOf(const Planned& planned, int calls, const std::string& firstTrace) {
@@ -137,8 +138,8 @@
 struct Clients::Client {
     Client(const Habits& habits, std::size_t theNumber, std::uint64_t seed)
         : number(theNumber),
-          chance(
-              static_cast<std::mt19937::result_type>(routing::spread(seed ^ (theNumber + 1) * 0x9E3779B9))),
+          chance(static_cast<std::mt19937::result_type>(
+              routing::splitMix64(seed ^ (theNumber + 1) * 0x9E3779B9))),
           choice(habits.way),
           members(habits.members),
           budget(habits.attempts),
@@ -152,9 +153,9 @@
     }
     const std::size_t number;
     std::mt19937 chance;
-    routing::Choice choice;
-    routing::Members members;
-    routing::Budget budget;
+    routing::LoadBalancer choice;
+    routing::OutlierDetector members;
+    routing::RetryBudget budget;
     std::vector<std::vector<std::unique_ptr<Line>>> lines;  // by target
     std::vector<std::unique_ptr<Line>> checks;
     std::vector<std::deque<std::uint64_t>>
@@ -325,13 +326,13 @@
     TrackedRequest& request = open_.at(id);
     Client& client = *clients_[request.client];
     if (now >= request.stopsAt) return finish(id, request.everSent ? request.worst : End::NeverSent, now);
-    const auto usable = [&](std::size_t at) { return client.members.usable(at, now); };
+    const auto usable = [&](std::size_t at) { return client.members.isUsable(at, now); };
     const auto chosen = client.choice.choose(request.planned.subject, request.target, usable, client.chance);
     ++request.attempts;
     if (!chosen) {
         // Nobody may be used just now: it waits like one that was turned away
         // before it began.
-        return tryFailed(id, now, Began::Never, End::NeverSent);
+        return tryFailed(id, now, ExecutionState::NotStarted, End::NeverSent);
     }
     request.target = *chosen;
     if (put(id, request, *chosen, now)) return;
@@ -388,8 +389,8 @@
 
     line->open.emplace(request.sequence, id);
     line->used = now;
-    client.choice.began(target);
-    client.members.began(target, now);
+    client.choice.requestStarted(target);
+    client.members.requestStarted(target, now);
     ++tally_.requestClasses[static_cast<std::size_t>(planned.requestClass)].tries;
     ++tally_.series.at(request.scheduled - start_).tries;
     if (watcher_ != nullptr) watcher_->sent(planned, request.trace, request.first, target);
@@ -418,7 +419,7 @@
     std::snprintf(text, sizeof text, "%.4f", std::min(planned.rank, 0.9999));
     fields["order"] = text;
     if (requestClass.repeat == Idempotency::Idempotent)
-        fields["entity"] = hex16(routing::spread(planned.subject));
+        fields["entity"] = hex16(routing::splitMix64(planned.subject));
     return writeServe(request.sequence, fields, bodyOf(planned, requestClass.calls, request.first));
 }
 
@@ -458,32 +459,33 @@
 void Clients::detach(TrackedRequest& request, std::optional<Duration> took, Duration now) {
     if (request.line == nullptr) return;
     if (watcher_ != nullptr) watcher_->released(request.trace);
-    clients_[request.client]->choice.ended(*request.target, took, now);
+    clients_[request.client]->choice.requestEnded(*request.target, took, now);
     request.line->open.erase(request.sequence);
     request.line->used = now;
     request.line = nullptr;
 }
 
-void Clients::tryFailed(std::uint64_t id, Duration now, Began began, End how,
+void Clients::tryFailed(std::uint64_t id, Duration now, ExecutionState began, End how,
                         std::optional<Duration> retryAfter, bool noRetryElsewhere) {
     TrackedRequest& request = open_.at(id);
     Client& client = *clients_[request.client];
     request.worst = how;
-    client.budget.failed();
-    routing::Tried tried;
+    client.budget.recordFailure();
+    routing::FailedAttempt tried;
     tried.idempotency = terms_.requestClasses[static_cast<std::size_t>(request.planned.requestClass)].repeat;
-    tried.began = began;
+    tried.execution = began;
     tried.attempts = request.attempts;
-    tried.waited = request.waited;
+    tried.previousDelay = request.waited;
     tried.retryAfter = retryAfter;
     tried.noRetryElsewhere = noRetryElsewhere;
-    tried.stopsAt = request.stopsAt;
-    tried.useful = kUseful;
-    const auto verdict = routing::again(habits_.attempts, client.budget, tried, now, client.chance);
-    ++tally_.links.notAgain[static_cast<std::size_t>(verdict.why)];
-    if (verdict.why != routing::Why::Again || (stopped_ && habits_.closed > 0)) return finish(id, how, now);
-    request.waited = verdict.at - now;
-    agenda(id, request, verdict.at);
+    tried.deadline = request.stopsAt;
+    tried.minAttemptTime = kUseful;
+    const auto verdict = routing::decideRetry(habits_.attempts, client.budget, tried, now, client.chance);
+    ++tally_.links.notAgain[static_cast<std::size_t>(verdict.reason)];
+    if (verdict.reason != routing::RetryDecisionReason::Retry || (stopped_ && habits_.closed > 0))
+        return finish(id, how, now);
+    request.waited = verdict.retryAt - now;
+    agenda(id, request, verdict.retryAt);
 }
 
 void Clients::patienceOver(std::uint64_t id, Duration now) {
@@ -497,7 +499,7 @@
     if (line.connection && line.connection->isOpen())
         tally_.broken.note(tally_.broken.lost,
                            "no answer to " + request.trace + " of server " + std::to_string(line.target));
-    clients_[request.client]->members.failed(*request.target, now, clients_[request.client]->chance);
+    clients_[request.client]->members.recordFailure(*request.target, now, clients_[request.client]->chance);
     // A kiosk that gives up closes its connection: so it is told.
     const bool kiosk = line.kiosk;
     if (habits_.forgets && line.connection && !kiosk) {
@@ -573,7 +575,7 @@
         ++tally_.links.checks;
         tally_.links.badChecks += !good;
         line.open.clear();
-        client.members.checked(line.target, good, now, client.chance);
+        client.members.recordHealthCheck(line.target, good, now, client.chance);
         return;
     }
     const auto found = line.open.find(said.sequence);
@@ -595,7 +597,7 @@
     switch (said.kind) {
         case ClientResponse::Kind::Answer: {
             detach(request, took, now);
-            client.members.good(target, now);
+            client.members.recordSuccess(target, now);
             const std::string expected = "ok " + request.trace;
             if (habits_.checksResults && said.body.substr(0, expected.size()) != expected) {
                 tally_.broken.note(tally_.broken.wrongResult,
@@ -603,25 +605,26 @@
                 finish(id, End::Failed, now);
                 break;
             }
-            client.budget.good();
+            client.budget.recordSuccess();
             finish(id, End::Completed, now);
             break;
         }
         case ClientResponse::Kind::Busy: {
             detach(request, std::nullopt, now);
-            client.members.good(target, now);  // it is well enough to turn away
+            client.members.recordSuccess(target, now);  // it is well enough to turn away
             std::optional<Duration> retryAfter;
             if (const auto pause = numberIn(said.fields, "pause"))
                 retryAfter = Duration(static_cast<std::int64_t>(std::min(*pause, 1e9) * 1e6));
-            tryFailed(id, now, Began::Never, End::Rejected, retryAfter, said.fields.contains("terminal"));
+            tryFailed(id, now, ExecutionState::NotStarted, End::Rejected, retryAfter,
+                      said.fields.contains("terminal"));
             break;
         }
         case ClientResponse::Kind::Failed:
         case ClientResponse::Kind::Exception:
         case ClientResponse::Kind::Goaway:
             detach(request, std::nullopt, now);
-            client.members.failed(target, now, client.chance);
-            tryFailed(id, now, Began::Unknown, End::Failed);
+            client.members.recordFailure(target, now, client.chance);
+            tryFailed(id, now, ExecutionState::Unknown, End::Failed);
             break;
     }
     if (line.goaway && line.open.empty()) return lineEnded(line, net::ConnectionEnd::Unused);
@@ -654,7 +657,7 @@
     if (line.check) {
         if (!line.open.empty() || refused) {
             ++tally_.links.checks, ++tally_.links.badChecks;
-            client.members.checked(target, false, now, client.chance);
+            client.members.recordHealthCheck(target, false, now, client.chance);
         }
         gone_.push_back(std::move(client.checks[target]));
     } else {
@@ -690,8 +693,9 @@
             continue;
         }
         // One broken connection is one sign, however many requests were on it.
-        if (!std::exchange(booked, true)) client.members.failed(target, now, client.chance);
-        tryFailed(id, now, refused ? Began::Never : Began::Unknown, End::ConnectionLost);
+        if (!std::exchange(booked, true)) client.members.recordFailure(target, now, client.chance);
+        tryFailed(id, now, refused ? ExecutionState::NotStarted : ExecutionState::Unknown,
+                  End::ConnectionLost);
     }
     sendWaiting(client, target, now);
     soon();
--- a/src/loadtest/load_clients.h
+++ b/src/loadtest/load_clients.h
@@ -27,9 +27,9 @@
     std::vector<net::Address> targets;
     std::vector<net::Address> kiosks;  // where each of them takes SCGI, in the
                                        // same order; for request classes that speak it
-    routing::Way way = routing::Way::TwoChoices;
-    routing::AttemptTerms attempts;
-    routing::MemberTerms members;
+    routing::LoadBalancingPolicy way = routing::LoadBalancingPolicy::PowerOfTwoChoices;
+    routing::RetryPolicyConfig attempts;
+    routing::OutlierDetectionConfig members;
     int connections = 8;  // to one server, of one client, at most
     int openEach = 32;    // requests on one connection
     Duration closesIdle{std::chrono::seconds(10)};
@@ -104,7 +104,7 @@
     void take(const Planned& planned, Duration scheduled, Duration now);
     void begin(std::uint64_t id, Duration now);
     bool put(std::uint64_t id, TrackedRequest& request, std::size_t target, Duration now);
-    void tryFailed(std::uint64_t id, Duration now, routing::Began began, End how,
+    void tryFailed(std::uint64_t id, Duration now, routing::ExecutionState began, End how,
                    std::optional<Duration> retryAfter = {}, bool noRetryElsewhere = false);
     void patienceOver(std::uint64_t id, Duration now);
     void finish(std::uint64_t id, End end, Duration now);
--- a/src/loadtest/load_run.cpp
+++ b/src/loadtest/load_run.cpp
@@ -96,22 +96,24 @@
     }
     if (const kdl::Node* const choose = in.child("choose")) {
         kdl::NodeReader inner(*choose);
-        habits.way = kdl::NodeReader::choice<routing::Way>(inner.argument(0, "a way to choose"),
-                                                           {{"round-robin", routing::Way::RoundRobin},
-                                                            {"least", routing::Way::Least},
-                                                            {"two-choices", routing::Way::TwoChoices},
-                                                            {"by-subject", routing::Way::BySubject},
-                                                            {"fastest", routing::Way::Fastest}});
+        habits.way = kdl::NodeReader::choice<routing::LoadBalancingPolicy>(
+            inner.argument(0, "a way to choose"),
+            {{"round-robin", routing::LoadBalancingPolicy::RoundRobin},
+             {"least", routing::LoadBalancingPolicy::LeastRequests},
+             {"two-choices", routing::LoadBalancingPolicy::PowerOfTwoChoices},
+             {"by-subject", routing::LoadBalancingPolicy::ConsistentHash},
+             {"fastest", routing::LoadBalancingPolicy::LowestLatency}});
         inner.rejectUnknown();
     }
     if (const kdl::Node* const attempts = in.child("attempts")) {
         kdl::NodeReader inner(*attempts);
-        routing::AttemptTerms& terms = habits.attempts;
-        terms.most =
+        routing::RetryPolicyConfig& terms = habits.attempts;
+        terms.maxAttempts =
             static_cast<int>(kdl::integer(inner.argument(0, "how many attempts there are in all"), 1, 6));
-        inner.property("growth", terms.growth, [](const kdl::Value& value) {
-            return kdl::NodeReader::choice<routing::Growth>(
-                value, {{"fixed", routing::Growth::Fixed}, {"exponential", routing::Growth::Exponential}});
+        inner.property("growth", terms.backoffGrowth, [](const kdl::Value& value) {
+            return kdl::NodeReader::choice<routing::BackoffGrowth>(
+                value, {{"fixed", routing::BackoffGrowth::Fixed},
+                        {"exponential", routing::BackoffGrowth::Exponential}});
         });
         inner.property("jitter", terms.jitter, [](const kdl::Value& value) {
             return kdl::NodeReader::choice<routing::Jitter>(
@@ -120,12 +122,12 @@
                         {"full", routing::Jitter::Full},
                         {"decorrelated", routing::Jitter::Decorrelated}});
         });
-        inner.property("least", terms.least, kdl::duration);
-        inner.property("longest", terms.longest, kdl::duration);
-        inner.property("budget", terms.budgeted, kdl::boolean);
-        inner.property("tokens", terms.tokens, kdl::number);
-        inner.property("per-good", terms.perGood, kdl::number);
-        inner.property("above", terms.above, kdl::fraction);
+        inner.property("least", terms.baseDelay, kdl::duration);
+        inner.property("longest", terms.maxDelay, kdl::duration);
+        inner.property("budget", terms.budgetEnabled, kdl::boolean);
+        inner.property("tokens", terms.maxTokens, kdl::number);
+        inner.property("per-good", terms.tokensPerSuccess, kdl::number);
+        inner.property("above", terms.minTokenFraction, kdl::fraction);
         inner.rejectUnknown();
     }
     if (const kdl::Node* const connections = in.child("connections")) {
@@ -470,7 +472,7 @@
                           {"forgets", links.forgets}, {"sent again", links.sentAgain}};
     Json again;
     for (std::size_t why = 0; why < links.notAgain.size(); ++why)
-        again[routing::nameOf(static_cast<routing::Why>(why))] = links.notAgain[why];
+        again[routing::nameOf(static_cast<routing::RetryDecisionReason>(why))] = links.notAgain[why];
     all["after_failed_tries"] = again;
     all["broken"] = {{"twice", tally.broken.twice},
                      {"to nothing", tally.broken.toNothing},
--- a/src/loadtest/load_statistics.h
+++ b/src/loadtest/load_statistics.h
@@ -70,7 +70,7 @@
 struct Links {
     std::uint64_t opened = 0, refused = 0, reset = 0, closed = 0, goaways = 0, idleClosed = 0;
     std::uint64_t checks = 0, badChecks = 0, forgets = 0, sentAgain = 0;
-    std::array<std::uint64_t, 6> notAgain{};  // by routing::Why
+    std::array<std::uint64_t, 6> notAgain{};  // by routing::RetryDecisionReason
     void add(const Links& other);
 };
 
--- a/src/routing/concurrency_limit.h
+++ b/src/routing/concurrency_limit.h
@@ -14,39 +14,42 @@
 
 namespace cottonwing::routing {
 
-struct LimitTerms {
-    double most = 100;     // the operator's
-    double first = 10;     // to begin with, and after a return
-    double crowded = 2.0;  // this multiple of the floor is a crowd
-    double easy = 1.5;     // under this multiple there is room
-    double falls = 0.85;   // what is left after a crowd, once a round
-    Duration looksEvery{std::chrono::seconds(10)};
+struct ConcurrencyLimitConfig {
+    double maxLimit = 100;                 // the operator's
+    double initialLimit = 10;              // to begin with, and after a return
+    double congestedLatencyRatio = 2.0;    // this multiple of the floor is a crowd
+    double uncongestedLatencyRatio = 1.5;  // under this multiple there is room
+    double decreaseFactor = 0.85;          // what is left after a crowd, once a round
+    Duration baselineInterval{std::chrono::seconds(10)};
 };
 
-class Limit {
+class ConcurrencyLimit {
 public:
-    explicit Limit(const LimitTerms& terms)
-        : terms_(terms), limit_(terms.first < terms.most ? terms.first : terms.most) {}
+    explicit ConcurrencyLimit(const ConcurrencyLimitConfig& config)
+        : config_(config),
+          limit_(config.initialLimit < config.maxLimit ? config.initialLimit : config.maxLimit) {}
     bool allows(int inFlight) const { return inFlight < static_cast<int>(limit_); }
     double limit() const { return limit_; }
-    double settled() const { return looking_ ? settled_ : limit_; }  // without the dip of a look at the floor
-    double floor() const { return floor_; }                          // seconds; 0 while nothing was seen
+    double steadyLimit() const {
+        return measuringBaseline_ ? limitBeforeMeasurement_ : limit_;
+    }                                                            // without the dip of a look at the floor
+    double baselineLatency() const { return baselineLatency_; }  // seconds; 0 while nothing was seen
     // inFlight: with this one.
-    void good(Duration took, int inFlight, Duration now);
-    void failed(Duration now);
-    void startAgain();  // after a return: slowly
+    void recordSuccess(Duration latency, int inFlight, Duration now);
+    void recordFailure(Duration now);
+    void restart();  // after a return: slowly
 
 private:
-    void fall(Duration now);
-    void grow();
-    void look(int inFlight);
-
-    LimitTerms terms_;
-    static constexpr int kMean = 50;  // answers that a mean is of
-    double limit_, settled_ = 1, floor_ = 0, recent_ = 0;
-    int seen_ = 0, skip_ = 0;
-    bool looking_ = false;
-    Duration nextLook_{0}, lastFall_{0};
+    void decrease(Duration now);
+    void increase();
+    void beginBaselineMeasurement(int inFlight);
+
+    ConcurrencyLimitConfig config_;
+    static constexpr int kSampleCount = 50;  // answers that a mean is of
+    double limit_, limitBeforeMeasurement_ = 1, baselineLatency_ = 0, meanLatency_ = 0;
+    int sampleCount_ = 0, samplesToSkip_ = 0;
+    bool measuringBaseline_ = false;
+    Duration nextMeasurement_{0}, lastDecrease_{0};
 };
 
 }  // namespace cottonwing::routing
--- a/src/routing/load_balancer.cpp
+++ b/src/routing/load_balancer.cpp
@@ -5,178 +5,191 @@
 
 namespace cottonwing::routing {
 
-std::uint64_t spread(std::uint64_t number) {
-    number += 0x9E3779B97F4A7C15ULL;
-    number = (number ^ number >> 30) * 0xBF58476D1CE4E5B9ULL;
-    number = (number ^ number >> 27) * 0x94D049BB133111EBULL;
-    return number ^ number >> 31;
+std::uint64_t splitMix64(std::uint64_t value) {
+    value += 0x9E3779B97F4A7C15ULL;
+    value = (value ^ value >> 30) * 0xBF58476D1CE4E5B9ULL;
+    value = (value ^ value >> 27) * 0x94D049BB133111EBULL;
+    return value ^ value >> 31;
 }
 
-void Choice::add(Index at, double weight) {
-    if (at >= all_.size()) all_.resize(at + 1);
-    Member& member = all_[at];
-    if (member.present) return setWeight(at, weight);
-    member = Member{};
-    member.present = true;
-    member.weight = weight;
-    member.place = order_.size();
-    order_.push_back(at);
-    weights_ += weight;
-    rank(at, true);
-    if (way_ != Way::BySubject) return;
-    const auto middle = static_cast<std::ptrdiff_t>(ring_.size());
-    for (int point = 0; point < kPointsEach; ++point)
-        ring_.emplace_back(spread(spread(at + 1) + static_cast<std::uint64_t>(point)), at);
-    std::sort(ring_.begin() + middle, ring_.end());
-    std::inplace_merge(ring_.begin(), ring_.begin() + middle, ring_.end());
+void LoadBalancer::add(Index index, double weight) {
+    if (index >= endpoints_.size()) endpoints_.resize(index + 1);
+    Endpoint& endpoint = endpoints_[index];
+    if (endpoint.present) return setWeight(index, weight);
+    endpoint = Endpoint{};
+    endpoint.present = true;
+    endpoint.weight = weight;
+    endpoint.orderPosition = presentEndpoints_.size();
+    presentEndpoints_.push_back(index);
+    totalWeight_ += weight;
+    updateRanking(index, true);
+    if (policy_ != LoadBalancingPolicy::ConsistentHash) return;
+    const auto oldEnd = static_cast<std::ptrdiff_t>(hashRing_.size());
+    for (int point = 0; point < kRingPointsPerEndpoint; ++point)
+        hashRing_.emplace_back(splitMix64(splitMix64(index + 1) + static_cast<std::uint64_t>(point)), index);
+    std::sort(hashRing_.begin() + oldEnd, hashRing_.end());
+    std::inplace_merge(hashRing_.begin(), hashRing_.begin() + oldEnd, hashRing_.end());
 }
 
-void Choice::remove(Index at) {
-    if (at >= all_.size() || !all_[at].present) return;
-    Member& member = all_[at];
-    rank(at, false);
-    weights_ -= member.weight;
-    flying_ -= static_cast<std::uint64_t>(member.inFlight);
-    order_[member.place] = order_.back();
-    all_[order_.back()].place = member.place;
-    order_.pop_back();
-    member = Member{};
-    std::erase_if(ring_, [at](const auto& point) { return point.second == at; });
+void LoadBalancer::remove(Index index) {
+    if (index >= endpoints_.size() || !endpoints_[index].present) return;
+    Endpoint& endpoint = endpoints_[index];
+    updateRanking(index, false);
+    totalWeight_ -= endpoint.weight;
+    totalInFlight_ -= static_cast<std::uint64_t>(endpoint.inFlight);
+    presentEndpoints_[endpoint.orderPosition] = presentEndpoints_.back();
+    endpoints_[presentEndpoints_.back()].orderPosition = endpoint.orderPosition;
+    presentEndpoints_.pop_back();
+    endpoint = Endpoint{};
+    std::erase_if(hashRing_, [index](const auto& point) { return point.second == index; });
 }
 
-void Choice::setWeight(Index at, double weight) {
-    rank(at, false);
-    weights_ += weight - all_[at].weight;
-    all_[at].weight = weight;
-    rank(at, true);
+void LoadBalancer::setWeight(Index index, double weight) {
+    updateRanking(index, false);
+    totalWeight_ += weight - endpoints_[index].weight;
+    endpoints_[index].weight = weight;
+    updateRanking(index, true);
 }
 
-void Choice::rank(Index at, bool in) {
-    if (way_ != Way::Least && way_ != Way::Fastest) return;
-    const std::pair<double, Index> key{way_ == Way::Least ? load(all_[at]) : all_[at].seconds, at};
-    if (in)
-        ranked_.insert(key);
+void LoadBalancer::updateRanking(Index index, bool present) {
+    if (policy_ != LoadBalancingPolicy::LeastRequests && policy_ != LoadBalancingPolicy::LowestLatency)
+        return;
+    const std::pair<double, Index> key{policy_ == LoadBalancingPolicy::LeastRequests
+                                           ? load(endpoints_[index])
+                                           : endpoints_[index].latencySeconds,
+                                       index};
+    if (present)
+        ranking_.insert(key);
     else
-        ranked_.erase(key);
+        ranking_.erase(key);
 }
 
-void Choice::began(Index at) {
-    if (at >= all_.size() || !all_[at].present) return;
-    rank(at, false);
-    ++all_[at].inFlight;
-    ++flying_;
-    rank(at, true);
+void LoadBalancer::requestStarted(Index index) {
+    if (index >= endpoints_.size() || !endpoints_[index].present) return;
+    updateRanking(index, false);
+    ++endpoints_[index].inFlight;
+    ++totalInFlight_;
+    updateRanking(index, true);
 }
 
-void Choice::ended(Index at, std::optional<Duration> took, Duration now) {
-    if (at >= all_.size() || !all_[at].present || all_[at].inFlight == 0) return;  // removed meanwhile
-    rank(at, false);
-    Member& member = all_[at];
-    --member.inFlight;
-    --flying_;
-    if (took) {
-        const double seconds = std::chrono::duration<double>(*took).count();
+void LoadBalancer::requestEnded(Index index, std::optional<Duration> latency, Duration now) {
+    if (index >= endpoints_.size() || !endpoints_[index].present || endpoints_[index].inFlight == 0)
+        return;  // removed meanwhile
+    updateRanking(index, false);
+    Endpoint& endpoint = endpoints_[index];
+    --endpoint.inFlight;
+    --totalInFlight_;
+    if (latency) {
+        const double seconds = std::chrono::duration<double>(*latency).count();
         // A slow answer counts at once, quick ones win the trust back over about a second.
-        const double passed = std::chrono::duration<double>(now - member.seenAt).count();
-        if (member.seconds == 0 || seconds > member.seconds)
-            member.seconds = seconds;
+        const double sinceLastUpdate = std::chrono::duration<double>(now - endpoint.latencyUpdatedAt).count();
+        if (endpoint.latencySeconds == 0 || seconds > endpoint.latencySeconds)
+            endpoint.latencySeconds = seconds;
         else
-            member.seconds += (seconds - member.seconds) * (1 - std::exp(-std::max(0.01, passed)));
-        member.seenAt = now;
-        usual_ += (seconds - usual_) * (usual_ == 0 ? 1 : 0.02);
+            endpoint.latencySeconds +=
+                (seconds - endpoint.latencySeconds) * (1 - std::exp(-std::max(0.01, sinceLastUpdate)));
+        endpoint.latencyUpdatedAt = now;
+        meanLatencySeconds_ += (seconds - meanLatencySeconds_) * (meanLatencySeconds_ == 0 ? 1 : 0.02);
     }
-    rank(at, true);
+    updateRanking(index, true);
 }
 
 // What one more request there would wait for; of one not seen yet what is usual in the group is expected.
-double Choice::cost(const Member& member) const {
-    const double each = member.seconds > 0 ? member.seconds : std::max(usual_, 1e-6);
-    return load(member) * each;
+double LoadBalancer::cost(const Endpoint& endpoint) const {
+    const double expectedLatency =
+        endpoint.latencySeconds > 0 ? endpoint.latencySeconds : std::max(meanLatencySeconds_, 1e-6);
+    return load(endpoint) * expectedLatency;
 }
 
-std::optional<Choice::Index> Choice::choose(std::uint64_t subject, std::optional<Index> avoid,
-                                            const Usable& usable, std::mt19937& chance) {
-    if (order_.empty()) return std::nullopt;
-    switch (way_) {
-        case Way::RoundRobin:
-            return robin(avoid, usable);
-        case Way::TwoChoices:
-            return two(avoid, usable, chance);
-        case Way::BySubject:
-            return bySubject(subject, avoid, usable);
-        case Way::Least:
-        case Way::Fastest:
-            return ranked(avoid, usable, chance);
+std::optional<LoadBalancer::Index> LoadBalancer::choose(std::uint64_t routingKey, std::optional<Index> avoid,
+                                                        const IsUsable& isUsable, std::mt19937& random) {
+    if (presentEndpoints_.empty()) return std::nullopt;
+    switch (policy_) {
+        case LoadBalancingPolicy::RoundRobin:
+            return chooseRoundRobin(avoid, isUsable);
+        case LoadBalancingPolicy::PowerOfTwoChoices:
+            return chooseOfTwo(avoid, isUsable, random);
+        case LoadBalancingPolicy::ConsistentHash:
+            return chooseByHash(routingKey, avoid, isUsable);
+        case LoadBalancingPolicy::LeastRequests:
+        case LoadBalancingPolicy::LowestLatency:
+            return chooseRanked(avoid, isUsable, random);
     }
     return std::nullopt;
 }
 
-std::optional<Choice::Index> Choice::robin(std::optional<Index> avoid, const Usable& usable) {
-    std::optional<Index> last;
-    for (std::size_t n = 0; n < order_.size(); ++n) {
-        const Index at = order_[next_++ % order_.size()];
-        if (!usable(at)) continue;
-        if (avoid != at) return at;
-        last = at;
+std::optional<LoadBalancer::Index> LoadBalancer::chooseRoundRobin(std::optional<Index> avoid,
+                                                                  const IsUsable& isUsable) {
+    std::optional<Index> avoidedEndpoint;
+    for (std::size_t step = 0; step < presentEndpoints_.size(); ++step) {
+        const Index index = presentEndpoints_[roundRobinPosition_++ % presentEndpoints_.size()];
+        if (!isUsable(index)) continue;
+        if (avoid != index) return index;
+        avoidedEndpoint = index;
     }
-    return last;
+    return avoidedEndpoint;
 }
 
-std::optional<Choice::Index> Choice::two(std::optional<Index> avoid, const Usable& usable,
-                                         std::mt19937& chance) {
-    std::uniform_int_distribution<std::size_t> any(0, order_.size() - 1);
-    std::optional<Index> best;
-    int found = 0;
+std::optional<LoadBalancer::Index> LoadBalancer::chooseOfTwo(std::optional<Index> avoid,
+                                                             const IsUsable& isUsable, std::mt19937& random) {
+    std::uniform_int_distribution<std::size_t> anyPosition(0, presentEndpoints_.size() - 1);
+    std::optional<Index> chosen;
+    int candidates = 0;
     // With most of the group usable two draws are enough; a group that is mostly out is walked in the end.
-    for (int n = 0; n < 12 && found < 2; ++n) {
-        const Index at = order_[any(chance)];
-        if (avoid == at || best == at || !usable(at)) continue;
-        ++found;
-        if (!best || cost(all_[at]) < cost(all_[*best])) best = at;
+    for (int step = 0; step < 12 && candidates < 2; ++step) {
+        const Index index = presentEndpoints_[anyPosition(random)];
+        if (avoid == index || chosen == index || !isUsable(index)) continue;
+        ++candidates;
+        if (!chosen || cost(endpoints_[index]) < cost(endpoints_[*chosen])) chosen = index;
     }
-    if (best) return best;
-    next_ = any(chance);
-    return robin(avoid, usable);
+    if (chosen) return chosen;
+    roundRobinPosition_ = anyPosition(random);
+    return chooseRoundRobin(avoid, isUsable);
 }
 
 // Clockwise from the subject's point, past those that carry more than their bounded share.
-std::optional<Choice::Index> Choice::bySubject(std::uint64_t subject, std::optional<Index> avoid,
-                                               const Usable& usable) {
-    const double mean = (static_cast<double>(flying_) + 1) / std::max(weights_, 1e-9);
-    const auto from =
-        std::lower_bound(ring_.begin(), ring_.end(), std::pair<std::uint64_t, Index>{spread(subject), 0});
-    const auto first = static_cast<std::size_t>(from - ring_.begin());
+std::optional<LoadBalancer::Index> LoadBalancer::chooseByHash(std::uint64_t routingKey,
+                                                              std::optional<Index> avoid,
+                                                              const IsUsable& isUsable) {
+    const double mean = (static_cast<double>(totalInFlight_) + 1) / std::max(totalWeight_, 1e-9);
+    const auto start = std::lower_bound(hashRing_.begin(), hashRing_.end(),
+                                        std::pair<std::uint64_t, Index>{splitMix64(routingKey), 0});
+    const auto startPosition = static_cast<std::size_t>(start - hashRing_.begin());
     std::optional<Index> fallback;
     // A few full turns past distinct members are enough to find one under the bound, as not all are above the
     // mean.
-    for (std::size_t n = 0; n < ring_.size(); ++n) {
-        const Index at = ring_[(first + n) % ring_.size()].second;
-        if (avoid == at || !usable(at)) continue;
-        if (!fallback) fallback = at;
-        if (all_[at].inFlight + 1 <= std::ceil(kBoundedLoad * mean * all_[at].weight)) return at;
+    for (std::size_t step = 0; step < hashRing_.size(); ++step) {
+        const Index index = hashRing_[(startPosition + step) % hashRing_.size()].second;
+        if (avoid == index || !isUsable(index)) continue;
+        if (!fallback) fallback = index;
+        if (endpoints_[index].inFlight + 1 <= std::ceil(kLoadBoundFactor * mean * endpoints_[index].weight))
+            return index;
     }
     if (fallback) return fallback;
-    return avoid && *avoid < all_.size() && all_[*avoid].present && usable(*avoid) ? avoid : std::nullopt;
+    return avoid && *avoid < endpoints_.size() && endpoints_[*avoid].present && isUsable(*avoid)
+               ? avoid
+               : std::nullopt;
 }
 
-std::optional<Choice::Index> Choice::ranked(std::optional<Index> avoid, const Usable& usable,
-                                            std::mt19937& chance) {
-    std::optional<Index> last;
+std::optional<LoadBalancer::Index> LoadBalancer::chooseRanked(std::optional<Index> avoid,
+                                                              const IsUsable& isUsable,
+                                                              std::mt19937& random) {
+    std::optional<Index> avoidedEndpoint;
     // Among equals one by chance, or every client of a fleet would begin with the same one.
-    std::vector<Index> equals;
-    double value = 0;
-    for (const auto& [score, at] : ranked_) {
-        if (!equals.empty() && (score > value || equals.size() >= 16)) break;
-        if (!usable(at)) continue;
-        if (avoid == at) {
-            last = at;
+    std::vector<Index> ties;
+    double bestScore = 0;
+    for (const auto& [score, index] : ranking_) {
+        if (!ties.empty() && (score > bestScore || ties.size() >= 16)) break;
+        if (!isUsable(index)) continue;
+        if (avoid == index) {
+            avoidedEndpoint = index;
             continue;
         }
-        value = score;
-        equals.push_back(at);
+        bestScore = score;
+        ties.push_back(index);
     }
-    if (equals.empty()) return last;
-    return equals[std::uniform_int_distribution<std::size_t>(0, equals.size() - 1)(chance)];
+    if (ties.empty()) return avoidedEndpoint;
+    return ties[std::uniform_int_distribution<std::size_t>(0, ties.size() - 1)(random)];
 }
 
 }  // namespace cottonwing::routing
--- a/src/routing/outlier_detection.cpp
+++ b/src/routing/outlier_detection.cpp
@@ -5,126 +5,132 @@
 
 namespace cottonwing::routing {
 
-Members::Index Members::add() {
-    ++present_;
-    if (free_.empty()) {
-        all_.emplace_back();
-        return all_.size() - 1;
+OutlierDetector::Index OutlierDetector::add() {
+    ++endpointCount_;
+    if (freeSlots_.empty()) {
+        endpoints_.emplace_back();
+        return endpoints_.size() - 1;
     }
-    const Index at = free_.back();
-    free_.pop_back();
-    all_[at] = Member{};
-    return at;
+    const Index index = freeSlots_.back();
+    freeSlots_.pop_back();
+    endpoints_[index] = Endpoint{};
+    return index;
 }
 
-void Members::remove(Index at) {
-    Member& member = all_[at];
-    if (!member.present) return;
-    if (member.out) --out_;
-    member = Member{};
-    member.present = false;
-    --present_;
-    free_.push_back(at);
+void OutlierDetector::remove(Index index) {
+    Endpoint& endpoint = endpoints_[index];
+    if (!endpoint.present) return;
+    if (endpoint.ejected) --ejectedCount_;
+    endpoint = Endpoint{};
+    endpoint.present = false;
+    --endpointCount_;
+    freeSlots_.push_back(index);
 }
 
-void Members::book(Member& member, bool failed) {
-    const int most = std::min(terms_.window, 64);
-    member.lastFailed =
-        (member.lastFailed << 1 | (failed ? 1U : 0U)) & (most == 64 ? ~0ULL : (1ULL << most) - 1);
-    member.seen = std::min(member.seen + 1, most);
-    member.failed = std::popcount(member.lastFailed);
-    member.inARow = failed ? member.inARow + 1 : 0;
+void OutlierDetector::recordResult(Endpoint& endpoint, bool failed) {
+    const int windowSize = std::min(config_.windowSize, 64);
+    endpoint.failureWindow = (endpoint.failureWindow << 1 | (failed ? 1U : 0U)) &
+                             (windowSize == 64 ? ~0ULL : (1ULL << windowSize) - 1);
+    endpoint.resultCount = std::min(endpoint.resultCount + 1, windowSize);
+    endpoint.failureCount = std::popcount(endpoint.failureWindow);
+    endpoint.consecutiveFailures = failed ? endpoint.consecutiveFailures + 1 : 0;
 }
 
-void Members::good(Index at, Duration now) {
-    Member& member = all_[at];
-    if (!member.present) return;
-    member.probing = false;
-    if (member.out) {
+void OutlierDetector::recordSuccess(Index index, Duration now) {
+    Endpoint& endpoint = endpoints_[index];
+    if (!endpoint.present) return;
+    endpoint.probing = false;
+    if (endpoint.ejected) {
         // One that was sent before it went out may still end well: only what is asked while it is on
         // probation tells of its return.
-        if (now < member.until) return;
-        if (++member.probes >= terms_.probesToReturn) bring(member, now);
+        if (now < endpoint.ejectedUntil) return;
+        if (++endpoint.successfulProbes >= config_.successfulProbesToRestore) restore(endpoint, now);
         return;
     }
-    book(member, false);
+    recordResult(endpoint, false);
 }
 
-void Members::failed(Index at, Duration now, std::mt19937& chance) {
-    Member& member = all_[at];
-    if (!member.present) return;
-    member.probing = false;
-    if (member.out) {
-        if (now >= member.until) takeOut(member, now, chance);
+void OutlierDetector::recordFailure(Index index, Duration now, std::mt19937& random) {
+    Endpoint& endpoint = endpoints_[index];
+    if (!endpoint.present) return;
+    endpoint.probing = false;
+    if (endpoint.ejected) {
+        if (now >= endpoint.ejectedUntil) eject(endpoint, now, random);
         return;
     }
-    book(member, true);
-    const bool share = member.seen >= std::min(terms_.window, 64) &&
-                       member.failed >= terms_.failedShare * static_cast<double>(member.seen);
-    if (member.inARow >= terms_.failuresInARow || share) takeOut(member, now, chance);
+    recordResult(endpoint, true);
+    const bool ratioExceeded =
+        endpoint.resultCount >= std::min(config_.windowSize, 64) &&
+        endpoint.failureCount >= config_.failureRatio * static_cast<double>(endpoint.resultCount);
+    if (endpoint.consecutiveFailures >= config_.consecutiveFailures || ratioExceeded)
+        eject(endpoint, now, random);
 }
 
-void Members::checked(Index at, bool good, Duration now, std::mt19937& chance) {
-    Member& member = all_[at];
-    if (!member.present) return;
-    member.badChecks = good ? 0 : member.badChecks + 1;
-    member.goodChecks = good ? member.goodChecks + 1 : 0;
-    if (member.badChecks >= terms_.badChecks) {
-        member.badChecks = 0;
-        if (!member.out || now >= member.until) takeOut(member, now, chance);
+void OutlierDetector::recordHealthCheck(Index index, bool passed, Duration now, std::mt19937& random) {
+    Endpoint& endpoint = endpoints_[index];
+    if (!endpoint.present) return;
+    endpoint.consecutiveFailedChecks = passed ? 0 : endpoint.consecutiveFailedChecks + 1;
+    endpoint.consecutivePassedChecks = passed ? endpoint.consecutivePassedChecks + 1 : 0;
+    if (endpoint.consecutiveFailedChecks >= config_.unhealthyThreshold) {
+        endpoint.consecutiveFailedChecks = 0;
+        if (!endpoint.ejected || now >= endpoint.ejectedUntil) eject(endpoint, now, random);
         return;
     }
-    if (member.out && now >= member.until && member.goodChecks >= terms_.goodChecks) {
-        member.goodChecks = 0;
-        if (++member.probes >= terms_.probesToReturn) bring(member, now);
+    if (endpoint.ejected && now >= endpoint.ejectedUntil &&
+        endpoint.consecutivePassedChecks >= config_.healthyThreshold) {
+        endpoint.consecutivePassedChecks = 0;
+        if (++endpoint.successfulProbes >= config_.successfulProbesToRestore) restore(endpoint, now);
     }
 }
 
-bool Members::usable(Index at, Duration now) const {
-    const Member& member = all_[at];
-    if (!member.present) return false;
-    if (!member.out || panics()) return true;
-    return now >= member.until && !member.probing;
+bool OutlierDetector::isUsable(Index index, Duration now) const {
+    const Endpoint& endpoint = endpoints_[index];
+    if (!endpoint.present) return false;
+    if (!endpoint.ejected || inPanicMode()) return true;
+    return now >= endpoint.ejectedUntil && !endpoint.probing;
 }
 
-void Members::began(Index at, Duration now) {
-    Member& member = all_[at];
-    if (member.out && now >= member.until) member.probing = true;
+void OutlierDetector::requestStarted(Index index, Duration now) {
+    Endpoint& endpoint = endpoints_[index];
+    if (endpoint.ejected && now >= endpoint.ejectedUntil) endpoint.probing = true;
 }
 
-void Members::moot(Index at) { all_[at].probing = false; }
+void OutlierDetector::probeInconclusive(Index index) { endpoints_[index].probing = false; }
 
-Members::State Members::state(Index at, Duration now) const {
-    const Member& member = all_[at];
-    return !member.out ? State::In : now >= member.until ? State::Probing : State::Out;
+OutlierDetector::State OutlierDetector::state(Index index, Duration now) const {
+    const Endpoint& endpoint = endpoints_[index];
+    return !endpoint.ejected ? State::Active : now >= endpoint.ejectedUntil ? State::Probing : State::Ejected;
 }
 
 // Each return that went wrong doubles the time out, so that one that is only sometimes well changes its state
 // ever more seldom; jittered, so that those that went out together do not come back as one.
-void Members::takeOut(Member& member, Duration now, std::mt19937& chance) {
-    if (!member.out) {
-        ++out_;
-        ++changes_;
-        if (member.backAt == Duration(0) || now - member.backAt >= terms_.calm) member.times = Duration(0);
+void OutlierDetector::eject(Endpoint& endpoint, Duration now, std::mt19937& random) {
+    if (!endpoint.ejected) {
+        ++ejectedCount_;
+        ++transitionCount_;
+        if (endpoint.restoredAt == Duration(0) || now - endpoint.restoredAt >= config_.ejectionResetTime)
+            endpoint.ejectionTime = Duration(0);
     }
-    const Duration out =
-        std::min(member.times == Duration(0) ? terms_.outFor : member.times * 2, terms_.outAtMost);
-    const Duration backAt = member.backAt;
-    member = Member{};
-    member.out = true;
-    member.backAt = backAt;
-    member.times = out;
-    const double jitter = std::uniform_real_distribution<double>(0.8, 1.2)(chance);
-    member.until = now + Duration(static_cast<std::int64_t>(static_cast<double>(out.count()) * jitter));
+    const Duration ejectionTime =
+        std::min(endpoint.ejectionTime == Duration(0) ? config_.baseEjectionTime : endpoint.ejectionTime * 2,
+                 config_.maxEjectionTime);
+    const Duration restoredAt = endpoint.restoredAt;
+    endpoint = Endpoint{};
+    endpoint.ejected = true;
+    endpoint.restoredAt = restoredAt;
+    endpoint.ejectionTime = ejectionTime;
+    const double jitter = std::uniform_real_distribution<double>(0.8, 1.2)(random);
+    endpoint.ejectedUntil =
+        now + Duration(static_cast<std::int64_t>(static_cast<double>(ejectionTime.count()) * jitter));
 }
 
-void Members::bring(Member& member, Duration now) {
-    --out_;
-    ++changes_;
-    const Duration times = member.times;
-    member = Member{};
-    member.times = times;
-    member.backAt = now;
+void OutlierDetector::restore(Endpoint& endpoint, Duration now) {
+    --ejectedCount_;
+    ++transitionCount_;
+    const Duration ejectionTime = endpoint.ejectionTime;
+    endpoint = Endpoint{};
+    endpoint.ejectionTime = ejectionTime;
+    endpoint.restoredAt = now;
 }
 
 }  // namespace cottonwing::routing
--- a/src/routing/outlier_detection.h
+++ b/src/routing/outlier_detection.h
@@ -17,68 +17,72 @@
 
 namespace cottonwing::routing {
 
-struct MemberTerms {
-    int failuresInARow = 5;  // of real requests
-    int window = 20;         // of the last real requests
-    double failedShare = 0.5;
-    int badChecks = 2;   // active checks in a row that take it out
-    int goodChecks = 2;  // that count as a good probe
-    int probesToReturn = 3;
-    double mostOut = 0.5;  // part of the group; beyond it all are used
-    Duration outFor{std::chrono::seconds(1)};
-    Duration outAtMost{std::chrono::seconds(30)};
-    Duration calm{std::chrono::seconds(60)};  // in service for this long the next time out is short again
+struct OutlierDetectionConfig {
+    int consecutiveFailures = 5;  // of real requests
+    int windowSize = 20;          // of the last real requests
+    double failureRatio = 0.5;
+    int unhealthyThreshold = 2;  // active checks in a row that take it out
+    int healthyThreshold = 2;    // that count as a good probe
+    int successfulProbesToRestore = 3;
+    double maxEjectedFraction = 0.5;  // part of the group; beyond it all are used
+    Duration baseEjectionTime{std::chrono::seconds(1)};
+    Duration maxEjectionTime{std::chrono::seconds(30)};
+    Duration ejectionResetTime{
+        std::chrono::seconds(60)};  // in service for this long the next time out is short again
 };
 
-class Members {
+class OutlierDetector {
 public:
-    enum class State { In, Out, Probing };
+    enum class State { Active, Ejected, Probing };
     using Index = std::size_t;
 
-    explicit Members(const MemberTerms& terms) : terms_(terms) {}
+    explicit OutlierDetector(const OutlierDetectionConfig& config) : config_(config) {}
 
     // Positions never move; a removed one keeps its place until it is taken by the next added.
     Index add();
-    void remove(Index at);
-    std::size_t size() const { return present_; }
-    std::size_t places() const { return all_.size(); }
-    bool present(Index at) const { return all_[at].present; }
+    void remove(Index index);
+    std::size_t size() const { return endpointCount_; }
+    std::size_t slotCount() const { return endpoints_.size(); }
+    bool contains(Index index) const { return endpoints_[index].present; }
 
     // What was seen. Failures are those that speak of the member, not of the request or of us.
-    void good(Index at, Duration now);
-    void failed(Index at, Duration now, std::mt19937& chance);
-    void checked(Index at, bool good, Duration now, std::mt19937& chance);
+    void recordSuccess(Index index, Duration now);
+    void recordFailure(Index index, Duration now, std::mt19937& random);
+    void recordHealthCheck(Index index, bool passed, Duration now, std::mt19937& random);
 
     // May a request be sent there now? A probing member takes one at a time; began() says it was taken.
-    bool usable(Index at, Duration now) const;
-    void began(Index at, Duration now);
+    bool isUsable(Index index, Duration now) const;
+    void requestStarted(Index index, Duration now);
     // The probe ended and told nothing.
-    void moot(Index at);
+    void probeInconclusive(Index index);
 
-    State state(Index at, Duration now) const;
-    bool panics() const { return out_ > mayBeOut(); }
-    std::size_t out() const { return out_; }
-    std::uint64_t changes() const { return changes_; }  // times that one went out or came back
+    State state(Index index, Duration now) const;
+    bool inPanicMode() const { return ejectedCount_ > maxEjectedCount(); }
+    std::size_t ejectedCount() const { return ejectedCount_; }
+    std::uint64_t transitionCount() const {
+        return transitionCount_;
+    }  // times that one went out or came back
 
 private:
-    struct Member {
-        bool present = true, out = false, probing = false;
-        int inARow = 0, seen = 0, failed = 0, badChecks = 0, goodChecks = 0, probes = 0;
-        std::uint64_t lastFailed = 0;  // bits of the window, the newest lowest
-        Duration until{0}, times{0}, backAt{0};
+    struct Endpoint {
+        bool present = true, ejected = false, probing = false;
+        int consecutiveFailures = 0, resultCount = 0, failureCount = 0, consecutiveFailedChecks = 0,
+            consecutivePassedChecks = 0, successfulProbes = 0;
+        std::uint64_t failureWindow = 0;  // bits of the window, the newest lowest
+        Duration ejectedUntil{0}, ejectionTime{0}, restoredAt{0};
     };
-    std::size_t mayBeOut() const {
-        return static_cast<std::size_t>(terms_.mostOut * static_cast<double>(present_));
+    std::size_t maxEjectedCount() const {
+        return static_cast<std::size_t>(config_.maxEjectedFraction * static_cast<double>(endpointCount_));
     }
-    void takeOut(Member& member, Duration now, std::mt19937& chance);
-    void bring(Member& member, Duration now);
-    void book(Member& member, bool failed);
+    void eject(Endpoint& endpoint, Duration now, std::mt19937& random);
+    void restore(Endpoint& endpoint, Duration now);
+    void recordResult(Endpoint& endpoint, bool failed);
 
-    MemberTerms terms_;
-    std::vector<Member> all_;
-    std::vector<Index> free_;
-    std::size_t present_ = 0, out_ = 0;
-    std::uint64_t changes_ = 0;
+    OutlierDetectionConfig config_;
+    std::vector<Endpoint> endpoints_;
+    std::vector<Index> freeSlots_;
+    std::size_t endpointCount_ = 0, ejectedCount_ = 0;
+    std::uint64_t transitionCount_ = 0;
 };
 
 }  // namespace cottonwing::routing
--- a/src/routing/route_table.h
+++ b/src/routing/route_table.h
@@ -26,30 +26,31 @@
 };
 
 // What a header's value is; nothing where the request has none of that name.
-using HeaderOf = std::function<std::optional<std::string_view>(std::string_view)>;
+using HeaderLookup = std::function<std::optional<std::string_view>(std::string_view)>;
 
-struct Taken {
+struct RouteMatch {
     const Route* route = nullptr;
     std::vector<std::pair<std::string_view, std::string_view>>
-        names;  // of `:name` segments; views of pattern and path
+        parameters;  // of `:name` segments; views of pattern and path
 };
 
-class Routes {
+class RouteTable {
 public:
-    Routes();
-    ~Routes();
-    Routes(Routes&&) noexcept;
-    Routes& operator=(Routes&&) noexcept;
+    RouteTable();
+    ~RouteTable();
+    RouteTable(RouteTable&&) noexcept;
+    RouteTable& operator=(RouteTable&&) noexcept;
 
     // What is wrong with a pattern; nothing where all is well.
-    static std::optional<std::string> wrong(std::string_view path);
+    static std::optional<std::string> patternError(std::string_view path);
     // Throws std::invalid_argument with that. One with the same path, methods and headers as an earlier one
     // could never be taken: it is returned, and the new one not added.
     const Route* add(Route route);
-    std::optional<Taken> find(std::string_view path, std::string_view method, const HeaderOf& header) const;
+    std::optional<RouteMatch> find(std::string_view path, std::string_view method,
+                                   const HeaderLookup& header) const;
     std::size_t size() const { return size_; }
 
-    static constexpr std::size_t kMostSegments = 64;  // of a path; a longer one is matched by no route
+    static constexpr std::size_t kMaxSegments = 64;  // of a path; a longer one is matched by no route
 
 private:
     struct Node;
@@ -58,7 +59,7 @@
 };
 
 // The same by looking at each route in turn: what the trie is held against, in tests and benchmarks.
-std::optional<Taken> findPlainly(const std::vector<Route>& routes, std::string_view path,
-                                 std::string_view method, const HeaderOf& header);
+std::optional<RouteMatch> findByLinearSearch(const std::vector<Route>& routes, std::string_view path,
+                                             std::string_view method, const HeaderLookup& header);
 
 }  // namespace cottonwing::routing
--- a/src/scgi/scgi_server.cpp
+++ b/src/scgi/scgi_server.cpp
@@ -79,7 +79,7 @@
     std::unique_ptr<net::Connection> connection;
 };
 
-ScgiServer::ScgiServer(net::Loop& loop, ScgiServerConfig config, routing::Routes routes,
+ScgiServer::ScgiServer(net::Loop& loop, ScgiServerConfig config, routing::RouteTable routes,
                        std::vector<RequestClass> requestClasses, std::uint64_t seed,
                        request::RequestManager& requests, telemetry::Log& log)
     : loop_(loop),
@@ -145,7 +145,7 @@
     request.deadline = now + timeout;
     request.isRetry = header("HTTP_X_REDO") == std::string_view("1");
     std::string_view routingKey;
-    for (const auto& [key, value] : match->names)
+    for (const auto& [key, value] : match->parameters)
         if (key == routeTarget.routingKeySource) routingKey = value;
     if (routingKey.empty() && !routeTarget.routingKeySource.empty())
         routingKey = header(routeTarget.routingKeySource).value_or("");
--- a/src/scgi/scgi_server.h
+++ b/src/scgi/scgi_server.h
@@ -47,7 +47,7 @@
 /// Accepts SCGI requests and passes them to the request manager. Not thread-safe.
 class ScgiServer : public request::ResponseSink {
 public:
-    ScgiServer(net::Loop& loop, ScgiServerConfig config, routing::Routes routes,
+    ScgiServer(net::Loop& loop, ScgiServerConfig config, routing::RouteTable routes,
                std::vector<RequestClass> requestClasses, std::uint64_t seed,
                request::RequestManager& requests, telemetry::Log& log);
     ~ScgiServer() override;
@@ -82,7 +82,7 @@
 
     net::Loop& loop_;
     const ScgiServerConfig config_;
-    const routing::Routes routes_;
+    const routing::RouteTable routes_;
     const std::vector<RequestClass> requestClasses_;
     const std::shared_ptr<net::MemoryBudget> memoryBudget_;
     std::mt19937_64 randomGenerator_;
--- a/src/scgi/upstream_groups.cpp
+++ b/src/scgi/upstream_groups.cpp
@@ -5,8 +5,8 @@
 namespace cottonwing::scgi {
 
 using namespace std::chrono_literals;
-using routing::Began;
-using State = routing::Members::State;
+using routing::ExecutionState;
+using State = routing::OutlierDetector::State;
 
 namespace {
 
@@ -59,9 +59,9 @@
       timer_(loop, [this] { pump(); }) {
     for (const GroupTerms& terms : groups) {
         groups_.push_back(std::unique_ptr<Group>(new Group{terms,
-                                                           routing::Members(terms.members),
-                                                           routing::Choice(terms.way),
-                                                           routing::Budget(terms.attempts),
+                                                           routing::OutlierDetector(terms.members),
+                                                           routing::LoadBalancer(terms.way),
+                                                           routing::RetryBudget(terms.attempts),
                                                            {},
                                                            {}}));
         for (const ServerTerms& server : terms.servers) addServer(*groups_.back(), server);
@@ -73,9 +73,9 @@
 
 void ScgiGroups::addServer(Group& group, const ServerTerms& terms) {
     const std::size_t at = group.members.add();
-    routing::LimitTerms limit;
-    limit.most = terms.most;
-    Server server{terms, routing::Limit(limit), 0, false, false, nullptr};
+    routing::ConcurrencyLimitConfig limit;
+    limit.maxLimit = terms.most;
+    Server server{terms, routing::ConcurrencyLimit(limit), 0, false, false, nullptr};
     if (at < group.servers.size())
         group.servers[at] = server;
     else
@@ -108,9 +108,9 @@
             } else if (!(*still == server.terms)) {
                 if (still->weight != server.terms.weight) group.choice.setWeight(at, still->weight);
                 if (still->most != server.terms.most) {
-                    routing::LimitTerms limit;
-                    limit.most = still->most;
-                    server.limit = routing::Limit(limit);
+                    routing::ConcurrencyLimitConfig limit;
+                    limit.maxLimit = still->most;
+                    server.limit = routing::ConcurrencyLimit(limit);
                 }
                 server.terms = *still;
             }
@@ -134,7 +134,7 @@
     return sum;
 }
 
-std::size_t ScgiGroups::out(std::size_t group) const { return groups_[group]->members.out(); }
+std::size_t ScgiGroups::out(std::size_t group) const { return groups_[group]->members.ejectedCount(); }
 
 void ScgiGroups::agenda(RequestId id, Job& job, Duration at) {
     agenda_.erase({job.at, id});
@@ -172,7 +172,7 @@
     Group& group = *groups_[job.group];
     if (at + kUseful >= job.due) return finish(id, Outcome::TimedOut, {});
     const auto usable = [&](std::size_t server) {
-        return group.members.usable(server, at) && !group.servers[server].leaving &&
+        return group.members.isUsable(server, at) && !group.servers[server].leaving &&
                group.servers[server].limit.allows(group.servers[server].flying);
     };
     const bool room = lines_.size() < bounds_.connections;
@@ -197,12 +197,12 @@
     lines_.push_back(std::move(line));
     lines_.back()->place = std::prev(lines_.end());
     ++group.servers[*chosen].flying;
-    group.choice.began(*chosen);
-    group.members.began(*chosen, at);
+    group.choice.requestStarted(*chosen);
+    group.members.requestStarted(*chosen, at);
     // With attempts left and what may be repeated an attempt gets half of what is
     // left, so that another can follow.
     const bool more =
-        job.attempts < group.terms.attempts.most &&
+        job.attempts < group.terms.attempts.maxAttempts &&
         requestClasses_[static_cast<std::size_t>(job.requestClass)].idempotency == Idempotency::Idempotent;
     const Duration until = more ? at + (job.due - at) / 2 : job.due;
     agenda(id, job, std::min(until, at + group.terms.connectsWithin));
@@ -216,8 +216,8 @@
         server.check = nullptr;
     } else {
         --server.flying;
-        group.choice.ended(line.server, took, at);
-        if (took) server.limit.good(*took, server.flying + 1, at);
+        group.choice.requestEnded(line.server, took, at);
+        if (took) server.limit.recordSuccess(*took, server.flying + 1, at);
         if (const auto job = jobs_.find(line.job); job != jobs_.end()) job->second.line = nullptr;
     }
     line.connection.reset();
@@ -232,15 +232,15 @@
 
 void ScgiGroups::tellStates(Group& group, std::size_t at, State before, Duration when) {
     const State after = group.members.state(at, when);
-    const bool was = before == State::In, is = after == State::In;
+    const bool was = before == State::Active, is = after == State::Active;
     if (was == is || group.servers[at].gone) return;
     const net::Address& where = group.servers[at].terms.at;
     log_.info("group", group.terms.name + ": " + where.host + ":" + std::to_string(where.port) +
                            (is ? " is used again" : " is left out") + ", " +
-                           std::to_string(group.members.out()) + " of " +
+                           std::to_string(group.members.ejectedCount()) + " of " +
                            std::to_string(group.members.size()) + " out" +
-                           (group.members.panics() ? ", too many: all are used" : ""));
-    if (is) group.servers[at].limit.startAgain();
+                           (group.members.inPanicMode() ? ", too many: all are used" : ""));
+    if (is) group.servers[at].limit.restart();
 }
 
 void ScgiGroups::replied(Line& line) {
@@ -252,18 +252,18 @@
     if (line.job == 0) {
         const bool good = state == scgi::ReplyReader::State::Complete && line.reader.reply().status < 500;
         release(line, std::nullopt, at);
-        if (!group.servers[server].leaving) group.members.checked(server, good, at, chance_);
+        if (!group.servers[server].leaving) group.members.recordHealthCheck(server, good, at, chance_);
         return tellStates(group, server, before, at);
     }
     const RequestId id = line.job;
     if (state == scgi::ReplyReader::State::Malformed) {
         ++counts_.badReplies;
         release(line, std::nullopt, at);
-        group.members.failed(server, at, chance_);
-        group.servers[server].limit.failed(at);
+        group.members.recordFailure(server, at, chance_);
+        group.servers[server].limit.recordFailure(at);
         tellStates(group, server, before, at);
         // A reply came, so it ran: only what may run again is tried again.
-        return attemptFailed(id, Began::Unknown, at, "a reply that can't be read");
+        return attemptFailed(id, ExecutionState::Unknown, at, "a reply that can't be read");
     }
     Job& job = jobs_.at(id);
     const scgi::Reply reply = line.reader.reply();
@@ -272,17 +272,17 @@
     const bool failed = failedStatus(reply.status);
     release(line, failed ? std::nullopt : std::optional(took), at);
     if (reply.status >= 500)
-        group.members.failed(server, at, chance_);
+        group.members.recordFailure(server, at, chance_);
     else
-        group.members.good(server, at);
+        group.members.recordSuccess(server, at);
     tellStates(group, server, before, at);
     if (failed) {
         ++counts_.saidFailed;
-        group.servers[server].limit.failed(at);
+        group.servers[server].limit.recordFailure(at);
         job.said = job.format == request::PayloadFormat::Scgi ? whole : reply.body;
-        return attemptFailed(id, Began::Unknown, at, "the server said that it can't");
+        return attemptFailed(id, ExecutionState::Unknown, at, "the server said that it can't");
     }
-    group.budget.good();
+    group.budget.recordSuccess();
     const bool good = job.format == request::PayloadFormat::Scgi || reply.status < 400;
     finish(id, good ? Outcome::Ok : Outcome::Error,
            job.format == request::PayloadFormat::Scgi ? whole : reply.body);
@@ -302,34 +302,34 @@
     const RequestId id = line.job;
     release(line, std::nullopt, at);
     if (id == 0) {
-        if (!group.servers[server].leaving) group.members.checked(server, false, at, chance_);
+        if (!group.servers[server].leaving) group.members.recordHealthCheck(server, false, at, chance_);
         return tellStates(group, server, before, at);
     }
-    group.members.failed(server, at, chance_);
-    group.servers[server].limit.failed(at);
+    group.members.recordFailure(server, at, chance_);
+    group.servers[server].limit.recordFailure(at);
     tellStates(group, server, before, at);
-    attemptFailed(id, refused ? Began::Never : Began::Unknown, at,
+    attemptFailed(id, refused ? ExecutionState::NotStarted : ExecutionState::Unknown, at,
                   refused ? "no connection" : "the connection broke");
 }
 
-void ScgiGroups::attemptFailed(RequestId id, Began began, Duration at, const char* why) {
+void ScgiGroups::attemptFailed(RequestId id, ExecutionState began, Duration at, const char* why) {
     Job& job = jobs_.at(id);
     Group& group = *groups_[job.group];
-    group.budget.failed();
-    routing::Tried tried;
+    group.budget.recordFailure();
+    routing::FailedAttempt tried;
     tried.idempotency = requestClasses_[static_cast<std::size_t>(job.requestClass)].idempotency;
-    tried.began = began;
+    tried.execution = began;
     tried.attempts = job.attempts;
-    tried.waited = job.waited;
-    tried.stopsAt = job.due;
-    tried.useful = kUseful;
-    const auto verdict = routing::again(group.terms.attempts, group.budget, tried, at, chance_);
-    ++counts_.notAgain[static_cast<std::size_t>(verdict.why)];
-    if (verdict.why == routing::Why::Again) {
-        job.waited = verdict.at - at;
-        return agenda(id, job, verdict.at);
+    tried.previousDelay = job.waited;
+    tried.deadline = job.due;
+    tried.minAttemptTime = kUseful;
+    const auto verdict = routing::decideRetry(group.terms.attempts, group.budget, tried, at, chance_);
+    ++counts_.notAgain[static_cast<std::size_t>(verdict.reason)];
+    if (verdict.reason == routing::RetryDecisionReason::Retry) {
+        job.waited = verdict.retryAt - at;
+        return agenda(id, job, verdict.retryAt);
     }
-    log_.debug("group", job.name + " not tried again (" + routing::nameOf(verdict.why) + "): " + why);
+    log_.debug("group", job.name + " not tried again (" + routing::nameOf(verdict.reason) + "): " + why);
     // What a server said of its failure is said on as it is; a client of another
     // protocol gets the failure alone.
     if (!job.said.empty() && job.format == request::PayloadFormat::Scgi)
@@ -392,7 +392,7 @@
         } else {
             Line& line = *job.line;
             Group& group = *groups_[job.group];
-            const bool more = job.attempts < group.terms.attempts.most &&
+            const bool more = job.attempts < group.terms.attempts.maxAttempts &&
                               requestClasses_[static_cast<std::size_t>(job.requestClass)].idempotency ==
                                   Idempotency::Idempotent;
             const Duration until = more ? job.begun + (job.due - job.begun) / 2 : job.due;
@@ -405,10 +405,10 @@
             const std::size_t server = line.server;
             const State before = group.members.state(server, at);
             release(line, std::nullopt, at);
-            group.members.failed(server, at, chance_);
-            group.servers[server].limit.failed(at);
+            group.members.recordFailure(server, at, chance_);
+            group.servers[server].limit.recordFailure(at);
             tellStates(group, server, before, at);
-            attemptFailed(id, open ? Began::Unknown : Began::Never, at,
+            attemptFailed(id, open ? ExecutionState::Unknown : ExecutionState::NotStarted, at,
                           open ? "no answer in time" : "no connection in time");
         }
     }
@@ -463,7 +463,7 @@
     bool any = false;
     for (const auto& group : groups_)
         for (std::size_t server = 0; server < group->servers.size(); ++server)
-            any = any || (!group->servers[server].gone && group->members.usable(server, at));
+            any = any || (!group->servers[server].gone && group->members.isUsable(server, at));
     told(any);
 }
 
--- a/src/scgi/upstream_groups.h
+++ b/src/scgi/upstream_groups.h
@@ -34,9 +34,9 @@
 struct GroupTerms {
     std::string name;
     std::vector<ServerTerms> servers;
-    routing::Way way = routing::Way::TwoChoices;
-    routing::AttemptTerms attempts;
-    routing::MemberTerms members;
+    routing::LoadBalancingPolicy way = routing::LoadBalancingPolicy::PowerOfTwoChoices;
+    routing::RetryPolicyConfig attempts;
+    routing::OutlierDetectionConfig members;
     Duration connectsWithin{std::chrono::milliseconds(500)};
     Duration checksEvery{0};  // 0: none
     std::string checkPath = "/";
@@ -84,16 +84,16 @@
     struct Line;
     struct Server {
         ServerTerms terms;
-        routing::Limit limit;
+        routing::ConcurrencyLimit limit;
         int flying = 0;
         bool leaving = false, gone = false;
         Line* check = nullptr;
     };
     struct Group {
         GroupTerms terms;
-        routing::Members members;
-        routing::Choice choice;
-        routing::Budget budget;
+        routing::OutlierDetector members;
+        routing::LoadBalancer choice;
+        routing::RetryBudget budget;
         std::vector<Server> servers;    // by the members' places
         std::deque<RequestId> waiting;  // for a server that may be used; emptied by
                                         // that, by time and halts
@@ -114,7 +114,7 @@
     void agenda(RequestId id, Job& job, Duration at);
     void pump();
     void begin(RequestId id, Duration now);
-    void attemptFailed(RequestId id, routing::Began began, Duration now, const char* why);
+    void attemptFailed(RequestId id, routing::ExecutionState began, Duration now, const char* why);
     // The result by value: it may be the job's own, which ends here.
     void finish(RequestId id, Outcome outcome, std::string result);
     void replied(Line& line);
@@ -123,7 +123,7 @@
     void sendWaiting(Group& group, Duration now);
     void check(Duration now);
     void addServer(Group& group, const ServerTerms& terms);
-    void tellStates(Group& group, std::size_t at, routing::Members::State before, Duration now);
+    void tellStates(Group& group, std::size_t at, routing::OutlierDetector::State before, Duration now);
 
     net::Loop& loop_;
     const std::vector<std::size_t> groupOf_;
--- a/src/serve/gateway.cpp
+++ b/src/serve/gateway.cpp
@@ -47,7 +47,7 @@
             loop, *config_.thriftAddress, config_.limits, config_.nameTables,
             config_.controller.requestClasses, true, requests_, log, counters);
     if (config_.scgiServer) {
-        routing::Routes routes;
+        routing::RouteTable routes;
         for (const routing::Route& route : config_.routes)
             if (const routing::Route* shadowing = routes.add(route))
                 log.warn("routes",
--- a/src/serve/gateway_config.cpp
+++ b/src/serve/gateway_config.cpp
@@ -28,7 +28,7 @@
     routing::Route route;
     const kdl::Value& path = reader.argument(0, "a path such as /board/:hall");
     route.path = kdl::text(path);
-    if (const auto wrong = routing::Routes::wrong(route.path))
+    if (const auto wrong = routing::RouteTable::patternError(route.path))
         throw kdl::DocumentError(path.location, "'" + route.path + "' was found", *wrong);
     for (const kdl::Value* method : reader.remainingArguments(1)) route.methods.push_back(kdl::text(*method));
     const kdl::Value& requestClass = requiredProperty(reader, "profile");
@@ -85,20 +85,21 @@
                                  "at most 2000 were expected");
     if (const kdl::Node* const choose = reader.child("choose")) {
         kdl::NodeReader childReader(*choose);
-        group.way = kdl::NodeReader::choice<routing::Way>(childReader.argument(0, "a load balancing policy"),
-                                                          {{"round-robin", routing::Way::RoundRobin},
-                                                           {"least", routing::Way::Least},
-                                                           {"two-choices", routing::Way::TwoChoices},
-                                                           {"by-subject", routing::Way::BySubject}});
+        group.way = kdl::NodeReader::choice<routing::LoadBalancingPolicy>(
+            childReader.argument(0, "a load balancing policy"),
+            {{"round-robin", routing::LoadBalancingPolicy::RoundRobin},
+             {"least", routing::LoadBalancingPolicy::LeastRequests},
+             {"two-choices", routing::LoadBalancingPolicy::PowerOfTwoChoices},
+             {"by-subject", routing::LoadBalancingPolicy::ConsistentHash}});
         childReader.rejectUnknown();
     }
     if (const kdl::Node* const found = reader.child("leave-out")) {
         kdl::NodeReader childReader(*found);
-        childReader.property("in-a-row", group.members.failuresInARow, kdl::integerBetween(1, 1000));
-        childReader.property("share", group.members.failedShare, kdl::fraction);
-        childReader.property("at-most", group.members.mostOut, kdl::fraction);
-        childReader.property("for", group.members.outFor, kdl::duration);
-        childReader.property("longest", group.members.outAtMost, kdl::duration);
+        childReader.property("in-a-row", group.members.consecutiveFailures, kdl::integerBetween(1, 1000));
+        childReader.property("share", group.members.failureRatio, kdl::fraction);
+        childReader.property("at-most", group.members.maxEjectedFraction, kdl::fraction);
+        childReader.property("for", group.members.baseEjectionTime, kdl::duration);
+        childReader.property("longest", group.members.maxEjectionTime, kdl::duration);
         childReader.rejectUnknown();
     }
     if (const kdl::Node* const found = reader.child("checks")) {
--- a/tests/loadtest/load_run_test.cpp
+++ b/tests/loadtest/load_run_test.cpp
@@ -575,7 +575,7 @@
         const LoadResult result = play(*terms, {&schedule});
         expectAddsUp(result);
         std::uint64_t sum = 0;
-        for (const auto& [number, due] : schedule.due) sum += routing::spread(number);
+        for (const auto& [number, due] : schedule.due) sum += routing::splitMix64(number);
         sums.push_back(sum);
     }
     EXPECT_EQ(sums[0], sums[1]);
--- a/tests/routing/routing_test.cpp
+++ b/tests/routing/routing_test.cpp
@@ -19,216 +19,219 @@
 // ---- attempts -------------------------------------------------------------------------------------------
 
 TEST(Attempts, OnceOnlyIsRepeatedOnlyWhenKnownNotToHaveBegun) {
-    std::mt19937 chance(1);
-    AttemptTerms terms;
-    Budget budget(terms);
-    Tried tried;
-    tried.stopsAt = 10s;
-    for (const Idempotency repeat : {Idempotency::None, Idempotency::WithKey, Idempotency::Idempotent}) {
-        tried.idempotency = repeat;
-        tried.began = Began::Never;
-        EXPECT_EQ(again(terms, budget, tried, 0s, chance).why, Why::Again);
-        tried.began = Began::Ran;
-        EXPECT_EQ(again(terms, budget, tried, 0s, chance).why, Why::Unrepeatable);
-        tried.began = Began::Unknown;
-        EXPECT_EQ(again(terms, budget, tried, 0s, chance).why,
-                  repeat == Idempotency::Idempotent ? Why::Again : Why::Unrepeatable);
+    std::mt19937 random(1);
+    RetryPolicyConfig config;
+    RetryBudget budget(config);
+    FailedAttempt attempt;
+    attempt.deadline = 10s;
+    for (const Idempotency idempotency : {Idempotency::None, Idempotency::WithKey, Idempotency::Idempotent}) {
+        attempt.idempotency = idempotency;
+        attempt.execution = ExecutionState::NotStarted;
+        EXPECT_EQ(decideRetry(config, budget, attempt, 0s, random).reason, RetryDecisionReason::Retry);
+        attempt.execution = ExecutionState::Executed;
+        EXPECT_EQ(decideRetry(config, budget, attempt, 0s, random).reason,
+                  RetryDecisionReason::NotIdempotent);
+        attempt.execution = ExecutionState::Unknown;
+        EXPECT_EQ(decideRetry(config, budget, attempt, 0s, random).reason,
+                  idempotency == Idempotency::Idempotent ? RetryDecisionReason::Retry
+                                                         : RetryDecisionReason::NotIdempotent);
     }
 }
 
 TEST(Attempts, EachBoundEndsThemByItsName) {
-    std::mt19937 chance(1);
-    AttemptTerms terms;
-    Budget budget(terms);
-    Tried tried;
-    tried.stopsAt = 10s;
-    tried.attempts = 3;
-    EXPECT_EQ(again(terms, budget, tried, 0s, chance).why, Why::Attempts);
-    tried.attempts = 2;
-    tried.noRetryElsewhere = true;
-    EXPECT_EQ(again(terms, budget, tried, 0s, chance).why, Why::AskedNotTo);
-    tried.noRetryElsewhere = false;
-    tried.retryAfter = 11s;
-    EXPECT_EQ(again(terms, budget, tried, 0s, chance).why, Why::NoTime);
-    tried.retryAfter = 2s;
-    const Verdict verdict = again(terms, budget, tried, 0s, chance);
-    EXPECT_EQ(verdict.why, Why::Again);
-    EXPECT_GE(verdict.at, 2s);
-    for (int n = 0; n < 5; ++n) budget.failed();
-    EXPECT_EQ(again(terms, budget, tried, 0s, chance).why, Why::Budget);
-    for (int n = 0; n < 3; ++n) budget.good();
-    EXPECT_EQ(again(terms, budget, tried, 0s, chance).why, Why::Again);
+    std::mt19937 random(1);
+    RetryPolicyConfig config;
+    RetryBudget budget(config);
+    FailedAttempt attempt;
+    attempt.deadline = 10s;
+    attempt.attempts = 3;
+    EXPECT_EQ(decideRetry(config, budget, attempt, 0s, random).reason,
+              RetryDecisionReason::AttemptsExhausted);
+    attempt.attempts = 2;
+    attempt.noRetryElsewhere = true;
+    EXPECT_EQ(decideRetry(config, budget, attempt, 0s, random).reason, RetryDecisionReason::RetryForbidden);
+    attempt.noRetryElsewhere = false;
+    attempt.retryAfter = 11s;
+    EXPECT_EQ(decideRetry(config, budget, attempt, 0s, random).reason, RetryDecisionReason::DeadlineTooClose);
+    attempt.retryAfter = 2s;
+    const RetryDecision decision = decideRetry(config, budget, attempt, 0s, random);
+    EXPECT_EQ(decision.reason, RetryDecisionReason::Retry);
+    EXPECT_GE(decision.retryAt, 2s);
+    for (int n = 0; n < 5; ++n) budget.recordFailure();
+    EXPECT_EQ(decideRetry(config, budget, attempt, 0s, random).reason, RetryDecisionReason::BudgetExhausted);
+    for (int n = 0; n < 3; ++n) budget.recordSuccess();
+    EXPECT_EQ(decideRetry(config, budget, attempt, 0s, random).reason, RetryDecisionReason::Retry);
 }
 
 RC_GTEST_PROP(Attempts, WaitsKeepTheirBounds, ()) {
-    std::mt19937 chance(static_cast<unsigned>(upTo(1000000)));
-    AttemptTerms terms;
-    terms.growth = static_cast<Growth>(upTo(1));
-    terms.jitter = static_cast<Jitter>(upTo(3));
-    terms.least = 1ms * (1 + upTo(100));
-    terms.longest = terms.least + 1ms * upTo(5000);
-    Duration before{0};
+    std::mt19937 random(static_cast<unsigned>(upTo(1000000)));
+    RetryPolicyConfig config;
+    config.backoffGrowth = static_cast<BackoffGrowth>(upTo(1));
+    config.jitter = static_cast<Jitter>(upTo(3));
+    config.baseDelay = 1ms * (1 + upTo(100));
+    config.maxDelay = config.baseDelay + 1ms * upTo(5000);
+    Duration previous{0};
     for (int attempts = 1; attempts < 100; ++attempts) {
-        before = wait(terms, attempts, before, chance);
-        RC_ASSERT(before >= 0ns);
-        RC_ASSERT(before <= terms.longest);
-        if (terms.jitter == Jitter::None || terms.jitter == Jitter::Decorrelated)
-            RC_ASSERT(before >= terms.least);
+        previous = retryDelay(config, attempts, previous, random);
+        RC_ASSERT(previous >= 0ns);
+        RC_ASSERT(previous <= config.maxDelay);
+        if (config.jitter == Jitter::None || config.jitter == Jitter::Decorrelated)
+            RC_ASSERT(previous >= config.baseDelay);
     }
 }
 
 // No storm: whatever part of the attempts fails, repeats stay under half of the tokens, plus one for each
 // ten that went well: under a fifth of first tries with all servers failing, at any size of the group.
 RC_GTEST_PROP(Attempts, RepeatsAreBoundedByWhatGoesWell, ()) {
-    std::mt19937 chance(static_cast<unsigned>(upTo(1000000)));
-    AttemptTerms terms;
-    Budget budget(terms);
-    const int failing = upTo(100), requests = 50 + upTo(500);
-    int repeats = 0, good = 0;
+    std::mt19937 random(static_cast<unsigned>(upTo(1000000)));
+    RetryPolicyConfig config;
+    RetryBudget budget(config);
+    const int failurePercent = upTo(100), requests = 50 + upTo(500);
+    int retries = 0, good = 0;
     for (int n = 0; n < requests; ++n) {
         for (int attempts = 1;; ++attempts) {
-            if (upTo(99) >= failing) {
-                budget.good();
+            if (upTo(99) >= failurePercent) {
+                budget.recordSuccess();
                 ++good;
                 break;
             }
-            budget.failed();
-            Tried tried;
-            tried.attempts = attempts;
-            tried.stopsAt = 100s;
-            if (again(terms, budget, tried, 0s, chance).why != Why::Again) break;
-            ++repeats;
+            budget.recordFailure();
+            FailedAttempt attempt;
+            attempt.attempts = attempts;
+            attempt.deadline = 100s;
+            if (decideRetry(config, budget, attempt, 0s, random).reason != RetryDecisionReason::Retry) break;
+            ++retries;
         }
     }
-    RC_ASSERT(repeats <= 5 + good / 10 + 1);
+    RC_ASSERT(retries <= 5 + good / 10 + 1);
 }
 
 // ---- members --------------------------------------------------------------------------------------------
 
 TEST(MembersOut, FiveInARowGoOutAndThreeProbesBringBack) {
-    std::mt19937 chance(1);
-    Members members{MemberTerms{}};
-    for (int n = 0; n < 4; ++n) members.add();
-    for (int n = 0; n < 4; ++n) members.failed(2, 1s, chance);
-    EXPECT_TRUE(members.usable(2, 1s));
-    members.failed(2, 1s, chance);
-    EXPECT_FALSE(members.usable(2, 1s));
-    EXPECT_EQ(members.state(2, 1s), Members::State::Out);
-    members.good(2, 1500ms);  // was sent before it went out: no sign of a return
-    EXPECT_EQ(members.state(2, 3s), Members::State::Probing);
+    std::mt19937 random(1);
+    OutlierDetector detector{OutlierDetectionConfig{}};
+    for (int n = 0; n < 4; ++n) detector.add();
+    for (int n = 0; n < 4; ++n) detector.recordFailure(2, 1s, random);
+    EXPECT_TRUE(detector.isUsable(2, 1s));
+    detector.recordFailure(2, 1s, random);
+    EXPECT_FALSE(detector.isUsable(2, 1s));
+    EXPECT_EQ(detector.state(2, 1s), OutlierDetector::State::Ejected);
+    detector.recordSuccess(2, 1500ms);  // was sent before it went out: no sign of a return
+    EXPECT_EQ(detector.state(2, 3s), OutlierDetector::State::Probing);
     for (int probe = 0; probe < 3; ++probe) {
-        ASSERT_TRUE(members.usable(2, 3s));
-        members.began(2, 3s);
-        EXPECT_FALSE(members.usable(2, 3s)) << "a second probe beside the first";
-        members.good(2, 3s);
+        ASSERT_TRUE(detector.isUsable(2, 3s));
+        detector.requestStarted(2, 3s);
+        EXPECT_FALSE(detector.isUsable(2, 3s)) << "a second probe beside the first";
+        detector.recordSuccess(2, 3s);
     }
-    EXPECT_EQ(members.state(2, 3s), Members::State::In);
+    EXPECT_EQ(detector.state(2, 3s), OutlierDetector::State::Active);
 }
 
 TEST(MembersOut, AGroupThatIsMostlyOutIsUsedWhole) {
-    std::mt19937 chance(1);
-    Members members{MemberTerms{}};
-    for (int n = 0; n < 4; ++n) members.add();
-    for (Members::Index at = 0; at < 3; ++at)
-        for (int n = 0; n < 5; ++n) members.failed(at, 1s, chance);
-    EXPECT_TRUE(members.panics());
-    for (Members::Index at = 0; at < 4; ++at) EXPECT_TRUE(members.usable(at, 1s));
+    std::mt19937 random(1);
+    OutlierDetector detector{OutlierDetectionConfig{}};
+    for (int n = 0; n < 4; ++n) detector.add();
+    for (OutlierDetector::Index index = 0; index < 3; ++index)
+        for (int n = 0; n < 5; ++n) detector.recordFailure(index, 1s, random);
+    EXPECT_TRUE(detector.inPanicMode());
+    for (OutlierDetector::Index index = 0; index < 4; ++index) EXPECT_TRUE(detector.isUsable(index, 1s));
 }
 
 TEST(MembersOut, ChecksAloneTakeOutAndBringBack) {
-    std::mt19937 chance(1);
-    Members members{MemberTerms{}};
-    for (int n = 0; n < 4; ++n) members.add();
-    members.checked(1, false, 1s, chance);
-    EXPECT_TRUE(members.usable(1, 1s));
-    members.checked(1, false, 2s, chance);
-    EXPECT_FALSE(members.usable(1, 2s));
-    for (int n = 0; n < 6; ++n) members.checked(1, true, 5s + n * 1s, chance);
-    EXPECT_EQ(members.state(1, 11s), Members::State::In);
+    std::mt19937 random(1);
+    OutlierDetector detector{OutlierDetectionConfig{}};
+    for (int n = 0; n < 4; ++n) detector.add();
+    detector.recordHealthCheck(1, false, 1s, random);
+    EXPECT_TRUE(detector.isUsable(1, 1s));
+    detector.recordHealthCheck(1, false, 2s, random);
+    EXPECT_FALSE(detector.isUsable(1, 2s));
+    for (int n = 0; n < 6; ++n) detector.recordHealthCheck(1, true, 5s + n * 1s, random);
+    EXPECT_EQ(detector.state(1, 11s), OutlierDetector::State::Active);
 }
 
 // No flapping: a member that is well and bad in turn changes its state ever more seldom, whatever the order
 // of what is seen; what is kept for it adds up; usable never leaves a group without anybody.
 RC_GTEST_PROP(MembersOut, ChangesAMinuteAreBounded, ()) {
-    std::mt19937 chance(static_cast<unsigned>(upTo(1000000)));
-    MemberTerms terms;
-    Members members(terms);
+    std::mt19937 random(static_cast<unsigned>(upTo(1000000)));
+    OutlierDetectionConfig config;
+    OutlierDetector detector(config);
     const int count = 1 + upTo(8);
-    for (int n = 0; n < count; ++n) members.add();
-    const int bad = 1 + upTo(98);
+    for (int n = 0; n < count; ++n) detector.add();
+    const int failurePercent = 1 + upTo(98);
     Duration now{0};
     for (int n = 0; n < 3000; ++n) {
         now += 20ms;
-        const auto at = static_cast<Members::Index>(upTo(count - 1));
-        if (upTo(200) == 0 && members.present(at) && members.size() > 1) {
-            members.remove(at);
-            RC_ASSERT(members.add() == at);
+        const auto index = static_cast<OutlierDetector::Index>(upTo(count - 1));
+        if (upTo(200) == 0 && detector.contains(index) && detector.size() > 1) {
+            detector.remove(index);
+            RC_ASSERT(detector.add() == index);
         }
-        if (members.usable(at, now)) {
-            members.began(at, now);
-            if (upTo(99) < bad)
-                members.failed(at, now, chance);
+        if (detector.isUsable(index, now)) {
+            detector.requestStarted(index, now);
+            if (upTo(99) < failurePercent)
+                detector.recordFailure(index, now, random);
             else
-                members.good(at, now);
+                detector.recordSuccess(index, now);
         }
-        if (upTo(20) == 0) members.checked(at, upTo(99) >= bad, now, chance);
-        std::size_t out = 0, usable = 0;
-        for (Members::Index each = 0; each < static_cast<Members::Index>(count); ++each) {
-            out += members.state(each, now) != Members::State::In;
-            usable += members.usable(each, now);
+        if (upTo(20) == 0) detector.recordHealthCheck(index, upTo(99) >= failurePercent, now, random);
+        std::size_t ejected = 0, usable = 0;
+        for (OutlierDetector::Index other = 0; other < static_cast<OutlierDetector::Index>(count); ++other) {
+            ejected += detector.state(other, now) != OutlierDetector::State::Active;
+            usable += detector.isUsable(other, now);
         }
-        RC_ASSERT(out == members.out());
-        if (members.panics()) RC_ASSERT(usable == static_cast<std::size_t>(count));
+        RC_ASSERT(ejected == detector.ejectedCount());
+        if (detector.inPanicMode()) RC_ASSERT(usable == static_cast<std::size_t>(count));
     }
     // A minute: out for 1, 2, 4, 8, 16 s and 30 s, two changes each; added ones begin anew.
-    RC_ASSERT(members.changes() <= static_cast<std::uint64_t>(2 * 7 * count + 2 * 3000 / 200 * 4));
+    RC_ASSERT(detector.transitionCount() <= static_cast<std::uint64_t>(2 * 7 * count + 2 * 3000 / 200 * 4));
 }
 
 // ---- choice ---------------------------------------------------------------------------------------------
 
-const auto kAll = [](Choice::Index) { return true; };
+const auto kAll = [](LoadBalancer::Index) { return true; };
 
 TEST(WhichOne, RoundRobinTakesEachInTurn) {
-    std::mt19937 chance(1);
-    Choice choice(Way::RoundRobin);
-    for (Choice::Index at = 0; at < 3; ++at) choice.add(at);
-    std::map<Choice::Index, int> taken;
-    for (int n = 0; n < 30; ++n) ++taken[*choice.choose(0, std::nullopt, kAll, chance)];
-    for (const auto& [at, count] : taken) EXPECT_EQ(count, 10) << at;
+    std::mt19937 random(1);
+    LoadBalancer balancer(LoadBalancingPolicy::RoundRobin);
+    for (LoadBalancer::Index index = 0; index < 3; ++index) balancer.add(index);
+    std::map<LoadBalancer::Index, int> timesChosen;
+    for (int n = 0; n < 30; ++n) ++timesChosen[*balancer.choose(0, std::nullopt, kAll, random)];
+    for (const auto& [index, count] : timesChosen) EXPECT_EQ(count, 10) << index;
 }
 
 TEST(WhichOne, OneSubjectStaysWithOneServerWhileItBearsIt) {
-    std::mt19937 chance(1);
-    Choice choice(Way::BySubject);
-    for (Choice::Index at = 0; at < 10; ++at) choice.add(at);
-    const auto home = *choice.choose(77, std::nullopt, kAll, chance);
-    EXPECT_EQ(*choice.choose(77, std::nullopt, kAll, chance), home);
+    std::mt19937 random(1);
+    LoadBalancer balancer(LoadBalancingPolicy::ConsistentHash);
+    for (LoadBalancer::Index index = 0; index < 10; ++index) balancer.add(index);
+    const auto assigned = *balancer.choose(77, std::nullopt, kAll, random);
+    EXPECT_EQ(*balancer.choose(77, std::nullopt, kAll, random), assigned);
     // With all load on one subject no server carries more than a quarter above the mean, but for rounding up.
-    for (int n = 0; n < 100; ++n) choice.began(*choice.choose(77, std::nullopt, kAll, chance));
-    for (Choice::Index at = 0; at < 10; ++at) EXPECT_LE(choice.inFlight(at), 13);
+    for (int n = 0; n < 100; ++n) balancer.requestStarted(*balancer.choose(77, std::nullopt, kAll, random));
+    for (LoadBalancer::Index index = 0; index < 10; ++index) EXPECT_LE(balancer.inFlight(index), 13);
     // One that leaves moves only its own subjects.
-    Choice calm(Way::BySubject);
-    for (Choice::Index at = 0; at < 10; ++at) calm.add(at);
-    std::map<std::uint64_t, Choice::Index> before;
-    for (std::uint64_t subject = 0; subject < 1000; ++subject)
-        before[subject] = *calm.choose(subject, std::nullopt, kAll, chance);
-    calm.remove(4);
-    for (const auto& [subject, at] : before)
-        if (at != 4) {
-            EXPECT_EQ(*calm.choose(subject, std::nullopt, kAll, chance), at);
+    LoadBalancer idleBalancer(LoadBalancingPolicy::ConsistentHash);
+    for (LoadBalancer::Index index = 0; index < 10; ++index) idleBalancer.add(index);
+    std::map<std::uint64_t, LoadBalancer::Index> previous;
+    for (std::uint64_t routingKey = 0; routingKey < 1000; ++routingKey)
+        previous[routingKey] = *idleBalancer.choose(routingKey, std::nullopt, kAll, random);
+    idleBalancer.remove(4);
+    for (const auto& [routingKey, index] : previous)
+        if (index != 4) {
+            EXPECT_EQ(*idleBalancer.choose(routingKey, std::nullopt, kAll, random), index);
         }
 }
 
 TEST(WhichOne, TwoChoicesLeaveASlowServerMostlyAlone) {
-    std::mt19937 chance(1);
-    Choice choice(Way::TwoChoices);
-    for (Choice::Index at = 0; at < 10; ++at) choice.add(at);
+    std::mt19937 random(1);
+    LoadBalancer balancer(LoadBalancingPolicy::PowerOfTwoChoices);
+    for (LoadBalancer::Index index = 0; index < 10; ++index) balancer.add(index);
     int slow = 0;
     for (int n = 0; n < 2000; ++n) {
-        const auto at = *choice.choose(0, std::nullopt, kAll, chance);
-        slow += at == 3;
-        choice.began(at);
-        choice.ended(at, at == 3 ? 500ms : 50ms, n * 5ms);
+        const auto index = *balancer.choose(0, std::nullopt, kAll, random);
+        slow += index == 3;
+        balancer.requestStarted(index);
+        balancer.requestEnded(index, index == 3 ? 500ms : 50ms, n * 5ms);
     }
     EXPECT_LT(slow, 2000 / 10 / 4);
     EXPECT_GT(slow, 0) << "it has to be seen when it is well again";
@@ -236,58 +239,61 @@
 
 // One that fails at once looks idle and quick: failures tell nothing of how quick a server is.
 TEST(WhichOne, FailuresAreNotTakenForQuickAnswers) {
-    std::mt19937 chance(1);
-    Choice choice(Way::Fastest);
-    choice.add(0);
-    choice.add(1);
+    std::mt19937 random(1);
+    LoadBalancer balancer(LoadBalancingPolicy::LowestLatency);
+    balancer.add(0);
+    balancer.add(1);
     for (int n = 0; n < 50; ++n) {
-        choice.began(0), choice.ended(0, 50ms, n * 10ms);
-        choice.began(1), choice.ended(1, 40ms, n * 10ms);
+        balancer.requestStarted(0), balancer.requestEnded(0, 50ms, n * 10ms);
+        balancer.requestStarted(1), balancer.requestEnded(1, 40ms, n * 10ms);
     }
-    for (int n = 0; n < 50; ++n) choice.began(0), choice.ended(0, std::nullopt, 1s);
-    EXPECT_EQ(*choice.choose(0, std::nullopt, kAll, chance), 1U);
+    for (int n = 0; n < 50; ++n) balancer.requestStarted(0), balancer.requestEnded(0, std::nullopt, 1s);
+    EXPECT_EQ(*balancer.choose(0, std::nullopt, kAll, random), 1U);
 }
 
 // Whatever way, whatever leaves and comes: what is chosen is there and may be used, the one to avoid is taken
 // only where no other is left, nothing only where nobody may be used, and the invariant checker of what flies
 // add up.
 RC_GTEST_PROP(WhichOne, ChoosesWhatMayBeUsed, ()) {
-    std::mt19937 chance(static_cast<unsigned>(upTo(1000000)));
-    Choice choice(static_cast<Way>(upTo(4)));
-    std::map<Choice::Index, int> there;
+    std::mt19937 random(static_cast<unsigned>(upTo(1000000)));
+    LoadBalancer balancer(static_cast<LoadBalancingPolicy>(upTo(4)));
+    std::map<LoadBalancer::Index, int> inFlightByIndex;
     for (int n = 0; n < 400; ++n) {
-        const auto at = static_cast<Choice::Index>(upTo(11));
-        const int what = upTo(9);
-        if (what == 0) {
-            if (!there.contains(at)) choice.add(at, 0.25 * (1 + upTo(8))), there[at] = 0;
-        } else if (what == 1 && there.contains(at)) {
-            choice.remove(at);
-            there.erase(at);
-        } else if (what == 2 && there.contains(at)) {
-            choice.setWeight(at, 0.25 * (1 + upTo(8)));
-        } else if (what < 5 && there.contains(at) && there[at] > 0) {
-            choice.ended(at, upTo(1) ? std::optional<Duration>(1ms * upTo(500)) : std::nullopt, n * 10ms);
-            --there[at];
+        const auto index = static_cast<LoadBalancer::Index>(upTo(11));
+        const int action = upTo(9);
+        if (action == 0) {
+            if (!inFlightByIndex.contains(index))
+                balancer.add(index, 0.25 * (1 + upTo(8))), inFlightByIndex[index] = 0;
+        } else if (action == 1 && inFlightByIndex.contains(index)) {
+            balancer.remove(index);
+            inFlightByIndex.erase(index);
+        } else if (action == 2 && inFlightByIndex.contains(index)) {
+            balancer.setWeight(index, 0.25 * (1 + upTo(8)));
+        } else if (action < 5 && inFlightByIndex.contains(index) && inFlightByIndex[index] > 0) {
+            balancer.requestEnded(index, upTo(1) ? std::optional<Duration>(1ms * upTo(500)) : std::nullopt,
+                                  n * 10ms);
+            --inFlightByIndex[index];
         } else {
             const unsigned mask = static_cast<unsigned>(upTo(4095));
-            const auto usable = [&](Choice::Index each) {
-                return there.contains(each) && (mask >> each & 1U) != 0;
+            const auto isUsable = [&](LoadBalancer::Index other) {
+                return inFlightByIndex.contains(other) && (mask >> other & 1U) != 0;
             };
-            const std::optional<Choice::Index> avoid = upTo(1) ? std::optional(at) : std::nullopt;
-            const auto chosen = choice.choose(static_cast<std::uint64_t>(upTo(50)), avoid, usable, chance);
+            const std::optional<LoadBalancer::Index> avoid = upTo(1) ? std::optional(index) : std::nullopt;
+            const auto chosen =
+                balancer.choose(static_cast<std::uint64_t>(upTo(50)), avoid, isUsable, random);
             int others = 0;
-            for (const auto& [each, flying] : there) others += usable(each) && avoid != each;
+            for (const auto& [other, inFlight] : inFlightByIndex) others += isUsable(other) && avoid != other;
             if (chosen) {
-                RC_ASSERT(usable(*chosen));
+                RC_ASSERT(isUsable(*chosen));
                 RC_ASSERT(avoid != *chosen || others == 0);
-                choice.began(*chosen);
-                ++there[*chosen];
+                balancer.requestStarted(*chosen);
+                ++inFlightByIndex[*chosen];
             } else {
                 RC_ASSERT(others == 0);
             }
         }
-        for (const auto& [each, flying] : there) RC_ASSERT(choice.inFlight(each) == flying);
-        RC_ASSERT(choice.size() == there.size());
+        for (const auto& [other, inFlight] : inFlightByIndex) RC_ASSERT(balancer.inFlight(other) == inFlight);
+        RC_ASSERT(balancer.size() == inFlightByIndex.size());
     }
 }
 
--- a/tests/scgi/scgi_test.cpp
+++ b/tests/scgi/scgi_test.cpp
@@ -119,7 +119,7 @@
 // The trie finds the same route as a linear search, for any routes, paths, methods and headers.
 RC_GTEST_PROP(RouteTable, TrieMatchesLinearSearch, ()) {
     static const std::vector<std::string> kWords = {"a", "b", "c", "", ":x", ":y"};
-    routing::Routes trie;
+    routing::RouteTable trie;
     std::vector<routing::Route> list;
     for (int n = 1 + intUpTo(25); n > 0; --n) {
         routing::Route route;
@@ -140,20 +140,20 @@
             return name == "K" ? std::optional<std::string_view>(value) : std::nullopt;
         };
         const auto one = trie.find(path, method, header),
-                   other = routing::findPlainly(list, path, method, header);
+                   other = routing::findByLinearSearch(list, path, method, header);
         RC_ASSERT(one.has_value() == other.has_value());
         if (one) RC_ASSERT(one->route->target == other->route->target);
-        if (one) RC_ASSERT(one->names == other->names);
+        if (one) RC_ASSERT(one->parameters == other->parameters);
     }
 }
 
 TEST(RouteTable, InvalidPatternsAreReported) {
-    EXPECT_FALSE(routing::Routes::wrong("/a/:b/*"));
-    EXPECT_TRUE(routing::Routes::wrong("a"));
-    EXPECT_TRUE(routing::Routes::wrong("/a/*/b"));
-    EXPECT_TRUE(routing::Routes::wrong("/a*"));
-    EXPECT_TRUE(routing::Routes::wrong("/:"));
-    routing::Routes routes;
+    EXPECT_FALSE(routing::RouteTable::patternError("/a/:b/*"));
+    EXPECT_TRUE(routing::RouteTable::patternError("a"));
+    EXPECT_TRUE(routing::RouteTable::patternError("/a/*/b"));
+    EXPECT_TRUE(routing::RouteTable::patternError("/a*"));
+    EXPECT_TRUE(routing::RouteTable::patternError("/:"));
+    routing::RouteTable routes;
     EXPECT_THROW(routes.add({"nowhere", {}, {}, 0}), std::invalid_argument);
 }
 
@@ -162,23 +162,23 @@
 TEST(ConcurrencyLimit, ConvergesToServerCapacityAndStaysThere) {
     std::mt19937 randomGenerator(3);
     std::exponential_distribution<double> work(1 / 0.01);
-    routing::Limit limit(routing::LimitTerms{});
+    routing::ConcurrencyLimit limit(routing::ConcurrencyLimitConfig{});
     Duration now{0};
     double min = 1e9, max = 0;
     for (int n = 0; n < 30000; ++n) {
         const int inFlight = static_cast<int>(limit.limit());
         const double slowdown = std::max(1.0, inFlight / 8.0);
         now += Duration(static_cast<std::int64_t>(1e9 * 0.01 * slowdown / inFlight));
-        limit.good(Duration(static_cast<std::int64_t>(work(randomGenerator) * slowdown * 1e9)), inFlight,
-                   now);
+        limit.recordSuccess(Duration(static_cast<std::int64_t>(work(randomGenerator) * slowdown * 1e9)),
+                            inFlight, now);
         ASSERT_GE(limit.limit(), 1);
         ASSERT_LE(limit.limit(), 100);
-        if (n > 10000) min = std::min(min, limit.settled()), max = std::max(max, limit.settled());
+        if (n > 10000) min = std::min(min, limit.steadyLimit()), max = std::max(max, limit.steadyLimit());
     }
     EXPECT_GE(min, 6);
     EXPECT_LE(max, 24);
     EXPECT_LT(max / min, 2.5);
-    for (int n = 0; n < 100; ++n) limit.failed(now += 1s);
+    for (int n = 0; n < 100; ++n) limit.recordFailure(now += 1s);
     EXPECT_EQ(limit.limit(), 1);
     EXPECT_TRUE(limit.allows(0));
 }
