--- a/src/scgi/upstream_groups.cpp
+++ b/src/scgi/upstream_groups.cpp
@@ -10,461 +10,487 @@
 
 namespace {
 
-constexpr Duration kTick = 20ms;      // due times are looked at at least this often
-constexpr Duration kUseful = 5ms;     // less time than this is not worth an attempt
-constexpr Duration kAnswerBy = 20ms;  // given up this long before nobody waits any more
+constexpr Duration kMaxTimerDelay = 20ms;  // due times are looked at at least this often
+constexpr Duration kMinAttemptTime = 5ms;  // less time than this is not worth an attempt
+constexpr Duration kReplyMargin = 20ms;    // given up this long before nobody waits any more
 
-Duration now() { return net::unixNow(); }
+Duration currentTime() { return net::unixNow(); }
 
 // What only says that this server can't do it now; another may.
-bool failedStatus(int status) { return status == 502 || status == 503 || status == 504; }
+bool isUnavailableStatus(int status) { return status == 502 || status == 503 || status == 504; }
 
 }  // namespace
 
-struct ScgiGroups::Line : net::ConnectionHandler {
-    Line(ScgiGroups& all, std::size_t theGroup, std::size_t theServer, RequestId theJob)
-        : owner(all), group(theGroup), server(theServer), job(theJob), reader(all.bounds_.reply) {}
+struct UpstreamGroups::UpstreamConnection : net::ConnectionHandler {
+    UpstreamConnection(UpstreamGroups& owner, std::size_t groupIndex, std::size_t endpointIndex,
+                       RequestId run)
+        : groups(owner),
+          group(groupIndex),
+          endpoint(endpointIndex),
+          runId(run),
+          reader(owner.limits_.maxReplyBytes) {}
     void arrived(net::Connection& from) override {
-        while (connection && !from.input().empty()) {
-            const std::string_view piece = from.input().front();
-            const auto state = reader.read(piece);
-            from.input().drop(piece.size());
+        while (transport && !from.input().empty()) {
+            const std::string_view chunk = from.input().front();
+            const auto state = reader.read(chunk);
+            from.input().drop(chunk.size());
             if (state != scgi::ReplyReader::State::Partial && from.input().empty())
-                return owner.replied(*this);
+                return groups.onReply(*this);
         }
     }
-    void ended(net::Connection&, net::ConnectionEnd end) override { owner.lineEnded(*this, end); }
-    ScgiGroups& owner;
-    const std::size_t group, server;
-    const RequestId job;  // 0: a check
-    std::unique_ptr<net::Connection> connection;
+    void ended(net::Connection&, net::ConnectionEnd end) override { groups.onConnectionEnded(*this, end); }
+    UpstreamGroups& groups;
+    const std::size_t group, endpoint;
+    const RequestId runId;  // 0: a check
+    std::unique_ptr<net::Connection> transport;
     scgi::ReplyReader reader;
-    Duration begun{0};
-    std::list<std::unique_ptr<Line>>::iterator place;
+    Duration startedAt{0};
+    std::list<std::unique_ptr<UpstreamConnection>>::iterator position;
 };
 
-ScgiGroups::ScgiGroups(net::Loop& loop, const std::vector<GroupTerms>& groups,
-                       std::vector<std::size_t> groupOf, std::vector<RequestClass> requestClasses,
-                       std::vector<std::string> requestClassNames, const GroupBounds& bounds,
-                       std::uint64_t seed, request::RequestManager& backend, telemetry::Log& log)
+UpstreamGroups::UpstreamGroups(net::Loop& loop, const std::vector<UpstreamGroupConfig>& groups,
+                               std::vector<std::size_t> groupOfClass,
+                               std::vector<RequestClass> requestClasses,
+                               std::vector<std::string> requestClassNames, const UpstreamLimits& limits,
+                               std::uint64_t seed, request::RequestManager& requestManager,
+                               telemetry::Log& log)
     : loop_(loop),
-      groupOf_(std::move(groupOf)),
+      groupOfClass_(std::move(groupOfClass)),
       requestClasses_(std::move(requestClasses)),
       requestClassNames_(std::move(requestClassNames)),
-      bounds_(bounds),
-      total_(std::make_shared<net::MemoryBudget>(net::MemoryBudget{bounds.bytes, 0})),
-      chance_(static_cast<std::mt19937::result_type>(seed ^ seed >> 32)),
-      backend_(backend),
+      limits_(limits),
+      bufferBudget_(std::make_shared<net::MemoryBudget>(net::MemoryBudget{limits.maxBufferedBytes, 0})),
+      random_(static_cast<std::mt19937::result_type>(seed ^ seed >> 32)),
+      requestManager_(requestManager),
       log_(log),
-      timer_(loop, [this] { pump(); }) {
-    for (const GroupTerms& terms : groups) {
-        groups_.push_back(std::unique_ptr<Group>(new Group{terms,
-                                                           routing::OutlierDetector(terms.members),
-                                                           routing::LoadBalancer(terms.way),
-                                                           routing::RetryBudget(terms.attempts),
+      timer_(loop, [this] { processDueRuns(); }) {
+    for (const UpstreamGroupConfig& config : groups) {
+        groups_.push_back(std::unique_ptr<Group>(new Group{config,
+                                                           routing::OutlierDetector(config.outlierDetection),
+                                                           routing::LoadBalancer(config.policy),
+                                                           routing::RetryBudget(config.retryPolicy),
                                                            {},
                                                            {}}));
-        for (const ServerTerms& server : terms.servers) addServer(*groups_.back(), server);
+        for (const EndpointConfig& endpoint : config.endpoints) addEndpoint(*groups_.back(), endpoint);
     }
-    timer_.start(kTick);
+    timer_.start(kMaxTimerDelay);
 }
 
-ScgiGroups::~ScgiGroups() = default;
+UpstreamGroups::~UpstreamGroups() = default;
 
-void ScgiGroups::addServer(Group& group, const ServerTerms& terms) {
-    const std::size_t at = group.members.add();
-    routing::ConcurrencyLimitConfig limit;
-    limit.maxLimit = terms.most;
-    Server server{terms, routing::ConcurrencyLimit(limit), 0, false, false, nullptr};
-    if (at < group.servers.size())
-        group.servers[at] = server;
+void UpstreamGroups::addEndpoint(Group& group, const EndpointConfig& config) {
+    const std::size_t index = group.outliers.add();
+    routing::ConcurrencyLimitConfig limitConfig;
+    limitConfig.maxLimit = config.maxInFlight;
+    Endpoint endpoint{config, routing::ConcurrencyLimit(limitConfig), 0, false, false, nullptr};
+    if (index < group.endpoints.size())
+        group.endpoints[index] = endpoint;
     else
-        group.servers.push_back(server);
-    group.choice.add(at, terms.weight);
+        group.endpoints.push_back(endpoint);
+    group.balancer.add(index, config.weight);
 }
 
-std::pair<std::size_t, std::size_t> ScgiGroups::change(const std::vector<GroupTerms>& groups) {
+std::pair<std::size_t, std::size_t> UpstreamGroups::updateEndpoints(
+    const std::vector<UpstreamGroupConfig>& groups) {
     std::size_t added = 0, removed = 0;
-    for (const GroupTerms& terms : groups) {
+    for (const UpstreamGroupConfig& config : groups) {
         const auto found = std::find_if(groups_.begin(), groups_.end(),
-                                        [&](const auto& group) { return group->terms.name == terms.name; });
+                                        [&](const auto& group) { return group->config.name == config.name; });
         if (found == groups_.end()) continue;
         Group& group = **found;
-        const auto listed = [&](const net::Address& at) {
-            return std::find_if(terms.servers.begin(), terms.servers.end(),
-                                [&](const ServerTerms& each) { return each.at == at; });
+        const auto findConfig = [&](const net::Address& address) {
+            return std::find_if(config.endpoints.begin(), config.endpoints.end(),
+                                [&](const EndpointConfig& other) { return other.address == address; });
         };
-        for (std::size_t at = 0; at < group.servers.size(); ++at) {
-            Server& server = group.servers[at];
-            if (server.gone || server.leaving) continue;
-            const auto still = listed(server.terms.at);
-            if (still == terms.servers.end()) {
+        for (std::size_t index = 0; index < group.endpoints.size(); ++index) {
+            Endpoint& endpoint = group.endpoints[index];
+            if (endpoint.removed || endpoint.draining) continue;
+            const auto newConfig = findConfig(endpoint.config.address);
+            if (newConfig == config.endpoints.end()) {
                 // It gets nothing new; its place is free for another once nothing of it
                 // is in flight.
-                server.leaving = true;
-                group.choice.remove(at);
+                endpoint.draining = true;
+                group.balancer.remove(index);
                 ++removed;
-                if (server.flying == 0) server.gone = true, group.members.remove(at);
-            } else if (!(*still == server.terms)) {
-                if (still->weight != server.terms.weight) group.choice.setWeight(at, still->weight);
-                if (still->most != server.terms.most) {
-                    routing::ConcurrencyLimitConfig limit;
-                    limit.maxLimit = still->most;
-                    server.limit = routing::ConcurrencyLimit(limit);
+                if (endpoint.inFlight == 0) endpoint.removed = true, group.outliers.remove(index);
+            } else if (!(*newConfig == endpoint.config)) {
+                if (newConfig->weight != endpoint.config.weight)
+                    group.balancer.setWeight(index, newConfig->weight);
+                if (newConfig->maxInFlight != endpoint.config.maxInFlight) {
+                    routing::ConcurrencyLimitConfig limitConfig;
+                    limitConfig.maxLimit = newConfig->maxInFlight;
+                    endpoint.limit = routing::ConcurrencyLimit(limitConfig);
                 }
-                server.terms = *still;
+                endpoint.config = *newConfig;
             }
         }
-        for (const ServerTerms& server : terms.servers) {
-            const bool there =
-                std::any_of(group.servers.begin(), group.servers.end(), [&](const Server& each) {
-                    return !each.gone && !each.leaving && each.terms.at == server.at;
+        for (const EndpointConfig& endpointConfig : config.endpoints) {
+            const bool exists =
+                std::any_of(group.endpoints.begin(), group.endpoints.end(), [&](const Endpoint& other) {
+                    return !other.removed && !other.draining &&
+                           other.config.address == endpointConfig.address;
                 });
-            if (!there) addServer(group, server), ++added;
+            if (!exists) addEndpoint(group, endpointConfig), ++added;
         }
-        group.terms.servers = terms.servers;
-        sendWaiting(group, now());
+        group.config.endpoints = config.endpoints;
+        dispatchQueued(group, currentTime());
     }
     return {added, removed};
 }
 
-std::size_t ScgiGroups::waiting() const {
-    std::size_t sum = 0;
-    for (const auto& group : groups_) sum += group->waiting.size();
-    return sum;
+std::size_t UpstreamGroups::queued() const {
+    std::size_t total = 0;
+    for (const auto& group : groups_) total += group->queue.size();
+    return total;
 }
 
-std::size_t ScgiGroups::out(std::size_t group) const { return groups_[group]->members.ejectedCount(); }
+std::size_t UpstreamGroups::ejectedCount(std::size_t group) const {
+    return groups_[group]->outliers.ejectedCount();
+}
 
-void ScgiGroups::agenda(RequestId id, Job& job, Duration at) {
-    agenda_.erase({job.at, id});
-    job.at = at;
-    agenda_.emplace(at, id);
-    timer_.start(std::clamp(agenda_.begin()->first - now(), 0ns, kTick));
+void UpstreamGroups::schedule(RequestId id, Run& run, Duration time) {
+    schedule_.erase({run.scheduledAt, id});
+    run.scheduledAt = time;
+    schedule_.emplace(time, id);
+    timer_.start(std::clamp(schedule_.begin()->first - currentTime(), 0ns, kMaxTimerDelay));
 }
 
-void ScgiGroups::start(const request::RunSpec& run) {
-    const auto id = request::parseRequestId(run.externalId);
-    if (!id || jobs_.contains(*id)) return;
-    Job& job = jobs_[*id];
-    job.name = run.externalId;
-    job.requestClass = run.requestClass;
-    job.group = groupOf_[static_cast<std::size_t>(run.requestClass)];
-    job.format = run.format;
-    job.due = run.deadline - kAnswerBy;
-    job.since = now();
-    job.subject = run.routingKey;
-    job.request =
-        run.format == request::PayloadFormat::Scgi
-            ? std::string(run.body)
+void UpstreamGroups::start(const request::RunSpec& spec) {
+    const auto id = request::parseRequestId(spec.externalId);
+    if (!id || runs_.contains(*id)) return;
+    Run& run = runs_[*id];
+    run.externalId = spec.externalId;
+    run.requestClass = spec.requestClass;
+    run.group = groupOfClass_[static_cast<std::size_t>(spec.requestClass)];
+    run.format = spec.format;
+    run.deadline = spec.deadline - kReplyMargin;
+    run.startedAt = currentTime();
+    run.routingKey = spec.routingKey;
+    run.requestBytes =
+        spec.format == request::PayloadFormat::Scgi
+            ? std::string(spec.body)
             : scgi::writeRequest(
                   {{"REQUEST_METHOD", "POST"},
-                   {"REQUEST_URI", "/" + requestClassNames_[static_cast<std::size_t>(run.requestClass)]},
-                   {"HTTP_X_TRACE", run.externalId},
-                   {"HTTP_X_DUE_MS", std::to_string(run.deadline / 1ms)}},
-                  run.body);
-    ++counts_.first;
-    begin(*id, now());
+                   {"REQUEST_URI", "/" + requestClassNames_[static_cast<std::size_t>(spec.requestClass)]},
+                   {"HTTP_X_TRACE", spec.externalId},
+                   {"HTTP_X_DUE_MS", std::to_string(spec.deadline / 1ms)}},
+                  spec.body);
+    ++counters_.requests;
+    beginAttempt(*id, currentTime());
 }
 
-void ScgiGroups::begin(RequestId id, Duration at) {
-    Job& job = jobs_.at(id);
-    Group& group = *groups_[job.group];
-    if (at + kUseful >= job.due) return finish(id, Outcome::TimedOut, {});
-    const auto usable = [&](std::size_t server) {
-        return group.members.isUsable(server, at) && !group.servers[server].leaving &&
-               group.servers[server].limit.allows(group.servers[server].flying);
+void UpstreamGroups::beginAttempt(RequestId id, Duration now) {
+    Run& run = runs_.at(id);
+    Group& group = *groups_[run.group];
+    if (now + kMinAttemptTime >= run.deadline) return completeRun(id, Outcome::TimedOut, {});
+    const auto isUsable = [&](std::size_t index) {
+        return group.outliers.isUsable(index, now) && !group.endpoints[index].draining &&
+               group.endpoints[index].limit.allows(group.endpoints[index].inFlight);
     };
-    const bool room = lines_.size() < bounds_.connections;
-    const auto chosen = room ? group.choice.choose(job.subject, job.server, usable, chance_) : std::nullopt;
+    const bool hasCapacity = connections_.size() < limits_.maxConnections;
+    const auto chosen =
+        hasCapacity ? group.balancer.choose(run.routingKey, run.endpoint, isUsable, random_) : std::nullopt;
     if (!chosen) {
-        if (!std::exchange(job.waits, true)) group.waiting.push_back(id);
-        return agenda(id, job, job.due);
+        if (!std::exchange(run.queued, true)) group.queue.push_back(id);
+        return schedule(id, run, run.deadline);
     }
-    job.waits = false;
-    job.server = *chosen;
-    ++job.attempts;
-    ++counts_.attempts;
-    counts_.again += job.attempts > 1;
-    job.begun = at;
-    auto line = std::make_unique<Line>(*this, job.group, *chosen, id);
-    line->begun = at;
-    line->connection =
-        std::make_unique<net::Connection>(loop_, group.servers[*chosen].terms.at, *line,
-                                          net::BufferLimits{65536, job.request.size() + 256, total_});
-    line->connection->send(job.request);
-    job.line = line.get();
-    lines_.push_back(std::move(line));
-    lines_.back()->place = std::prev(lines_.end());
-    ++group.servers[*chosen].flying;
-    group.choice.requestStarted(*chosen);
-    group.members.requestStarted(*chosen, at);
+    run.queued = false;
+    run.endpoint = *chosen;
+    ++run.attempts;
+    ++counters_.attempts;
+    counters_.retries += run.attempts > 1;
+    run.attemptStartedAt = now;
+    auto connection = std::make_unique<UpstreamConnection>(*this, run.group, *chosen, id);
+    connection->startedAt = now;
+    connection->transport = std::make_unique<net::Connection>(
+        loop_, group.endpoints[*chosen].config.address, *connection,
+        net::BufferLimits{65536, run.requestBytes.size() + 256, bufferBudget_});
+    connection->transport->send(run.requestBytes);
+    run.connection = connection.get();
+    connections_.push_back(std::move(connection));
+    connections_.back()->position = std::prev(connections_.end());
+    ++group.endpoints[*chosen].inFlight;
+    group.balancer.requestStarted(*chosen);
+    group.outliers.requestStarted(*chosen, now);
     // With attempts left and what may be repeated an attempt gets half of what is
     // left, so that another can follow.
-    const bool more =
-        job.attempts < group.terms.attempts.maxAttempts &&
-        requestClasses_[static_cast<std::size_t>(job.requestClass)].idempotency == Idempotency::Idempotent;
-    const Duration until = more ? at + (job.due - at) / 2 : job.due;
-    agenda(id, job, std::min(until, at + group.terms.connectsWithin));
+    const bool mayRetry =
+        run.attempts < group.config.retryPolicy.maxAttempts &&
+        requestClasses_[static_cast<std::size_t>(run.requestClass)].idempotency == Idempotency::Idempotent;
+    const Duration attemptDeadline = mayRetry ? now + (run.deadline - now) / 2 : run.deadline;
+    schedule(id, run, std::min(attemptDeadline, now + group.config.connectTimeout));
 }
 
-void ScgiGroups::release(Line& line, std::optional<Duration> took, Duration at) {
-    Group& group = *groups_[line.group];
-    Server& server = group.servers[line.server];
-    if (line.job == 0) {
-        --checks_;
-        server.check = nullptr;
+void UpstreamGroups::releaseConnection(UpstreamConnection& connection, std::optional<Duration> latency,
+                                       Duration now) {
+    Group& group = *groups_[connection.group];
+    Endpoint& endpoint = group.endpoints[connection.endpoint];
+    if (connection.runId == 0) {
+        --healthChecksInFlight_;
+        endpoint.healthCheck = nullptr;
     } else {
-        --server.flying;
-        group.choice.requestEnded(line.server, took, at);
-        if (took) server.limit.recordSuccess(*took, server.flying + 1, at);
-        if (const auto job = jobs_.find(line.job); job != jobs_.end()) job->second.line = nullptr;
+        --endpoint.inFlight;
+        group.balancer.requestEnded(connection.endpoint, latency, now);
+        if (latency) endpoint.limit.recordSuccess(*latency, endpoint.inFlight + 1, now);
+        if (const auto run = runs_.find(connection.runId); run != runs_.end())
+            run->second.connection = nullptr;
     }
-    line.connection.reset();
-    gone_.push_back(std::move(*line.place));
-    lines_.erase(line.place);
-    if (server.leaving && server.flying == 0 && !server.gone) {
-        server.gone = true;
-        group.members.remove(line.server);
+    connection.transport.reset();
+    closedConnections_.push_back(std::move(*connection.position));
+    connections_.erase(connection.position);
+    if (endpoint.draining && endpoint.inFlight == 0 && !endpoint.removed) {
+        endpoint.removed = true;
+        group.outliers.remove(connection.endpoint);
     }
     timer_.start(0ns);
 }
 
-void ScgiGroups::tellStates(Group& group, std::size_t at, State before, Duration when) {
-    const State after = group.members.state(at, when);
-    const bool was = before == State::Active, is = after == State::Active;
-    if (was == is || group.servers[at].gone) return;
-    const net::Address& where = group.servers[at].terms.at;
-    log_.info("group", group.terms.name + ": " + where.host + ":" + std::to_string(where.port) +
-                           (is ? " is used again" : " is left out") + ", " +
-                           std::to_string(group.members.ejectedCount()) + " of " +
-                           std::to_string(group.members.size()) + " out" +
-                           (group.members.inPanicMode() ? ", too many: all are used" : ""));
-    if (is) group.servers[at].limit.restart();
+void UpstreamGroups::onStateChange(Group& group, std::size_t index, State before, Duration now) {
+    const State after = group.outliers.state(index, now);
+    const bool wasActive = before == State::Active, isActive = after == State::Active;
+    if (wasActive == isActive || group.endpoints[index].removed) return;
+    const net::Address& address = group.endpoints[index].config.address;
+    log_.info("group", group.config.name + ": " + address.host + ":" + std::to_string(address.port) +
+                           (isActive ? " is used again" : " is left out") + ", " +
+                           std::to_string(group.outliers.ejectedCount()) + " of " +
+                           std::to_string(group.outliers.size()) + " out" +
+                           (group.outliers.inPanicMode() ? ", too many: all are used" : ""));
+    if (isActive) group.endpoints[index].limit.restart();
 }
 
-void ScgiGroups::replied(Line& line) {
-    const Duration at = now();
-    Group& group = *groups_[line.group];
-    const std::size_t server = line.server;
-    const auto state = line.reader.state();
-    const State before = group.members.state(server, at);
-    if (line.job == 0) {
-        const bool good = state == scgi::ReplyReader::State::Complete && line.reader.reply().status < 500;
-        release(line, std::nullopt, at);
-        if (!group.servers[server].leaving) group.members.recordHealthCheck(server, good, at, chance_);
-        return tellStates(group, server, before, at);
+void UpstreamGroups::onReply(UpstreamConnection& connection) {
+    const Duration now = currentTime();
+    Group& group = *groups_[connection.group];
+    const std::size_t endpointIndex = connection.endpoint;
+    const auto state = connection.reader.state();
+    const State before = group.outliers.state(endpointIndex, now);
+    if (connection.runId == 0) {
+        const bool succeeded =
+            state == scgi::ReplyReader::State::Complete && connection.reader.reply().status < 500;
+        releaseConnection(connection, std::nullopt, now);
+        if (!group.endpoints[endpointIndex].draining)
+            group.outliers.recordHealthCheck(endpointIndex, succeeded, now, random_);
+        return onStateChange(group, endpointIndex, before, now);
     }
-    const RequestId id = line.job;
+    const RequestId id = connection.runId;
     if (state == scgi::ReplyReader::State::Malformed) {
-        ++counts_.badReplies;
-        release(line, std::nullopt, at);
-        group.members.recordFailure(server, at, chance_);
-        group.servers[server].limit.recordFailure(at);
-        tellStates(group, server, before, at);
+        ++counters_.malformedReplies;
+        releaseConnection(connection, std::nullopt, now);
+        group.outliers.recordFailure(endpointIndex, now, random_);
+        group.endpoints[endpointIndex].limit.recordFailure(now);
+        onStateChange(group, endpointIndex, before, now);
         // A reply came, so it ran: only what may run again is tried again.
-        return attemptFailed(id, ExecutionState::Unknown, at, "a reply that can't be read");
+        return attemptFailed(id, ExecutionState::Unknown, now, "a reply that can't be read");
     }
-    Job& job = jobs_.at(id);
-    const scgi::Reply reply = line.reader.reply();
-    const std::string whole = line.reader.bytes();
-    const Duration took = at - line.begun;
-    const bool failed = failedStatus(reply.status);
-    release(line, failed ? std::nullopt : std::optional(took), at);
+    Run& run = runs_.at(id);
+    const scgi::Reply reply = connection.reader.reply();
+    const std::string replyBytes = connection.reader.bytes();
+    const Duration latency = now - connection.startedAt;
+    const bool unavailable = isUnavailableStatus(reply.status);
+    releaseConnection(connection, unavailable ? std::nullopt : std::optional(latency), now);
     if (reply.status >= 500)
-        group.members.recordFailure(server, at, chance_);
+        group.outliers.recordFailure(endpointIndex, now, random_);
     else
-        group.members.recordSuccess(server, at);
-    tellStates(group, server, before, at);
-    if (failed) {
-        ++counts_.saidFailed;
-        group.servers[server].limit.recordFailure(at);
-        job.said = job.format == request::PayloadFormat::Scgi ? whole : reply.body;
-        return attemptFailed(id, ExecutionState::Unknown, at, "the server said that it can't");
+        group.outliers.recordSuccess(endpointIndex, now);
+    onStateChange(group, endpointIndex, before, now);
+    if (unavailable) {
+        ++counters_.errorReplies;
+        group.endpoints[endpointIndex].limit.recordFailure(now);
+        run.errorReply = run.format == request::PayloadFormat::Scgi ? replyBytes : reply.body;
+        return attemptFailed(id, ExecutionState::Unknown, now, "the server said that it can't");
     }
-    group.budget.recordSuccess();
-    const bool good = job.format == request::PayloadFormat::Scgi || reply.status < 400;
-    finish(id, good ? Outcome::Ok : Outcome::Error,
-           job.format == request::PayloadFormat::Scgi ? whole : reply.body);
+    group.retryBudget.recordSuccess();
+    const bool succeeded = run.format == request::PayloadFormat::Scgi || reply.status < 400;
+    completeRun(id, succeeded ? Outcome::Ok : Outcome::Error,
+                run.format == request::PayloadFormat::Scgi ? replyBytes : reply.body);
 }
 
-void ScgiGroups::lineEnded(Line& line, net::ConnectionEnd end) {
-    const Duration at = now();
-    Group& group = *groups_[line.group];
-    const std::size_t server = line.server;
+void UpstreamGroups::onConnectionEnded(UpstreamConnection& connection, net::ConnectionEnd end) {
+    const Duration now = currentTime();
+    Group& group = *groups_[connection.group];
+    const std::size_t endpointIndex = connection.endpoint;
     if (end == net::ConnectionEnd::PeerClosed &&
-        line.reader.connectionEnded() == scgi::ReplyReader::State::Complete)
-        return replied(line);
-    const bool refused =
+        connection.reader.connectionEnded() == scgi::ReplyReader::State::Complete)
+        return onReply(connection);
+    const bool connectFailed =
         end == net::ConnectionEnd::ConnectRefused || end == net::ConnectionEnd::ConnectTimedOut;
-    (refused ? counts_.refused : counts_.broken) += 1;
-    const State before = group.members.state(server, at);
-    const RequestId id = line.job;
-    release(line, std::nullopt, at);
+    (connectFailed ? counters_.connectFailures : counters_.connectionsLost) += 1;
+    const State before = group.outliers.state(endpointIndex, now);
+    const RequestId id = connection.runId;
+    releaseConnection(connection, std::nullopt, now);
     if (id == 0) {
-        if (!group.servers[server].leaving) group.members.recordHealthCheck(server, false, at, chance_);
-        return tellStates(group, server, before, at);
+        if (!group.endpoints[endpointIndex].draining)
+            group.outliers.recordHealthCheck(endpointIndex, false, now, random_);
+        return onStateChange(group, endpointIndex, before, now);
     }
-    group.members.recordFailure(server, at, chance_);
-    group.servers[server].limit.recordFailure(at);
-    tellStates(group, server, before, at);
-    attemptFailed(id, refused ? ExecutionState::NotStarted : ExecutionState::Unknown, at,
-                  refused ? "no connection" : "the connection broke");
+    group.outliers.recordFailure(endpointIndex, now, random_);
+    group.endpoints[endpointIndex].limit.recordFailure(now);
+    onStateChange(group, endpointIndex, before, now);
+    attemptFailed(id, connectFailed ? ExecutionState::NotStarted : ExecutionState::Unknown, now,
+                  connectFailed ? "no connection" : "the connection broke");
 }
 
-void ScgiGroups::attemptFailed(RequestId id, ExecutionState began, Duration at, const char* why) {
-    Job& job = jobs_.at(id);
-    Group& group = *groups_[job.group];
-    group.budget.recordFailure();
-    routing::FailedAttempt tried;
-    tried.idempotency = requestClasses_[static_cast<std::size_t>(job.requestClass)].idempotency;
-    tried.execution = began;
-    tried.attempts = job.attempts;
-    tried.previousDelay = job.waited;
-    tried.deadline = job.due;
-    tried.minAttemptTime = kUseful;
-    const auto verdict = routing::decideRetry(group.terms.attempts, group.budget, tried, at, chance_);
-    ++counts_.notAgain[static_cast<std::size_t>(verdict.reason)];
-    if (verdict.reason == routing::RetryDecisionReason::Retry) {
-        job.waited = verdict.retryAt - at;
-        return agenda(id, job, verdict.retryAt);
+void UpstreamGroups::attemptFailed(RequestId id, ExecutionState execution, Duration now, const char* cause) {
+    Run& run = runs_.at(id);
+    Group& group = *groups_[run.group];
+    group.retryBudget.recordFailure();
+    routing::FailedAttempt attempt;
+    attempt.idempotency = requestClasses_[static_cast<std::size_t>(run.requestClass)].idempotency;
+    attempt.execution = execution;
+    attempt.attempts = run.attempts;
+    attempt.previousDelay = run.previousDelay;
+    attempt.deadline = run.deadline;
+    attempt.minAttemptTime = kMinAttemptTime;
+    const auto decision =
+        routing::decideRetry(group.config.retryPolicy, group.retryBudget, attempt, now, random_);
+    ++counters_.retryDecisions[static_cast<std::size_t>(decision.reason)];
+    if (decision.reason == routing::RetryDecisionReason::Retry) {
+        run.previousDelay = decision.retryAt - now;
+        return schedule(id, run, decision.retryAt);
     }
-    log_.debug("group", job.name + " not tried again (" + routing::nameOf(verdict.reason) + "): " + why);
+    log_.debug("group",
+               run.externalId + " not tried again (" + routing::nameOf(decision.reason) + "): " + cause);
     // What a server said of its failure is said on as it is; a client of another
     // protocol gets the failure alone.
-    if (!job.said.empty() && job.format == request::PayloadFormat::Scgi)
-        return finish(id, Outcome::Ok, job.said);
-    finish(id, Outcome::Error, {});
+    if (!run.errorReply.empty() && run.format == request::PayloadFormat::Scgi)
+        return completeRun(id, Outcome::Ok, run.errorReply);
+    completeRun(id, Outcome::Error, {});
 }
 
-void ScgiGroups::finish(RequestId id, Outcome outcome, std::string result) {
-    const auto at = jobs_.find(id);
-    Job job = std::move(at->second);
-    agenda_.erase({job.at, id});
-    if (job.waits) std::erase(groups_[job.group]->waiting, id);
-    jobs_.erase(at);
-    backend_.runCompleted(id, outcome, now() - job.since, result);
+void UpstreamGroups::completeRun(RequestId id, Outcome outcome, std::string result) {
+    const auto found = runs_.find(id);
+    Run run = std::move(found->second);
+    schedule_.erase({run.scheduledAt, id});
+    if (run.queued) std::erase(groups_[run.group]->queue, id);
+    runs_.erase(found);
+    requestManager_.runCompleted(id, outcome, currentTime() - run.startedAt, result);
 }
 
-void ScgiGroups::cancel(const std::string& name) {
-    const auto id = request::parseRequestId(name);
-    if (!id || !jobs_.contains(*id)) return;
-    over_.push_back(*id);  // not from within the backend's own turn
+void UpstreamGroups::cancel(const std::string& externalId) {
+    const auto id = request::parseRequestId(externalId);
+    if (!id || !runs_.contains(*id)) return;
+    cancelled_.push_back(*id);  // not from within the backend's own turn
     timer_.start(0ns);
 }
 
-void ScgiGroups::sendWaiting(Group& group, Duration at) {
+void UpstreamGroups::dispatchQueued(Group& group, Duration now) {
     // Each of those that wait is looked at once; one that still finds nobody is
     // behind the others again.
-    for (std::size_t left = group.waiting.size(); left > 0; --left) {
-        const RequestId id = group.waiting.front();
-        Job& job = jobs_.at(id);
-        group.waiting.pop_front();
-        job.waits = false;
-        begin(id, at);
-        const auto still = jobs_.find(id);
-        if (still == jobs_.end() || !still->second.waits) continue;
+    for (std::size_t remaining = group.queue.size(); remaining > 0; --remaining) {
+        const RequestId id = group.queue.front();
+        Run& run = runs_.at(id);
+        group.queue.pop_front();
+        run.queued = false;
+        beginAttempt(id, now);
+        const auto found = runs_.find(id);
+        if (found == runs_.end() || !found->second.queued) continue;
         // Nobody may be used: it stays in front, and those behind it need not be
         // looked at.
-        group.waiting.pop_back();
-        group.waiting.push_front(id);
+        group.queue.pop_back();
+        group.queue.push_front(id);
         return;
     }
 }
 
-void ScgiGroups::pump() {
-    gone_.clear();
-    const Duration at = now();
-    for (const RequestId id : std::exchange(over_, {})) {
-        const auto found = jobs_.find(id);
-        if (found == jobs_.end()) continue;
+void UpstreamGroups::processDueRuns() {
+    closedConnections_.clear();
+    const Duration now = currentTime();
+    for (const RequestId id : std::exchange(cancelled_, {})) {
+        const auto found = runs_.find(id);
+        if (found == runs_.end()) continue;
         // The client has gone: so does its connection, which tells the server.
-        if (found->second.line != nullptr) release(*found->second.line, std::nullopt, at);
-        finish(id, Outcome::Cancelled, {});
+        if (found->second.connection != nullptr)
+            releaseConnection(*found->second.connection, std::nullopt, now);
+        completeRun(id, Outcome::Cancelled, {});
     }
-    while (!agenda_.empty() && agenda_.begin()->first <= at) {
-        const RequestId id = agenda_.begin()->second;
-        Job& job = jobs_.at(id);
-        if (job.waits) {
-            finish(id, Outcome::TimedOut, {});
-        } else if (job.line == nullptr) {
-            begin(id, at);
+    while (!schedule_.empty() && schedule_.begin()->first <= now) {
+        const RequestId id = schedule_.begin()->second;
+        Run& run = runs_.at(id);
+        if (run.queued) {
+            completeRun(id, Outcome::TimedOut, {});
+        } else if (run.connection == nullptr) {
+            beginAttempt(id, now);
         } else {
-            Line& line = *job.line;
-            Group& group = *groups_[job.group];
-            const bool more = job.attempts < group.terms.attempts.maxAttempts &&
-                              requestClasses_[static_cast<std::size_t>(job.requestClass)].idempotency ==
-                                  Idempotency::Idempotent;
-            const Duration until = more ? job.begun + (job.due - job.begun) / 2 : job.due;
-            const bool open = line.connection->isOpen();
-            if (open && at < until) {
-                agenda(id, job, until);
+            UpstreamConnection& connection = *run.connection;
+            Group& group = *groups_[run.group];
+            const bool mayRetry = run.attempts < group.config.retryPolicy.maxAttempts &&
+                                  requestClasses_[static_cast<std::size_t>(run.requestClass)].idempotency ==
+                                      Idempotency::Idempotent;
+            const Duration attemptDeadline =
+                mayRetry ? run.attemptStartedAt + (run.deadline - run.attemptStartedAt) / 2 : run.deadline;
+            const bool isOpen = connection.transport->isOpen();
+            if (isOpen && now < attemptDeadline) {
+                schedule(id, run, attemptDeadline);
                 continue;
             }
-            ++counts_.timedOut;
-            const std::size_t server = line.server;
-            const State before = group.members.state(server, at);
-            release(line, std::nullopt, at);
-            group.members.recordFailure(server, at, chance_);
-            group.servers[server].limit.recordFailure(at);
-            tellStates(group, server, before, at);
-            attemptFailed(id, open ? ExecutionState::Unknown : ExecutionState::NotStarted, at,
-                          open ? "no answer in time" : "no connection in time");
+            ++counters_.timeouts;
+            const std::size_t endpointIndex = connection.endpoint;
+            const State before = group.outliers.state(endpointIndex, now);
+            releaseConnection(connection, std::nullopt, now);
+            group.outliers.recordFailure(endpointIndex, now, random_);
+            group.endpoints[endpointIndex].limit.recordFailure(now);
+            onStateChange(group, endpointIndex, before, now);
+            attemptFailed(id, isOpen ? ExecutionState::Unknown : ExecutionState::NotStarted, now,
+                          isOpen ? "no answer in time" : "no connection in time");
         }
     }
-    check(at);
-    for (const auto& group : groups_) sendWaiting(*group, at);
-    timer_.start(agenda_.empty() ? kTick : std::clamp(agenda_.begin()->first - now(), 0ns, kTick));
+    runHealthChecks(now);
+    for (const auto& group : groups_) dispatchQueued(*group, now);
+    timer_.start(schedule_.empty()
+                     ? kMaxTimerDelay
+                     : std::clamp(schedule_.begin()->first - currentTime(), 0ns, kMaxTimerDelay));
 }
 
-void ScgiGroups::check(Duration at) {
-    if (at < nextCheck_) return;
-    Duration every = 1s;
-    for (std::size_t number = 0; number < groups_.size(); ++number) {
-        Group& group = *groups_[number];
-        if (group.terms.checksEvery <= 0ns) continue;
-        every = std::min(every, group.terms.checksEvery);
-        for (std::size_t server = 0; server < group.servers.size(); ++server) {
-            Server& each = group.servers[server];
-            if (each.gone || each.leaving) continue;
-            if (each.check != nullptr) {  // the one before has had no answer
-                lineEnded(*each.check, net::ConnectionEnd::TimedOut);
+void UpstreamGroups::runHealthChecks(Duration now) {
+    if (now < nextHealthCheck_) return;
+    Duration interval = 1s;
+    for (std::size_t groupIndex = 0; groupIndex < groups_.size(); ++groupIndex) {
+        Group& group = *groups_[groupIndex];
+        if (group.config.healthCheckInterval <= 0ns) continue;
+        interval = std::min(interval, group.config.healthCheckInterval);
+        for (std::size_t endpointIndex = 0; endpointIndex < group.endpoints.size(); ++endpointIndex) {
+            Endpoint& endpoint = group.endpoints[endpointIndex];
+            if (endpoint.removed || endpoint.draining) continue;
+            if (endpoint.healthCheck != nullptr) {  // the one before has had no answer
+                onConnectionEnded(*endpoint.healthCheck, net::ConnectionEnd::TimedOut);
                 continue;
             }
-            if (lines_.size() >= bounds_.connections) continue;
-            auto line = std::make_unique<Line>(*this, number, server, RequestId{0});
-            line->begun = at;
-            line->connection = std::make_unique<net::Connection>(loop_, each.terms.at, *line,
-                                                                 net::BufferLimits{65536, 8192, total_});
-            line->connection->send(
-                scgi::writeRequest({{"REQUEST_METHOD", "GET"}, {"REQUEST_URI", group.terms.checkPath}}, {}));
-            each.check = line.get();
-            lines_.push_back(std::move(line));
-            lines_.back()->place = std::prev(lines_.end());
-            ++checks_;
-            ++counts_.checks;
+            if (connections_.size() >= limits_.maxConnections) continue;
+            auto connection =
+                std::make_unique<UpstreamConnection>(*this, groupIndex, endpointIndex, RequestId{0});
+            connection->startedAt = now;
+            connection->transport = std::make_unique<net::Connection>(
+                loop_, endpoint.config.address, *connection, net::BufferLimits{65536, 8192, bufferBudget_});
+            connection->transport->send(scgi::writeRequest(
+                {{"REQUEST_METHOD", "GET"}, {"REQUEST_URI", group.config.healthCheckPath}}, {}));
+            endpoint.healthCheck = connection.get();
+            connections_.push_back(std::move(connection));
+            connections_.back()->position = std::prev(connections_.end());
+            ++healthChecksInFlight_;
+            ++counters_.healthChecks;
         }
     }
-    nextCheck_ = at + every;
+    nextHealthCheck_ = now + interval;
 }
 
-void ScgiGroups::requestGauges() {
-    double most = 0;
+void UpstreamGroups::requestGauges() {
+    double totalLimit = 0;
     for (const auto& group : groups_)
-        for (const Server& server : group->servers)
-            if (!server.gone) most += server.limit.limit();
-    const double flies = static_cast<double>(flying());
-    backend_.updateGauges({most > 0 ? std::min(1.0, flies / most) : 0, flies + static_cast<double>(waiting()),
-                           std::nullopt, std::nullopt});
+        for (const Endpoint& endpoint : group->endpoints)
+            if (!endpoint.removed) totalLimit += endpoint.limit.limit();
+    const double runsInFlight = static_cast<double>(inFlight());
+    requestManager_.updateGauges({totalLimit > 0 ? std::min(1.0, runsInFlight / totalLimit) : 0,
+                                  runsInFlight + static_cast<double>(queued()), std::nullopt, std::nullopt});
 }
 
-void ScgiGroups::verifyWork(std::function<void(std::optional<bool>)> told) {
-    const Duration at = now();
-    bool any = false;
+void UpstreamGroups::verifyWork(std::function<void(std::optional<bool>)> callback) {
+    const Duration now = currentTime();
+    bool anyUsable = false;
     for (const auto& group : groups_)
-        for (std::size_t server = 0; server < group->servers.size(); ++server)
-            any = any || (!group->servers[server].gone && group->members.isUsable(server, at));
-    told(any);
+        for (std::size_t index = 0; index < group->endpoints.size(); ++index)
+            anyUsable =
+                anyUsable || (!group->endpoints[index].removed && group->outliers.isUsable(index, now));
+    callback(anyUsable);
 }
 
 }  // namespace cottonwing::scgi
--- a/src/serve/gateway.cpp
+++ b/src/serve/gateway.cpp
@@ -101,7 +101,7 @@
         return log_.error("reload", std::string("configuration rejected: error=") + error.what());
     }
     counters_.add(telemetry::Count::Reloads);
-    const auto [added, removed] = upstreamGroups_.change(next.groups);
+    const auto [added, removed] = upstreamGroups_.updateEndpoints(next.groups);
     log_.info("reload", "configuration reloaded: " + std::to_string(added) + " servers added, " +
                             std::to_string(removed) + " servers draining");
     const auto groupNamesOf = [](const GatewayConfig& config) {
@@ -116,12 +116,13 @@
 
 void Gateway::printCounters(std::ostream& out) const {
     counters_.print(out);
-    const auto& upstream = upstreamGroups_.counts();
-    out << "groups: first=" << upstream.first << " attempts=" << upstream.attempts
-        << " again=" << upstream.again << " refused=" << upstream.refused << " broken=" << upstream.broken
-        << " timed-out=" << upstream.timedOut << " bad-replies=" << upstream.badReplies
-        << " said-failed=" << upstream.saidFailed << " checks=" << upstream.checks
-        << " flying=" << upstreamGroups_.flying() << " waiting=" << upstreamGroups_.waiting() << std::endl;
+    const auto& upstream = upstreamGroups_.counters();
+    out << "groups: first=" << upstream.requests << " attempts=" << upstream.attempts
+        << " again=" << upstream.retries << " refused=" << upstream.connectFailures
+        << " broken=" << upstream.connectionsLost << " timed-out=" << upstream.timeouts
+        << " bad-replies=" << upstream.malformedReplies << " said-failed=" << upstream.errorReplies
+        << " checks=" << upstream.healthChecks << " flying=" << upstreamGroups_.inFlight()
+        << " waiting=" << upstreamGroups_.queued() << std::endl;
     if (!scgiServer_) return;
     const auto& scgi = scgiServer_->counters();
     out << "scgi: opened=" << scgi.opened << " whole=" << scgi.complete << " bad=" << scgi.malformed
--- a/src/serve/gateway.h
+++ b/src/serve/gateway.h
@@ -27,7 +27,7 @@
     void printCounters(std::ostream& out) const;
 
     const request::RequestManager& requestManager() const { return requests_; }
-    const scgi::ScgiGroups& upstreamGroups() const { return upstreamGroups_; }
+    const scgi::UpstreamGroups& upstreamGroups() const { return upstreamGroups_; }
     const scgi::ScgiServer* scgiServer() const { return scgiServer_.get(); }
     const thrift::ThriftServer* thriftServer() const { return thriftServer_.get(); }
 
@@ -46,7 +46,7 @@
     telemetry::Counters& counters_;
     request::RequestManager requests_;
     NoDependencyCalls noDependencyCalls_;
-    scgi::ScgiGroups upstreamGroups_;
+    scgi::UpstreamGroups upstreamGroups_;
     std::unique_ptr<thrift::ThriftServer> thriftServer_;
     std::unique_ptr<scgi::ScgiServer> scgiServer_;
     net::Timer drainTimer_, rejectIncompleteTimer_, stopTimer_;
--- a/src/serve/gateway_config.cpp
+++ b/src/serve/gateway_config.cpp
@@ -55,37 +55,37 @@
     return route;
 }
 
-scgi::GroupTerms readUpstreamGroup(const kdl::Node& node) {
+scgi::UpstreamGroupConfig readUpstreamGroup(const kdl::Node& node) {
     kdl::NodeReader reader(node);
-    scgi::GroupTerms group;
+    scgi::UpstreamGroupConfig group;
     group.name = kdl::text(reader.argument(0, "the name of a group"));
     for (const kdl::Node* found : reader.children("server")) {
         kdl::NodeReader childReader(*found);
-        scgi::ServerTerms server;
-        server.at = parseAddress(childReader.argument(0, "an address such as \"127.0.0.1:9000\""), 1);
+        scgi::EndpointConfig server;
+        server.address = parseAddress(childReader.argument(0, "an address such as \"127.0.0.1:9000\""), 1);
         childReader.property("weight", server.weight, kdl::number);
-        childReader.property("most", server.most, kdl::integerBetween(1, 100000));
+        childReader.property("most", server.maxInFlight, kdl::integerBetween(1, 100000));
         childReader.rejectUnknown();
         if (server.weight <= 0)
             throw kdl::DocumentError(found->location, "a weight of 0 or less was found",
                                      "one above 0 was expected");
-        for (const auto& other : group.servers)
-            if (other.at == server.at)
+        for (const auto& other : group.endpoints)
+            if (other.address == server.address)
                 throw kdl::DocumentError(found->location,
-                                         "the server " + server.at.host + ":" +
-                                             std::to_string(server.at.port) + " was found twice",
+                                         "the server " + server.address.host + ":" +
+                                             std::to_string(server.address.port) + " was found twice",
                                          "each server once was expected");
-        group.servers.push_back(server);
+        group.endpoints.push_back(server);
     }
-    if (group.servers.empty())
+    if (group.endpoints.empty())
         throw kdl::DocumentError(node.location, "group '" + group.name + "' was found without a server",
                                  "'server \"127.0.0.1:9001\"' was expected in it");
-    if (group.servers.size() > 2000)
+    if (group.endpoints.size() > 2000)
         throw kdl::DocumentError(node.location, "more than 2000 servers were found",
                                  "at most 2000 were expected");
     if (const kdl::Node* const choose = reader.child("choose")) {
         kdl::NodeReader childReader(*choose);
-        group.way = kdl::NodeReader::choice<routing::LoadBalancingPolicy>(
+        group.policy = kdl::NodeReader::choice<routing::LoadBalancingPolicy>(
             childReader.argument(0, "a load balancing policy"),
             {{"round-robin", routing::LoadBalancingPolicy::RoundRobin},
              {"least", routing::LoadBalancingPolicy::LeastRequests},
@@ -95,20 +95,21 @@
     }
     if (const kdl::Node* const found = reader.child("leave-out")) {
         kdl::NodeReader childReader(*found);
-        childReader.property("in-a-row", group.members.consecutiveFailures, kdl::integerBetween(1, 1000));
-        childReader.property("share", group.members.failureRatio, kdl::fraction);
-        childReader.property("at-most", group.members.maxEjectedFraction, kdl::fraction);
-        childReader.property("for", group.members.baseEjectionTime, kdl::duration);
-        childReader.property("longest", group.members.maxEjectionTime, kdl::duration);
+        childReader.property("in-a-row", group.outlierDetection.consecutiveFailures,
+                             kdl::integerBetween(1, 1000));
+        childReader.property("share", group.outlierDetection.failureRatio, kdl::fraction);
+        childReader.property("at-most", group.outlierDetection.maxEjectedFraction, kdl::fraction);
+        childReader.property("for", group.outlierDetection.baseEjectionTime, kdl::duration);
+        childReader.property("longest", group.outlierDetection.maxEjectionTime, kdl::duration);
         childReader.rejectUnknown();
     }
     if (const kdl::Node* const found = reader.child("checks")) {
         kdl::NodeReader childReader(*found);
-        group.checksEvery = kdl::duration(childReader.argument(0, "an interval such as 1s"));
-        childReader.property("path", group.checkPath, kdl::text);
+        group.healthCheckInterval = kdl::duration(childReader.argument(0, "an interval such as 1s"));
+        childReader.property("path", group.healthCheckPath, kdl::text);
         childReader.rejectUnknown();
     }
-    group.connectsWithin = reader.setting("connects-within", kdl::duration, group.connectsWithin);
+    group.connectTimeout = reader.setting("connects-within", kdl::duration, group.connectTimeout);
     reader.rejectUnknown();
     return group;
 }
@@ -280,7 +281,7 @@
     // their servers may have in flight.
     double maxInFlight = 0;
     for (const auto& group : config.groups)
-        for (const auto& server : group.servers) maxInFlight += server.most;
+        for (const auto& server : group.endpoints) maxInFlight += server.maxInFlight;
     controller.cores = static_cast<int>(std::min(maxInFlight, 10000.0));
     controller.overloadFactor = 4;
     controller.overloadWindow = 2s;
--- a/src/serve/gateway_config.h
+++ b/src/serve/gateway_config.h
@@ -23,9 +23,9 @@
     std::optional<net::Address> thriftAddress;
     std::optional<scgi::ScgiServerConfig> scgiServer;
     std::vector<routing::Route> routes;  // Route::target is an index of scgiServer->routeTargets
-    std::vector<scgi::GroupTerms> groups;
+    std::vector<scgi::UpstreamGroupConfig> groups;
     std::vector<std::size_t> groupByRequestClass;  // index of groups
-    scgi::GroupBounds upstreamLimits;
+    scgi::UpstreamLimits upstreamLimits;
     ControllerConfig controller;
     config::NameTables nameTables;
     std::vector<std::string> requestClassNames;
--- a/tests/scgi/scgi_test.cpp
+++ b/tests/scgi/scgi_test.cpp
@@ -382,7 +382,7 @@
     runUntil(fixture.loop, [&] { return fixture.servers[0]->requests() == 1; });
     client.reset();
     runUntil(fixture.loop, [&] { return fixture.servers[0]->left() == 1; });
-    EXPECT_EQ(fixture.gateway->upstreamGroups().flying(), 0U);
+    EXPECT_EQ(fixture.gateway->upstreamGroups().inFlight(), 0U);
     fixture.expectEveryRequestEnded();
 }
 
@@ -474,7 +474,7 @@
     fixture.servers[0]->set({});
     runUntil(fixture.loop, [&] {
         fixture.exchange("/board/1");
-        return fixture.gateway->upstreamGroups().out(0) == 0;
+        return fixture.gateway->upstreamGroups().ejectedCount(0) == 0;
     });
 }
 
