--- a/benchmarks/routing_benchmark.cpp
+++ b/benchmarks/routing_benchmark.cpp
@@ -1,5 +1,5 @@
-// What decisions cost as their tables grow: the trie of routes beside a plain list, and a choice of a server
-// in groups of 10 to 2,000.
+// Cost of routing decisions by size: route lookup in the trie and in a plain list, and the selection of an
+// endpoint in groups of 10 to 2,000.
 #include <benchmark/benchmark.h>
 
 #include <random>
@@ -65,7 +65,7 @@
 }
 BENCHMARK(findInList)->Arg(10)->Arg(1000)->Arg(100000);
 
-// A choice with all that goes with it: who may be used, one more in flight, and its end.
+// A selection with all that belongs to it: the usable endpoints, the start and the end of the request.
 void choose(benchmark::State& state) {
     const auto count = static_cast<std::size_t>(state.range(1));
     LoadBalancer balancer(static_cast<LoadBalancingPolicy>(state.range(0)));
--- a/src/routing/concurrency_limit.cpp
+++ b/src/routing/concurrency_limit.cpp
@@ -9,9 +9,9 @@
 double seconds(Duration duration) { return std::chrono::duration<double>(duration).count(); }
 }  // namespace
 
-// Single answers of one server differ by factors; their mean over some tens of them hardly does.
+// Latencies of single responses of one server differ by factors; the mean over some tens of them is stable.
 void ConcurrencyLimit::recordSuccess(Duration latency, int inFlight, Duration now) {
-    if (samplesToSkip_ > 0) {  // sent before the look at the floor began
+    if (samplesToSkip_ > 0) {  // sent before the measurement of the baseline began
         --samplesToSkip_;
         return;
     }
@@ -19,7 +19,7 @@
     sampleCount_ = std::min(sampleCount_ + 1, kSampleCount);
     meanLatency_ += (sample - meanLatency_) / sampleCount_;
     if (sampleCount_ < kSampleCount) {
-        // Nothing is known yet: a server that answers is asked for more, by one for each limit's worth.
+        // No baseline is known yet: while the server responds, the limit grows by one per round of responses.
         if (baselineLatency_ == 0 && 2 * inFlight >= static_cast<int>(limit_)) increase();
         return;
     }
@@ -30,10 +30,10 @@
         nextMeasurement_ = now + config_.baselineInterval;
         return;
     }
-    // A floor taken from what is seen under load would rise with the crowd that it is to tell of.
+    // A baseline taken under load would rise with the congestion that it has to reveal.
     if (baselineLatency_ == 0 || now >= nextMeasurement_) return beginBaselineMeasurement(inFlight);
     if (meanLatency_ > config_.congestedLatencyRatio * baselineLatency_) return decrease(now);
-    // Only a limit that is used tells that more could be borne.
+    // Low latency shows spare capacity only while at least half of the limit is in use.
     if (meanLatency_ < config_.uncongestedLatencyRatio * baselineLatency_ &&
         2 * inFlight >= static_cast<int>(limit_))
         increase();
@@ -52,7 +52,7 @@
 
 void ConcurrencyLimit::recordFailure(Duration now) { decrease(now); }
 
-// Once for all answers that were out together.
+// At most once for all requests that were in flight together.
 void ConcurrencyLimit::decrease(Duration now) {
     const double roundTrip = std::max(meanLatency_, 0.01);
     if (lastDecrease_ > Duration(0) && seconds(now - lastDecrease_) < roundTrip) return;
--- a/src/routing/load_balancer.cpp
+++ b/src/routing/load_balancer.cpp
@@ -74,14 +74,14 @@
 
 void LoadBalancer::requestEnded(Index index, std::optional<Duration> latency, Duration now) {
     if (index >= endpoints_.size() || !endpoints_[index].present || endpoints_[index].inFlight == 0)
-        return;  // removed meanwhile
+        return;  // removed in the meantime
     updateRanking(index, false);
     Endpoint& endpoint = endpoints_[index];
     --endpoint.inFlight;
     --totalInFlight_;
     if (latency) {
         const double seconds = std::chrono::duration<double>(*latency).count();
-        // A slow answer counts at once, quick ones win the trust back over about a second.
+        // A slower response counts at once; faster ones lower the estimate over about a second.
         const double sinceLastUpdate = std::chrono::duration<double>(now - endpoint.latencyUpdatedAt).count();
         if (endpoint.latencySeconds == 0 || seconds > endpoint.latencySeconds)
             endpoint.latencySeconds = seconds;
@@ -94,7 +94,8 @@
     updateRanking(index, true);
 }
 
-// What one more request there would wait for; of one not seen yet what is usual in the group is expected.
+// The expected wait of one more request. An endpoint without a response so far is assumed to have the mean
+// latency of the group.
 double LoadBalancer::cost(const Endpoint& endpoint) const {
     const double expectedLatency =
         endpoint.latencySeconds > 0 ? endpoint.latencySeconds : std::max(meanLatencySeconds_, 1e-6);
@@ -135,7 +136,8 @@
     std::uniform_int_distribution<std::size_t> anyPosition(0, presentEndpoints_.size() - 1);
     std::optional<Index> chosen;
     int candidates = 0;
-    // With most of the group usable two draws are enough; a group that is mostly out is walked in the end.
+    // Two draws are enough while most of the group is usable. If twelve find no endpoint, as in a group that
+    // is mostly ejected, all are walked in turn from a random position.
     for (int step = 0; step < 12 && candidates < 2; ++step) {
         const Index index = presentEndpoints_[anyPosition(random)];
         if (avoid == index || chosen == index || !isUsable(index)) continue;
@@ -147,7 +149,7 @@
     return chooseRoundRobin(avoid, isUsable);
 }
 
-// Clockwise from the subject's point, past those that carry more than their bounded share.
+// Clockwise from the point of the routing key, past endpoints that carry more than their bounded load.
 std::optional<LoadBalancer::Index> LoadBalancer::chooseByHash(std::uint64_t routingKey,
                                                               std::optional<Index> avoid,
                                                               const IsUsable& isUsable) {
@@ -156,8 +158,8 @@
                                         std::pair<std::uint64_t, Index>{splitMix64(routingKey), 0});
     const auto startPosition = static_cast<std::size_t>(start - hashRing_.begin());
     std::optional<Index> fallback;
-    // A few full turns past distinct members are enough to find one under the bound, as not all are above the
-    // mean.
+    // Not all endpoints are above the mean, so that one turn of the ring finds one under the bound if all are
+    // usable.
     for (std::size_t step = 0; step < hashRing_.size(); ++step) {
         const Index index = hashRing_[(startPosition + step) % hashRing_.size()].second;
         if (avoid == index || !isUsable(index)) continue;
@@ -175,7 +177,7 @@
                                                               const IsUsable& isUsable,
                                                               std::mt19937& random) {
     std::optional<Index> avoidedEndpoint;
-    // Among equals one by chance, or every client of a fleet would begin with the same one.
+    // A random one of equal endpoints, or all clients of a fleet would begin with the same one.
     std::vector<Index> ties;
     double bestScore = 0;
     for (const auto& [score, index] : ranking_) {
--- a/src/routing/load_balancer.h
+++ b/src/routing/load_balancer.h
@@ -1,5 +1,7 @@
-// Which of a group a request goes to. Pure; the cost of a choice does not grow with the group (but for
-// Least and Fastest, which grow with its logarithm).
+/// @file
+/// Selects the endpoint of a group that a request is sent to. Pure: time and random numbers come in as
+/// arguments. The cost of a selection does not grow with the size of the group, except for LeastRequests and
+/// LowestLatency, where it grows with its logarithm.
 #pragma once
 
 #include <chrono>
@@ -17,47 +19,58 @@
 
 enum class LoadBalancingPolicy {
     RoundRobin,
-    LeastRequests,      // the fewest in flight for its weight
-    PowerOfTwoChoices,  // of two at random, the one with less in flight and quicker of late
-    ConsistentHash,     // the same one for the same subject, while that one is not overloaded
-    LowestLatency,      // that answered fastest of late: a baseline, as all clients run to the same one
+    LeastRequests,      ///< The endpoint with the fewest requests in flight for its weight.
+    PowerOfTwoChoices,  ///< Of two random endpoints, the one with fewer requests in flight and lower latency.
+    ConsistentHash,     ///< The same endpoint for the same routing key, unless that endpoint is overloaded.
+    LowestLatency,  ///< The endpoint with the lowest recent latency; a baseline, as all clients choose it.
 };
 
+/// The load balancer of one endpoint group.
 class LoadBalancer {
 public:
+    /// Slot of an endpoint, as assigned by OutlierDetector::add.
     using Index = std::size_t;
     using IsUsable = std::function<bool(Index)>;
 
     explicit LoadBalancer(LoadBalancingPolicy policy) : policy_(policy) {}
 
-    // Places are those of Members: given from outside and used again.
+    /// Slots are assigned by the caller and reused after remove.
     void add(Index index, double weight = 1);
     void remove(Index index);
-    void setWeight(Index index, double weight);  // above 0; what a server says of its free value goes in here
 
-    // Nothing where none may be used. avoid: one that was tried before, taken only where no other may be
-    // used.
+    /// @param weight above 0. Also takes the free capacity that a server advertises.
+    void setWeight(Index index, double weight);
+
+    /// @param routingKey used by ConsistentHash only.
+    /// @param avoid the endpoint of the previous attempt; chosen only if no other is usable.
+    /// @return no value if no endpoint is usable.
     std::optional<Index> choose(std::uint64_t routingKey, std::optional<Index> avoid,
                                 const IsUsable& isUsable, std::mt19937& random);
+
     void requestStarted(Index index);
-    // took: nothing where it tells nothing of how quick the server is (a rejection or a failure may be very
-    // fast).
+
+    /// @param latency no value if it does not show how fast the server is: a rejection or a failure may be
+    /// very fast.
     void requestEnded(Index index, std::optional<Duration> latency, Duration now);
 
     int inFlight(Index index) const { return endpoints_[index].inFlight; }
+
+    /// @return the estimated latency in seconds; 0 before the first response.
     double latencySeconds(Index index) const { return endpoints_[index].latencySeconds; }
+
     std::size_t size() const { return presentEndpoints_.size(); }
 
-    static constexpr double kLoadBoundFactor = 1.25;   // of the mean, that one may carry for its subjects
-    static constexpr int kRingPointsPerEndpoint = 64;  // on the ring of subjects
+    /// Multiple of the mean load up to which ConsistentHash gives an endpoint the requests of its keys.
+    static constexpr double kLoadBoundFactor = 1.25;
+    static constexpr int kRingPointsPerEndpoint = 64;
 
 private:
     struct Endpoint {
-        double weight = 1,
-               latencySeconds = 0;  // seconds: quick to grow, slow to fall; 0 while nothing was seen
+        /// latencySeconds rises at once and falls slowly; 0 before the first response.
+        double weight = 1, latencySeconds = 0;
         Duration latencyUpdatedAt{0};
         int inFlight = 0;
-        std::size_t orderPosition = 0;  // in order_
+        std::size_t orderPosition = 0;  ///< Index into presentEndpoints_.
         bool present = false;
     };
     double load(const Endpoint& endpoint) const { return (endpoint.inFlight + 1) / endpoint.weight; }
@@ -72,16 +85,17 @@
                                       std::mt19937& random);
 
     LoadBalancingPolicy policy_;
-    std::vector<Endpoint> endpoints_;
-    std::vector<Index> presentEndpoints_;                    // those present
-    std::vector<std::pair<std::uint64_t, Index>> hashRing_;  // sorted; BySubject alone
-    std::set<std::pair<double, Index>> ranking_;             // Least by load, Fastest by seconds
+    std::vector<Endpoint> endpoints_;  ///< By slot.
+    std::vector<Index> presentEndpoints_;
+    std::vector<std::pair<std::uint64_t, Index>> hashRing_;  ///< Sorted; ConsistentHash only.
+    /// By load for LeastRequests, by latency for LowestLatency; empty for the other policies.
+    std::set<std::pair<double, Index>> ranking_;
     std::size_t roundRobinPosition_ = 0;
     std::uint64_t totalInFlight_ = 0;
     double totalWeight_ = 0, meanLatencySeconds_ = 0;
 };
 
-// A good spread of any number over 64 bits.
+/// The SplitMix64 mixing function: a bijection that spreads any number over 64 bits.
 std::uint64_t splitMix64(std::uint64_t value);
 
 }  // namespace cottonwing::routing
--- a/src/routing/outlier_detection.cpp
+++ b/src/routing/outlier_detection.cpp
@@ -41,8 +41,8 @@
     if (!endpoint.present) return;
     endpoint.probing = false;
     if (endpoint.ejected) {
-        // One that was sent before it went out may still end well: only what is asked while it is on
-        // probation tells of its return.
+        // A request sent before the ejection may still succeed; only requests sent while probing show a
+        // recovery.
         if (now < endpoint.ejectedUntil) return;
         if (++endpoint.successfulProbes >= config_.successfulProbesToRestore) restore(endpoint, now);
         return;
@@ -102,8 +102,9 @@
     return !endpoint.ejected ? State::Active : now >= endpoint.ejectedUntil ? State::Probing : State::Ejected;
 }
 
-// Each return that went wrong doubles the time out, so that one that is only sometimes well changes its state
-// ever more seldom; jittered, so that those that went out together do not come back as one.
+// Each failed recovery doubles the ejection time, so that an endpoint that is healthy only at times changes
+// its state ever more rarely. The time is jittered, so that endpoints ejected together are not restored
+// together.
 void OutlierDetector::eject(Endpoint& endpoint, Duration now, std::mt19937& random) {
     if (!endpoint.ejected) {
         ++ejectedCount_;
--- a/src/routing/outlier_detection.h
+++ b/src/routing/outlier_detection.h
@@ -1,10 +1,12 @@
-// Who of a group is used: what real requests show and what active checks say are weighed together, those
-// that do badly are left out for a while, and never more than a stated part of the group. Pure.
-//
-// A member is out after failures in a row, or when too large a share of its last requests failed; it comes
-// back by probes, one at a time, after a time out that grows with each return that went wrong. Where more
-// than the stated part would be out, the group panics: everybody is used again, as those that look well would
-// otherwise fall under the load of all.
+/// @file
+/// Outlier detection for the endpoints of a group: weighs the results of requests together with active health
+/// checks, ejects failing endpoints for a time, and never ejects more than a configured fraction of the
+/// group. Pure: time and random numbers come in as arguments.
+///
+/// An endpoint is ejected after a number of failures in a row, or when too large a fraction of its last
+/// requests failed. After its ejection time, which grows with each failed recovery, it returns by recovery
+/// probes, one at a time. If more than the configured fraction is ejected, the group is in panic mode: all
+/// endpoints are used again, as the healthy ones would otherwise collapse under the load of all.
 #pragma once
 
 #include <chrono>
@@ -18,57 +20,68 @@
 namespace cottonwing::routing {
 
 struct OutlierDetectionConfig {
-    int consecutiveFailures = 5;  // of real requests
-    int windowSize = 20;          // of the last real requests
-    double failureRatio = 0.5;
-    int unhealthyThreshold = 2;  // active checks in a row that take it out
-    int healthyThreshold = 2;    // that count as a good probe
+    int consecutiveFailures = 5;  ///< Failed requests in a row that eject an endpoint.
+    int windowSize = 20;          ///< Last requests over which the failure ratio is taken; at most 64.
+    double failureRatio = 0.5;    ///< Ejects an endpoint once the window is full.
+    int unhealthyThreshold = 2;   ///< Failed health checks in a row that eject an endpoint.
+    int healthyThreshold = 2;     ///< Passed health checks in a row that count as one successful probe.
     int successfulProbesToRestore = 3;
-    double maxEjectedFraction = 0.5;  // part of the group; beyond it all are used
+    double maxEjectedFraction = 0.5;  ///< Of the group; above it all endpoints are used (panic mode).
     Duration baseEjectionTime{std::chrono::seconds(1)};
     Duration maxEjectionTime{std::chrono::seconds(30)};
-    Duration ejectionResetTime{
-        std::chrono::seconds(60)};  // in service for this long the next time out is short again
+    /// After this time in service the next ejection begins at the base time again.
+    Duration ejectionResetTime{std::chrono::seconds(60)};
 };
 
+/// The outlier detector of one endpoint group.
 class OutlierDetector {
 public:
-    enum class State { Active, Ejected, Probing };
+    enum class State {
+        Active,
+        Ejected,
+        Probing  ///< The ejection time is over; probes decide whether the endpoint is restored.
+    };
     using Index = std::size_t;
 
     explicit OutlierDetector(const OutlierDetectionConfig& config) : config_(config) {}
 
-    // Positions never move; a removed one keeps its place until it is taken by the next added.
+    /// @return the slot of the new endpoint. Slots never move; that of a removed endpoint is reused by a
+    /// later add.
     Index add();
     void remove(Index index);
     std::size_t size() const { return endpointCount_; }
     std::size_t slotCount() const { return endpoints_.size(); }
     bool contains(Index index) const { return endpoints_[index].present; }
 
-    // What was seen. Failures are those that speak of the member, not of the request or of us.
     void recordSuccess(Index index, Duration now);
+
+    /// Only for failures that are due to the endpoint, not to the request or to this process.
     void recordFailure(Index index, Duration now, std::mt19937& random);
+
     void recordHealthCheck(Index index, bool passed, Duration now, std::mt19937& random);
 
-    // May a request be sent there now? A probing member takes one at a time; began() says it was taken.
+    /// @return whether a request may be sent to the endpoint now. A probing endpoint gets one at a time.
     bool isUsable(Index index, Duration now) const;
+
+    /// Must be called for each request that is sent, so that a probe is counted.
     void requestStarted(Index index, Duration now);
-    // The probe ended and told nothing.
+
+    /// The probe ended without showing whether the endpoint is healthy.
     void probeInconclusive(Index index);
 
     State state(Index index, Duration now) const;
     bool inPanicMode() const { return ejectedCount_ > maxEjectedCount(); }
     std::size_t ejectedCount() const { return ejectedCount_; }
-    std::uint64_t transitionCount() const {
-        return transitionCount_;
-    }  // times that one went out or came back
+
+    /// @return how often an endpoint was ejected or restored.
+    std::uint64_t transitionCount() const { return transitionCount_; }
 
 private:
     struct Endpoint {
         bool present = true, ejected = false, probing = false;
         int consecutiveFailures = 0, resultCount = 0, failureCount = 0, consecutiveFailedChecks = 0,
             consecutivePassedChecks = 0, successfulProbes = 0;
-        std::uint64_t failureWindow = 0;  // bits of the window, the newest lowest
+        std::uint64_t failureWindow = 0;  ///< One bit per request, the latest in the lowest bit; 1: failed.
         Duration ejectedUntil{0}, ejectionTime{0}, restoredAt{0};
     };
     std::size_t maxEjectedCount() const {
--- a/src/routing/retry_policy.cpp
+++ b/src/routing/retry_policy.cpp
@@ -31,7 +31,7 @@
 Duration retryDelay(const RetryPolicyConfig& config, int attempts, Duration previousDelay,
                     std::mt19937& random) {
     Duration delay = config.baseDelay;
-    // Doubled a step at a time: a shift by a large count would wrap.
+    // Doubled step by step: a shift by a large count would overflow.
     if (config.backoffGrowth == BackoffGrowth::Exponential)
         for (int step = 1; step < attempts && delay < config.maxDelay; ++step) delay *= 2;
     delay = std::min(delay, config.maxDelay);
@@ -60,8 +60,8 @@
     if (attempt.noRetryElsewhere) return {RetryDecisionReason::RetryForbidden, Duration(0)};
     if (!budget.allowsRetry()) return {RetryDecisionReason::BudgetExhausted, Duration(0)};
     Duration delay = retryDelay(config, attempt.attempts, attempt.previousDelay, random);
-    // Asked to stay away it does at least that, and the jitter goes on top: all who were told the same must
-    // not come back as one.
+    // The server's retry-after is the minimum and the jittered delay is added to it: clients that received
+    // the same value must not return at the same moment.
     if (config.honorsRetryAfter && attempt.retryAfter) delay += *attempt.retryAfter;
     if (now + delay + attempt.minAttemptTime >= attempt.deadline)
         return {RetryDecisionReason::DeadlineTooClose, Duration(0)};
--- a/src/routing/retry_policy.h
+++ b/src/routing/retry_policy.h
@@ -1,8 +1,11 @@
-// What is tried again, when, and whether its group may still try again. Pure: time and chance come in as
-// arguments. Used by the clients of the laboratory today; made for whatever sends a request on.
-//
-// The mechanism is the design's: repeatable requests, or those known not to have begun; a fixed number of
-// attempts; full jitter; one token budget a group, which good answers fill slowly and failures empty at once.
+/// @file
+/// Decides whether a failed attempt is retried, when, and whether the retry budget of its group allows it.
+/// Pure: time and random numbers come in as arguments. Used by the gateway's upstream groups and by the
+/// clients of the load test.
+///
+/// A request is retried if it is idempotent or its attempt is known not to have begun. The number of attempts
+/// is fixed, the delays have full jitter by default, and each group has one token budget, which successes
+/// fill slowly and failures empty quickly.
 #pragma once
 
 #include <chrono>
@@ -16,27 +19,27 @@
 
 enum class BackoffGrowth { Fixed, Exponential };
 enum class Jitter {
-    None,          // the whole wait, always
-    Equal,         // half of it, and a random part of the other half
-    Full,          // a random part of it
-    Decorrelated,  // from the least wait to three times the one before
+    None,          ///< Always the full delay.
+    Equal,         ///< Half of the delay plus a random part of the other half.
+    Full,          ///< A random part of the delay.
+    Decorrelated,  ///< From the base delay to three times the previous delay.
 };
 
 struct RetryPolicyConfig {
-    int maxAttempts = 3;  // attempts in all, at least 1
+    int maxAttempts = 3;  ///< Per request, the first included; at least 1.
     BackoffGrowth backoffGrowth = BackoffGrowth::Exponential;
     Jitter jitter = Jitter::Full;
-    Duration baseDelay{std::chrono::milliseconds(25)};  // the wait before the second attempt
-    Duration maxDelay{std::chrono::milliseconds(800)};  // no wait grows past this
+    Duration baseDelay{std::chrono::milliseconds(25)};  ///< Before the second attempt.
+    Duration maxDelay{std::chrono::milliseconds(800)};
     bool budgetEnabled = true;
-    double maxTokens = 10;  // at the start, and at most
+    double maxTokens = 10;  ///< Also the number at the start.
     double tokensPerSuccess = 0.1;
-    double minTokenFraction = 0.5;  // part of the tokens that must be left for an attempt again
-    bool honorsRetryAfter = true;   // waits at least as long as the other side asked
+    double minTokenFraction = 0.5;  ///< A retry needs more than this fraction of maxTokens.
+    bool honorsRetryAfter = true;   ///< Waits at least as long as the server asked for.
 };
 
-// One a group of clients and servers. With every attempt failing it allows half of its tokens, then none: so
-// repeats stay under `perGood` of what goes well, plus a constant.
+/// The retry budget of one group of clients and servers. If every attempt fails, it allows retries for half
+/// of its tokens and then none: retries stay under `tokensPerSuccess` per success, plus a constant.
 class RetryBudget {
 public:
     explicit RetryBudget(const RetryPolicyConfig& config) : config_(config), tokens_(config.maxTokens) {}
@@ -52,22 +55,22 @@
     double tokens_;
 };
 
-// How an attempt ended, as far as repeating goes.
+/// What is known about the execution of a failed attempt.
 enum class ExecutionState {
-    NotStarted,  // it is known that it never ran
-    Unknown,     // it may have run
-    Executed,    // it ran, and its effect is there
+    NotStarted,  ///< It certainly never ran.
+    Unknown,     ///< It may have run.
+    Executed,    ///< It ran and had its effect.
 };
 
 struct FailedAttempt {
     Idempotency idempotency = Idempotency::Idempotent;
     ExecutionState execution = ExecutionState::Unknown;
-    int attempts = 1;                    // so far, this one included
-    Duration previousDelay{0};           // before this attempt; 0 for the first
-    std::optional<Duration> retryAfter;  // asked of us
-    bool noRetryElsewhere = false;       // asked to try no other server
-    Duration deadline{0};                // nobody waits for it past this
-    Duration minAttemptTime{0};          // an attempt with less time than this is not worth beginning
+    int attempts = 1;                    ///< Of the request so far, this one included.
+    Duration previousDelay{0};           ///< Before this attempt; 0 for the first.
+    std::optional<Duration> retryAfter;  ///< As the server asked for.
+    bool noRetryElsewhere = false;       ///< The server asked not to retry on another server.
+    Duration deadline{0};                ///< When the client stops waiting.
+    Duration minAttemptTime{0};          ///< An attempt with less time than this is not worth starting.
 };
 
 enum class RetryDecisionReason {
@@ -78,18 +81,22 @@
     DeadlineTooClose,
     RetryForbidden
 };
+
+/// @return the name under which the reason appears in logs and results.
 const char* nameOf(RetryDecisionReason reason);
 
 struct RetryDecision {
     RetryDecisionReason reason = RetryDecisionReason::Retry;
-    Duration retryAt{0};  // when to begin, where why is Again
+    Duration retryAt{0};  ///< When to start the next attempt, if the reason is Retry.
 };
 
-// The failure must have been booked with the budget before.
+/// The failure must have been recorded in the budget before.
 RetryDecision decideRetry(const RetryPolicyConfig& config, const RetryBudget& budget,
                           const FailedAttempt& attempt, Duration now, std::mt19937& random);
 
-// The wait before attempt number `attempts` + 1.
+/// @param attempts made so far.
+/// @param previousDelay before the last attempt; used by Jitter::Decorrelated only.
+/// @return the delay before the next attempt.
 Duration retryDelay(const RetryPolicyConfig& config, int attempts, Duration previousDelay,
                     std::mt19937& random);
 
--- a/src/routing/route_table.cpp
+++ b/src/routing/route_table.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-// "/a/b" has the segments a and b, "/a/" has a and an empty one, "/" has one empty one.
+// "/a/b" has the segments "a" and "b", "/a/" has "a" and an empty one, "/" has one empty segment. Returns
+// false for a path that does not begin with a slash or has too many segments.
 bool splitSegments(std::string_view path, std::vector<std::string_view>& to) {
     to.clear();
     if (path.empty() || path.front() != '/') return false;
@@ -45,9 +46,9 @@
 
 struct RouteTable::Node {
     std::unordered_map<std::string, std::unique_ptr<Node>, Hash, std::equal_to<>> literalChildren;
-    std::unique_ptr<Node> parameterChild;  // one segment, whatever it is
+    std::unique_ptr<Node> parameterChild;  // matches any one segment
     std::vector<std::unique_ptr<Route>> exactRoutes,
-        prefixRoutes;  // that end here; that take whatever follows
+        prefixRoutes;  // end at this node; match any remainder
 };
 
 RouteTable::RouteTable() : root_(std::make_unique<Node>()) {}
@@ -61,7 +62,7 @@
     if (!splitSegments(path, segments))
         return "at most " + std::to_string(kMaxSegments) + " segments were expected";
     for (std::size_t index = 0; index < segments.size(); ++index) {
-        if (segments[index] == ":") return "a name was expected behind ':'";
+        if (segments[index] == ":") return "a name was expected after ':'";
         if (segments[index].find('*') != std::string_view::npos &&
             (segments[index] != "*" || index + 1 != segments.size()))
             return "'*' was expected only as the last segment, '/*'";
@@ -83,7 +84,7 @@
         node = next.get();
     }
     auto& list = below ? node->prefixRoutes : node->exactRoutes;
-    // Those with more conditions first; among equals the earlier.
+    // Routes with more conditions come first, among equals the one added earlier.
     auto position = list.begin();
     for (; position != list.end() && conditionCount(**position) >= conditionCount(route); ++position)
         if ((*position)->methods == route.methods && (*position)->headers == route.headers)
@@ -102,8 +103,8 @@
             if (matchesConditions(*route, method, header)) return route.get();
         return nullptr;
     };
-    // Depth first, the word before any one before whatever follows. Each step back is bounded by the depth,
-    // and a node is reached by one way only, so no path is tried twice.
+    // Depth first: the literal segment, then the parameter, then the prefix routes. Backtracking is bounded
+    // by the depth, and each node has one parent, so that no path through the trie is searched twice.
     const Route* found = nullptr;
     const auto search = [&](const auto& self, const Node& node, std::size_t index) -> bool {
         if (index == segments.size()) {
@@ -130,7 +131,7 @@
                                              std::string_view method, const HeaderLookup& header) {
     std::vector<std::string_view> segments, pattern;
     if (!splitSegments(path, segments)) return std::nullopt;
-    // How good a match is, segment by segment: 3 a word, 2 any one, 1 whatever follows; then its conditions.
+    // Precedence by segment (3: literal, 2: parameter, 1: "/*"), then by the number of conditions.
     std::optional<std::pair<std::vector<int>, std::size_t>> best;
     const Route* found = nullptr;
     for (const Route& route : routes) {
@@ -149,7 +150,7 @@
         }
         const bool isPrefix = pattern.back() == "*";
         if (!matches || (!isPrefix && pattern.size() != segments.size())) continue;
-        // One that ends where the path does comes before one that takes the nothing that follows.
+        // A route that ends with the path has precedence over one whose "/*" matches an empty remainder.
         if (!isPrefix) rank.push_back(4);
         std::pair<std::vector<int>, std::size_t> precedence{rank, conditionCount(route)};
         if (!best || precedence > *best) best = precedence, found = &route;
--- a/src/routing/route_table.h
+++ b/src/routing/route_table.h
@@ -1,10 +1,12 @@
-// Which route a request takes: by path, method and headers; the longest match wins. Pure. A trie by segments
-// of the path: the cost of a look-up grows with the path, not with the number of routes.
-//
-// A pattern is segments behind slashes: a word matches itself, `:name` any one segment, and `/*` at the end
-// whatever follows (also nothing). Before others comes, segment by segment from the left, the word, then
-// `:name`, then `/*`; of routes with the same pattern the one with more conditions (method, headers), then
-// the one that was added first.
+/// @file
+/// Finds the route of a request by path, method and headers; the longest match wins. Pure. The table is a
+/// trie over the segments of the path: the cost of a lookup grows with the path, not with the number of
+/// routes.
+///
+/// A pattern is a sequence of segments, each after a slash: a literal matches itself, `:name` any one
+/// segment, and `/*` at the end any remainder, also an empty one. Precedence, segment by segment from the
+/// left: the literal, then `:name`, then `/*`; of routes with the same pattern the one with more conditions
+/// (method, headers), then the one that was added first.
 #pragma once
 
 #include <cstdint>
@@ -19,19 +21,19 @@
 namespace cottonwing::routing {
 
 struct Route {
-    std::string path;                                          // the pattern, beginning with a slash
-    std::vector<std::string> methods;                          // any where it is empty
-    std::vector<std::pair<std::string, std::string>> headers;  // each there with that value
-    std::uint64_t target = 0;                                  // the owner's own
+    std::string path;                                          ///< The pattern; begins with a slash.
+    std::vector<std::string> methods;                          ///< Empty: any method.
+    std::vector<std::pair<std::string, std::string>> headers;  ///< All required, each with this value.
+    std::uint64_t target = 0;                                  ///< Meaning defined by the caller.
 };
 
-// What a header's value is; nothing where the request has none of that name.
+/// Returns the value of a header; no value if the request has no header of that name.
 using HeaderLookup = std::function<std::optional<std::string_view>(std::string_view)>;
 
 struct RouteMatch {
     const Route* route = nullptr;
-    std::vector<std::pair<std::string_view, std::string_view>>
-        parameters;  // of `:name` segments; views of pattern and path
+    /// Names and values of the `:name` segments; views into the pattern and the path.
+    std::vector<std::pair<std::string_view, std::string_view>> parameters;
 };
 
 class RouteTable {
@@ -41,16 +43,19 @@
     RouteTable(RouteTable&&) noexcept;
     RouteTable& operator=(RouteTable&&) noexcept;
 
-    // What is wrong with a pattern; nothing where all is well.
+    /// @return what is wrong with a pattern; no value if it is valid.
     static std::optional<std::string> patternError(std::string_view path);
-    // Throws std::invalid_argument with that. One with the same path, methods and headers as an earlier one
-    // could never be taken: it is returned, and the new one not added.
+
+    /// Adds a route, unless an earlier one with the same path, methods and headers would always match first.
+    /// @return that earlier route, or nullptr if the route was added.
+    /// @throws std::invalid_argument with the pattern error.
     const Route* add(Route route);
+
     std::optional<RouteMatch> find(std::string_view path, std::string_view method,
                                    const HeaderLookup& header) const;
     std::size_t size() const { return size_; }
 
-    static constexpr std::size_t kMaxSegments = 64;  // of a path; a longer one is matched by no route
+    static constexpr std::size_t kMaxSegments = 64;  ///< Of a path; a longer one matches no route.
 
 private:
     struct Node;
@@ -58,7 +63,7 @@
     std::size_t size_ = 0;
 };
 
-// The same by looking at each route in turn: what the trie is held against, in tests and benchmarks.
+/// Finds the same route by examining each route in turn: the reference for tests and benchmarks.
 std::optional<RouteMatch> findByLinearSearch(const std::vector<Route>& routes, std::string_view path,
                                              std::string_view method, const HeaderLookup& header);
 
--- a/src/scgi/upstream_groups.cpp
+++ b/src/scgi/upstream_groups.cpp
@@ -10,13 +10,13 @@
 
 namespace {
 
-constexpr Duration kMaxTimerDelay = 20ms;  // due times are looked at at least this often
-constexpr Duration kMinAttemptTime = 5ms;  // less time than this is not worth an attempt
-constexpr Duration kReplyMargin = 20ms;    // given up this long before nobody waits any more
+constexpr Duration kMaxTimerDelay = 20ms;  // scheduled times are checked at least this often
+constexpr Duration kMinAttemptTime = 5ms;  // an attempt with less time than this is not worth starting
+constexpr Duration kReplyMargin = 20ms;    // runs time out this long before the client stops waiting
 
 Duration currentTime() { return net::unixNow(); }
 
-// What only says that this server can't do it now; another may.
+// Whether the status only says that this server cannot handle the request now; another server may.
 bool isUnavailableStatus(int status) { return status == 502 || status == 503 || status == 504; }
 
 }  // namespace
@@ -41,7 +41,7 @@
     void ended(net::Connection&, net::ConnectionEnd end) override { groups.onConnectionEnded(*this, end); }
     UpstreamGroups& groups;
     const std::size_t group, endpoint;
-    const RequestId runId;  // 0: a check
+    const RequestId runId;  ///< 0: a health check.
     std::unique_ptr<net::Connection> transport;
     scgi::ReplyReader reader;
     Duration startedAt{0};
@@ -107,8 +107,7 @@
             if (endpoint.removed || endpoint.draining) continue;
             const auto newConfig = findConfig(endpoint.config.address);
             if (newConfig == config.endpoints.end()) {
-                // It gets nothing new; its place is free for another once nothing of it
-                // is in flight.
+                // It gets no new requests; its slot becomes free once nothing is in flight on it.
                 endpoint.draining = true;
                 group.balancer.remove(index);
                 ++removed;
@@ -212,8 +211,7 @@
     ++group.endpoints[*chosen].inFlight;
     group.balancer.requestStarted(*chosen);
     group.outliers.requestStarted(*chosen, now);
-    // With attempts left and what may be repeated an attempt gets half of what is
-    // left, so that another can follow.
+    // An attempt that may be retried gets half of the remaining time, so that another attempt can follow.
     const bool mayRetry =
         run.attempts < group.config.retryPolicy.maxAttempts &&
         requestClasses_[static_cast<std::size_t>(run.requestClass)].idempotency == Idempotency::Idempotent;
@@ -251,10 +249,10 @@
     if (wasActive == isActive || group.endpoints[index].removed) return;
     const net::Address& address = group.endpoints[index].config.address;
     log_.info("group", group.config.name + ": " + address.host + ":" + std::to_string(address.port) +
-                           (isActive ? " is used again" : " is left out") + ", " +
+                           (isActive ? " restored" : " ejected") + ", " +
                            std::to_string(group.outliers.ejectedCount()) + " of " +
-                           std::to_string(group.outliers.size()) + " out" +
-                           (group.outliers.inPanicMode() ? ", too many: all are used" : ""));
+                           std::to_string(group.outliers.size()) + " ejected" +
+                           (group.outliers.inPanicMode() ? ", panic mode: all are used" : ""));
     if (isActive) group.endpoints[index].limit.restart();
 }
 
@@ -279,8 +277,8 @@
         group.outliers.recordFailure(endpointIndex, now, random_);
         group.endpoints[endpointIndex].limit.recordFailure(now);
         onStateChange(group, endpointIndex, before, now);
-        // A reply came, so it ran: only what may run again is tried again.
-        return attemptFailed(id, ExecutionState::Unknown, now, "a reply that can't be read");
+        // A reply came, so the request may have run: it is retried only if it is idempotent.
+        return attemptFailed(id, ExecutionState::Unknown, now, "malformed reply");
     }
     Run& run = runs_.at(id);
     const scgi::Reply reply = connection.reader.reply();
@@ -297,7 +295,7 @@
         ++counters_.errorReplies;
         group.endpoints[endpointIndex].limit.recordFailure(now);
         run.errorReply = run.format == request::PayloadFormat::Scgi ? replyBytes : reply.body;
-        return attemptFailed(id, ExecutionState::Unknown, now, "the server said that it can't");
+        return attemptFailed(id, ExecutionState::Unknown, now, "server replied with status 502, 503 or 504");
     }
     group.retryBudget.recordSuccess();
     const bool succeeded = run.format == request::PayloadFormat::Scgi || reply.status < 400;
@@ -327,7 +325,7 @@
     group.endpoints[endpointIndex].limit.recordFailure(now);
     onStateChange(group, endpointIndex, before, now);
     attemptFailed(id, connectFailed ? ExecutionState::NotStarted : ExecutionState::Unknown, now,
-                  connectFailed ? "no connection" : "the connection broke");
+                  connectFailed ? "connect failed" : "connection lost");
 }
 
 void UpstreamGroups::attemptFailed(RequestId id, ExecutionState execution, Duration now, const char* cause) {
@@ -348,10 +346,9 @@
         run.previousDelay = decision.retryAt - now;
         return schedule(id, run, decision.retryAt);
     }
-    log_.debug("group",
-               run.externalId + " not tried again (" + routing::nameOf(decision.reason) + "): " + cause);
-    // What a server said of its failure is said on as it is; a client of another
-    // protocol gets the failure alone.
+    log_.debug("group", run.externalId + " not retried (" + routing::nameOf(decision.reason) + "): " + cause);
+    // An SCGI client gets the server's own error reply unchanged; a client of another protocol gets only the
+    // failure.
     if (!run.errorReply.empty() && run.format == request::PayloadFormat::Scgi)
         return completeRun(id, Outcome::Ok, run.errorReply);
     completeRun(id, Outcome::Error, {});
@@ -369,13 +366,12 @@
 void UpstreamGroups::cancel(const std::string& externalId) {
     const auto id = request::parseRequestId(externalId);
     if (!id || !runs_.contains(*id)) return;
-    cancelled_.push_back(*id);  // not from within the backend's own turn
+    cancelled_.push_back(*id);  // completed later, as the request manager is the caller here
     timer_.start(0ns);
 }
 
 void UpstreamGroups::dispatchQueued(Group& group, Duration now) {
-    // Each of those that wait is looked at once; one that still finds nobody is
-    // behind the others again.
+    // Each queued run is tried at most once.
     for (std::size_t remaining = group.queue.size(); remaining > 0; --remaining) {
         const RequestId id = group.queue.front();
         Run& run = runs_.at(id);
@@ -384,8 +380,7 @@
         beginAttempt(id, now);
         const auto found = runs_.find(id);
         if (found == runs_.end() || !found->second.queued) continue;
-        // Nobody may be used: it stays in front, and those behind it need not be
-        // looked at.
+        // No endpoint is usable: the run stays at the front, and the runs behind it need not be tried.
         group.queue.pop_back();
         group.queue.push_front(id);
         return;
@@ -398,7 +393,7 @@
     for (const RequestId id : std::exchange(cancelled_, {})) {
         const auto found = runs_.find(id);
         if (found == runs_.end()) continue;
-        // The client has gone: so does its connection, which tells the server.
+        // The client is gone. Closing the connection tells the server.
         if (found->second.connection != nullptr)
             releaseConnection(*found->second.connection, std::nullopt, now);
         completeRun(id, Outcome::Cancelled, {});
@@ -431,7 +426,7 @@
             group.endpoints[endpointIndex].limit.recordFailure(now);
             onStateChange(group, endpointIndex, before, now);
             attemptFailed(id, isOpen ? ExecutionState::Unknown : ExecutionState::NotStarted, now,
-                          isOpen ? "no answer in time" : "no connection in time");
+                          isOpen ? "no reply within the attempt timeout" : "connect timed out");
         }
     }
     runHealthChecks(now);
@@ -451,7 +446,7 @@
         for (std::size_t endpointIndex = 0; endpointIndex < group.endpoints.size(); ++endpointIndex) {
             Endpoint& endpoint = group.endpoints[endpointIndex];
             if (endpoint.removed || endpoint.draining) continue;
-            if (endpoint.healthCheck != nullptr) {  // the one before has had no answer
+            if (endpoint.healthCheck != nullptr) {  // the previous health check is still unanswered
                 onConnectionEnded(*endpoint.healthCheck, net::ConnectionEnd::TimedOut);
                 continue;
             }
--- a/tests/routing/routing_test.cpp
+++ b/tests/routing/routing_test.cpp
@@ -1,4 +1,4 @@
-// The decisions on attempts, on who is used and on which one: properties over random histories.
+// Retry decisions, outlier detection and load balancing: examples, and properties over random histories.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 #include <rapidcheck/gtest.h>
@@ -16,7 +16,7 @@
 
 int upTo(int most) { return *rc::gen::resize(1000, rc::gen::inRange(0, most + 1)); }
 
-// ---- attempts -------------------------------------------------------------------------------------------
+// ---- retries --------------------------------------------------------------------------------------------
 
 TEST(Attempts, OnceOnlyIsRepeatedOnlyWhenKnownNotToHaveBegun) {
     std::mt19937 random(1);
@@ -80,8 +80,9 @@
     }
 }
 
-// No storm: whatever part of the attempts fails, repeats stay under half of the tokens, plus one for each
-// ten that went well: under a fifth of first tries with all servers failing, at any size of the group.
+// Guards against retry storms: whatever fraction of the attempts fails, retries stay under half of the tokens
+// plus one per ten successes. With all servers failing that is under a fifth of the first attempts, at any
+// size of the group.
 RC_GTEST_PROP(Attempts, RepeatsAreBoundedByWhatGoesWell, ()) {
     std::mt19937 random(static_cast<unsigned>(upTo(1000000)));
     RetryPolicyConfig config;
@@ -106,7 +107,7 @@
     RC_ASSERT(retries <= 5 + good / 10 + 1);
 }
 
-// ---- members --------------------------------------------------------------------------------------------
+// ---- outlier detection ----------------------------------------------------------------------------------
 
 TEST(MembersOut, FiveInARowGoOutAndThreeProbesBringBack) {
     std::mt19937 random(1);
@@ -117,12 +118,12 @@
     detector.recordFailure(2, 1s, random);
     EXPECT_FALSE(detector.isUsable(2, 1s));
     EXPECT_EQ(detector.state(2, 1s), OutlierDetector::State::Ejected);
-    detector.recordSuccess(2, 1500ms);  // was sent before it went out: no sign of a return
+    detector.recordSuccess(2, 1500ms);  // sent before the ejection: does not show a recovery
     EXPECT_EQ(detector.state(2, 3s), OutlierDetector::State::Probing);
     for (int probe = 0; probe < 3; ++probe) {
         ASSERT_TRUE(detector.isUsable(2, 3s));
         detector.requestStarted(2, 3s);
-        EXPECT_FALSE(detector.isUsable(2, 3s)) << "a second probe beside the first";
+        EXPECT_FALSE(detector.isUsable(2, 3s)) << "a second probe while the first is in flight";
         detector.recordSuccess(2, 3s);
     }
     EXPECT_EQ(detector.state(2, 3s), OutlierDetector::State::Active);
@@ -150,8 +151,9 @@
     EXPECT_EQ(detector.state(1, 11s), OutlierDetector::State::Active);
 }
 
-// No flapping: a member that is well and bad in turn changes its state ever more seldom, whatever the order
-// of what is seen; what is kept for it adds up; usable never leaves a group without anybody.
+// Guards against flapping: an endpoint that is healthy and failing in turn changes its state ever more
+// rarely, whatever the order of results. The count of ejected endpoints matches their states, and in panic
+// mode every endpoint is usable.
 RC_GTEST_PROP(MembersOut, ChangesAMinuteAreBounded, ()) {
     std::mt19937 random(static_cast<unsigned>(upTo(1000000)));
     OutlierDetectionConfig config;
@@ -183,11 +185,12 @@
         RC_ASSERT(ejected == detector.ejectedCount());
         if (detector.inPanicMode()) RC_ASSERT(usable == static_cast<std::size_t>(count));
     }
-    // A minute: out for 1, 2, 4, 8, 16 s and 30 s, two changes each; added ones begin anew.
+    // One minute holds ejections of 1, 2, 4, 8, 16 and 30 s, two transitions each; an endpoint added anew
+    // begins again at 1 s.
     RC_ASSERT(detector.transitionCount() <= static_cast<std::uint64_t>(2 * 7 * count + 2 * 3000 / 200 * 4));
 }
 
-// ---- choice ---------------------------------------------------------------------------------------------
+// ---- load balancing -------------------------------------------------------------------------------------
 
 const auto kAll = [](LoadBalancer::Index) { return true; };
 
@@ -206,10 +209,10 @@
     for (LoadBalancer::Index index = 0; index < 10; ++index) balancer.add(index);
     const auto assigned = *balancer.choose(77, std::nullopt, kAll, random);
     EXPECT_EQ(*balancer.choose(77, std::nullopt, kAll, random), assigned);
-    // With all load on one subject no server carries more than a quarter above the mean, but for rounding up.
+    // With all load on one key no endpoint has more than a quarter above the mean, apart from rounding up.
     for (int n = 0; n < 100; ++n) balancer.requestStarted(*balancer.choose(77, std::nullopt, kAll, random));
     for (LoadBalancer::Index index = 0; index < 10; ++index) EXPECT_LE(balancer.inFlight(index), 13);
-    // One that leaves moves only its own subjects.
+    // The removal of an endpoint moves only its own keys.
     LoadBalancer idleBalancer(LoadBalancingPolicy::ConsistentHash);
     for (LoadBalancer::Index index = 0; index < 10; ++index) idleBalancer.add(index);
     std::map<std::uint64_t, LoadBalancer::Index> previous;
@@ -234,10 +237,11 @@
         balancer.requestEnded(index, index == 3 ? 500ms : 50ms, n * 5ms);
     }
     EXPECT_LT(slow, 2000 / 10 / 4);
-    EXPECT_GT(slow, 0) << "it has to be seen when it is well again";
+    EXPECT_GT(slow, 0) << "it must get some requests, or its recovery goes unnoticed";
 }
 
-// One that fails at once looks idle and quick: failures tell nothing of how quick a server is.
+// Guards against a server that attracts load by failing at once: it has nothing in flight, and its failures
+// would look like low latency if they were counted.
 TEST(WhichOne, FailuresAreNotTakenForQuickAnswers) {
     std::mt19937 random(1);
     LoadBalancer balancer(LoadBalancingPolicy::LowestLatency);
@@ -251,9 +255,9 @@
     EXPECT_EQ(*balancer.choose(0, std::nullopt, kAll, random), 1U);
 }
 
-// Whatever way, whatever leaves and comes: what is chosen is there and may be used, the one to avoid is taken
-// only where no other is left, nothing only where nobody may be used, and the invariant checker of what flies
-// add up.
+// For every policy and any sequence of additions and removals: the chosen endpoint is present and usable, the
+// one to avoid is chosen only if no other is usable, none only if no endpoint is usable, and the numbers of
+// requests in flight match.
 RC_GTEST_PROP(WhichOne, ChoosesWhatMayBeUsed, ()) {
     std::mt19937 random(static_cast<unsigned>(upTo(1000000)));
     LoadBalancer balancer(static_cast<LoadBalancingPolicy>(upTo(4)));
--- a/tests/scgi/scgi_test.cpp
+++ b/tests/scgi/scgi_test.cpp
@@ -470,7 +470,7 @@
     GatewayFixture fixture({{0ns, 1000, ScgiFault::Breaks}, {}, {}}, "",
                            "leave-out for=100ms\nchoose round-robin");
     for (int n = 0; n < 40; ++n) fixture.exchange("/board/" + std::to_string(n));
-    EXPECT_NE(fixture.logLines.str().find("is left out, 1 of 3 out"), std::string::npos);
+    EXPECT_NE(fixture.logLines.str().find("ejected, 1 of 3 ejected"), std::string::npos);
     fixture.servers[0]->set({});
     runUntil(fixture.loop, [&] {
         fixture.exchange("/board/1");
