--- a/tests/routing/routing_test.cpp
+++ b/tests/routing/routing_test.cpp
@@ -18,7 +18,7 @@
 
 // ---- retries --------------------------------------------------------------------------------------------
 
-TEST(Attempts, OnceOnlyIsRepeatedOnlyWhenKnownNotToHaveBegun) {
+TEST(RetryDecision, NonIdempotentIsRetriedOnlyIfKnownNotToHaveStarted) {
     std::mt19937 random(1);
     RetryPolicyConfig config;
     RetryBudget budget(config);
@@ -38,7 +38,7 @@
     }
 }
 
-TEST(Attempts, EachBoundEndsThemByItsName) {
+TEST(RetryDecision, EachLimitGivesItsOwnReason) {
     std::mt19937 random(1);
     RetryPolicyConfig config;
     RetryBudget budget(config);
@@ -63,7 +63,7 @@
     EXPECT_EQ(decideRetry(config, budget, attempt, 0s, random).reason, RetryDecisionReason::Retry);
 }
 
-RC_GTEST_PROP(Attempts, WaitsKeepTheirBounds, ()) {
+RC_GTEST_PROP(RetryDecision, DelaysStayWithinTheirBounds, ()) {
     std::mt19937 random(static_cast<unsigned>(upTo(1000000)));
     RetryPolicyConfig config;
     config.backoffGrowth = static_cast<BackoffGrowth>(upTo(1));
@@ -83,7 +83,7 @@
 // Guards against retry storms: whatever fraction of the attempts fails, retries stay under half of the tokens
 // plus one per ten successes. With all servers failing that is under a fifth of the first attempts, at any
 // size of the group.
-RC_GTEST_PROP(Attempts, RepeatsAreBoundedByWhatGoesWell, ()) {
+RC_GTEST_PROP(RetryDecision, RetriesAreBoundedBySuccesses, ()) {
     std::mt19937 random(static_cast<unsigned>(upTo(1000000)));
     RetryPolicyConfig config;
     RetryBudget budget(config);
@@ -109,7 +109,7 @@
 
 // ---- outlier detection ----------------------------------------------------------------------------------
 
-TEST(MembersOut, FiveInARowGoOutAndThreeProbesBringBack) {
+TEST(OutlierDetection, FiveConsecutiveFailuresEjectAndThreeProbesRestore) {
     std::mt19937 random(1);
     OutlierDetector detector{OutlierDetectionConfig{}};
     for (int n = 0; n < 4; ++n) detector.add();
@@ -129,7 +129,7 @@
     EXPECT_EQ(detector.state(2, 3s), OutlierDetector::State::Active);
 }
 
-TEST(MembersOut, AGroupThatIsMostlyOutIsUsedWhole) {
+TEST(OutlierDetection, AGroupThatIsMostlyEjectedIsUsedCompletely) {
     std::mt19937 random(1);
     OutlierDetector detector{OutlierDetectionConfig{}};
     for (int n = 0; n < 4; ++n) detector.add();
@@ -139,7 +139,7 @@
     for (OutlierDetector::Index index = 0; index < 4; ++index) EXPECT_TRUE(detector.isUsable(index, 1s));
 }
 
-TEST(MembersOut, ChecksAloneTakeOutAndBringBack) {
+TEST(OutlierDetection, HealthChecksAloneEjectAndRestore) {
     std::mt19937 random(1);
     OutlierDetector detector{OutlierDetectionConfig{}};
     for (int n = 0; n < 4; ++n) detector.add();
@@ -154,7 +154,7 @@
 // Guards against flapping: an endpoint that is healthy and failing in turn changes its state ever more
 // rarely, whatever the order of results. The count of ejected endpoints matches their states, and in panic
 // mode every endpoint is usable.
-RC_GTEST_PROP(MembersOut, ChangesAMinuteAreBounded, ()) {
+RC_GTEST_PROP(OutlierDetection, TransitionsPerMinuteAreBounded, ()) {
     std::mt19937 random(static_cast<unsigned>(upTo(1000000)));
     OutlierDetectionConfig config;
     OutlierDetector detector(config);
@@ -194,7 +194,7 @@
 
 const auto kAll = [](LoadBalancer::Index) { return true; };
 
-TEST(WhichOne, RoundRobinTakesEachInTurn) {
+TEST(LoadBalancing, RoundRobinChoosesEachInTurn) {
     std::mt19937 random(1);
     LoadBalancer balancer(LoadBalancingPolicy::RoundRobin);
     for (LoadBalancer::Index index = 0; index < 3; ++index) balancer.add(index);
@@ -203,7 +203,7 @@
     for (const auto& [index, count] : timesChosen) EXPECT_EQ(count, 10) << index;
 }
 
-TEST(WhichOne, OneSubjectStaysWithOneServerWhileItBearsIt) {
+TEST(LoadBalancing, ConsistentHashKeepsAKeyOnItsEndpointUpToTheLoadBound) {
     std::mt19937 random(1);
     LoadBalancer balancer(LoadBalancingPolicy::ConsistentHash);
     for (LoadBalancer::Index index = 0; index < 10; ++index) balancer.add(index);
@@ -225,7 +225,7 @@
         }
 }
 
-TEST(WhichOne, TwoChoicesLeaveASlowServerMostlyAlone) {
+TEST(LoadBalancing, PowerOfTwoChoicesMostlyAvoidsASlowEndpoint) {
     std::mt19937 random(1);
     LoadBalancer balancer(LoadBalancingPolicy::PowerOfTwoChoices);
     for (LoadBalancer::Index index = 0; index < 10; ++index) balancer.add(index);
@@ -242,7 +242,7 @@
 
 // Guards against a server that attracts load by failing at once: it has nothing in flight, and its failures
 // would look like low latency if they were counted.
-TEST(WhichOne, FailuresAreNotTakenForQuickAnswers) {
+TEST(LoadBalancing, FailuresAreNotCountedAsLowLatency) {
     std::mt19937 random(1);
     LoadBalancer balancer(LoadBalancingPolicy::LowestLatency);
     balancer.add(0);
@@ -258,7 +258,7 @@
 // For every policy and any sequence of additions and removals: the chosen endpoint is present and usable, the
 // one to avoid is chosen only if no other is usable, none only if no endpoint is usable, and the numbers of
 // requests in flight match.
-RC_GTEST_PROP(WhichOne, ChoosesWhatMayBeUsed, ()) {
+RC_GTEST_PROP(LoadBalancing, ChoosesOnlyUsableEndpoints, ()) {
     std::mt19937 random(static_cast<unsigned>(upTo(1000000)));
     LoadBalancer balancer(static_cast<LoadBalancingPolicy>(upTo(4)));
     std::map<LoadBalancer::Index, int> inFlightByIndex;
