--- a/src/scgi/upstream_groups.cpp
+++ b/src/scgi/upstream_groups.cpp
@@ -38,7 +38,9 @@
                 return groups.onReply(*this);
         }
     }
-    void ended(net::Connection&, net::ConnectionEnd end) override { groups.onConnectionEnded(*this, end); }
+    void ended(net::Connection& /*connection*/, net::ConnectionEnd end) override {
+        groups.onConnectionEnded(*this, end);
+    }
     UpstreamGroups& groups;
     const std::size_t group, endpoint;
     const RequestId runId;  ///< 0: a health check.
@@ -92,7 +94,8 @@
 
 std::pair<std::size_t, std::size_t> UpstreamGroups::updateEndpoints(
     const std::vector<UpstreamGroupConfig>& groups) {
-    std::size_t added = 0, removed = 0;
+    std::size_t added = 0;
+    std::size_t removed = 0;
     for (const UpstreamGroupConfig& config : groups) {
         const auto found = std::find_if(groups_.begin(), groups_.end(),
                                         [&](const auto& group) { return group->config.name == config.name; });
@@ -245,7 +248,8 @@
 
 void UpstreamGroups::onStateChange(Group& group, std::size_t index, State before, Duration now) {
     const State after = group.outliers.state(index, now);
-    const bool wasActive = before == State::Active, isActive = after == State::Active;
+    const bool wasActive = before == State::Active;
+    const bool isActive = after == State::Active;
     if (wasActive == isActive || group.endpoints[index].removed) return;
     const net::Address& address = group.endpoints[index].config.address;
     log_.info("group", group.config.name + ": " + address.host + ":" + std::to_string(address.port) +
@@ -354,6 +358,7 @@
     completeRun(id, Outcome::Error, {});
 }
 
+// NOLINTNEXTLINE(performance-unnecessary-value-param): it may be a member of the run, which is deleted here.
 void UpstreamGroups::completeRun(RequestId id, Outcome outcome, std::string result) {
     const auto found = runs_.find(id);
     Run run = std::move(found->second);
@@ -473,7 +478,7 @@
     for (const auto& group : groups_)
         for (const Endpoint& endpoint : group->endpoints)
             if (!endpoint.removed) totalLimit += endpoint.limit.limit();
-    const double runsInFlight = static_cast<double>(inFlight());
+    const auto runsInFlight = static_cast<double>(inFlight());
     requestManager_.updateGauges({totalLimit > 0 ? std::min(1.0, runsInFlight / totalLimit) : 0,
                                   runsInFlight + static_cast<double>(queued()), std::nullopt, std::nullopt});
 }
--- a/src/scgi/upstream_groups.h
+++ b/src/scgi/upstream_groups.h
@@ -70,8 +70,8 @@
     void start(const request::RunSpec& spec) override;
     void cancel(const std::string& externalId) override;
     // The servers of the groups make their dependency calls themselves.
-    void supplyReply(const std::string&, std::string_view) override {}
-    void skipDependencyCall(const std::string&) override {}
+    void supplyReply(const std::string& /*externalId*/, std::string_view /*reply*/) override {}
+    void skipDependencyCall(const std::string& /*externalId*/) override {}
     void requestGauges() override;
     void verifyWork(std::function<void(std::optional<bool>)> callback) override;
 
