--- a/src/overload/decision_sink.h
+++ b/src/overload/decision_sink.h
@@ -44,7 +44,7 @@
     /// Advertises the share of its usual traffic that this server can take, from 0 to 1.
     virtual void advertiseLoadShare(double share) = 0;
     /// Sets how long a client connection may stay unused before it is closed.
-    virtual void setIdleTimeout(Duration unusedFor) = 0;
+    virtual void setIdleTimeout(Duration idleTimeout) = 0;
     /// Requests the next control tick, which delivers the gauges.
     virtual void scheduleTick(Duration delay) = 0;
     /// Records an event for operators. @param message one line, in the form `event: key=value ...`.
--- a/src/request/decision_queue.cpp
+++ b/src/request/decision_queue.cpp
@@ -32,8 +32,8 @@
 
 void DecisionQueue::advertiseLoadShare(double share) { decisions_.emplace_back(AdvertiseLoadShare{share}); }
 
-void DecisionQueue::setIdleTimeout(Duration unusedFor) {
-    decisions_.emplace_back(CloseIdleConnections{unusedFor});
+void DecisionQueue::setIdleTimeout(Duration idleTimeout) {
+    decisions_.emplace_back(SetIdleTimeout{idleTimeout});
 }
 
 void DecisionQueue::scheduleTick(Duration delay) { decisions_.emplace_back(ScheduleTick{delay}); }
--- a/src/request/decision_queue.h
+++ b/src/request/decision_queue.h
@@ -61,8 +61,8 @@
 };
 
 /// Limits how long a client connection may stay unused.
-struct CloseIdleConnections {
-    Duration unusedFor;
+struct SetIdleTimeout {
+    Duration idleTimeout;
 };
 
 /// Requests the next control tick.
@@ -73,7 +73,7 @@
 /// One decision of the controller.
 using Decision =
     std::variant<StartRun, RejectRequest, FailRequest, CancelRun, CallDependency, SkipDependencyCall,
-                 JoinDuplicate, SetHealth, AdvertiseLoadShare, CloseIdleConnections, ScheduleTick>;
+                 JoinDuplicate, SetHealth, AdvertiseLoadShare, SetIdleTimeout, ScheduleTick>;
 
 /// Records each decision in the order in which it was made. Log messages of the controller are passed on at
 /// once.
@@ -101,7 +101,7 @@
     void joinDuplicate(RequestId id) override;
     void setHealth(bool healthy) override;
     void advertiseLoadShare(double share) override;
-    void setIdleTimeout(Duration unusedFor) override;
+    void setIdleTimeout(Duration idleTimeout) override;
     void scheduleTick(Duration delay) override;
     void log(std::string_view message) override;
 
--- a/src/request/request_manager.cpp
+++ b/src/request/request_manager.cpp
@@ -19,7 +19,7 @@
 constexpr Duration kLossWindow = 1s;
 // After a request has been over for this long the executor does not run it any more: asked to start it, it
 // reports that nothing ran. Also the interval between such inquiries.
-constexpr Duration kInquiryDelay = 1s;
+constexpr Duration kStartCheckDelay = 1s;
 // The greatest difference between the clocks of clients and servers that is tolerated. An idempotency key is
 // retained that much longer than its window and the longest wait of its client.
 constexpr Duration kClockTolerance = 2s;
@@ -40,7 +40,7 @@
       decisions_(log),
       keys_(maxKeyBytes) {}
 
-void RequestManager::connect(ResponseSink& sink, Executor& executor, DependencyClient& dependencyClient) {
+void RequestManager::attach(ResponseSink& sink, Executor& executor, DependencyClient& dependencyClient) {
     sinks_ = {&sink};
     executor_ = &executor;
     dependencyClient_ = &dependencyClient;
@@ -52,9 +52,9 @@
     counters_.add(Count::RequestsRead);
     const auto entry = track(incoming);
     const std::size_t bytes = kBodiesPerRequest * incoming.body.size() + kRequestOverheadBytes;
-    if (!hasCapacityFor(bytes)) return refuseForCapacity(entry, incoming);
+    if (!hasCapacityFor(bytes)) return rejectForCapacity(entry, incoming);
     if (!claimIdempotencyKey(entry, incoming)) return;
-    book(entry, std::move(incoming), bytes);
+    enqueueArrival(entry, std::move(incoming), bytes);
 }
 
 RequestManager::Table::iterator RequestManager::track(const IncomingRequest& incoming) {
@@ -66,12 +66,12 @@
 
 // Nothing can run before the executor is ready, or without memory for the request.
 bool RequestManager::hasCapacityFor(std::size_t bytes) const {
-    return controller_ && bookedBytes_ + bytes <= maxRequestBytes_;
+    return controller_ && reservedBytes_ + bytes <= maxRequestBytes_;
 }
 
 // A rejection tells the client that nothing ran and another server may be tried. Where another attempt holds
 // the idempotency key and may have run, the request fails instead.
-void RequestManager::refuseForCapacity(Table::iterator entry, const IncomingRequest& incoming) {
+void RequestManager::rejectForCapacity(Table::iterator entry, const IncomingRequest& incoming) {
     if (controller_) counters_.add(Count::RejectedForMemory);
     if (!incoming.idempotencyKey.empty() && keys_.holder(incoming.idempotencyKey) != 0)
         return answerFailed(entry);
@@ -95,7 +95,7 @@
     switch (claim) {
         case KeyClaim::Conflict:
             counters_.add(Count::KeyConflicts);
-            answerRefused(entry);
+            answerFailedByClient(entry);
             return false;
         case KeyClaim::NoCapacity:
             counters_.add(Count::RejectedForMemory);
@@ -114,11 +114,11 @@
     return true;
 }
 
-void RequestManager::book(Table::iterator entry, IncomingRequest incoming, std::size_t bytes) {
+void RequestManager::enqueueArrival(Table::iterator entry, IncomingRequest incoming, std::size_t bytes) {
     const Duration classTimeout = classOf(incoming.request.requestClass).timeout;
     TrackedRequest& request = entry->second;
-    request.bookedBytes = bytes;
-    bookedBytes_ += bytes;
+    request.reservedBytes = bytes;
+    reservedBytes_ += bytes;
     request.externalId = std::move(incoming.externalId);
     request.body = std::move(incoming.body);
     request.requestClass = incoming.request.requestClass;
@@ -135,7 +135,7 @@
     counters_.add(Count::ClientCancellations);
     --unansweredCount_;
     entry->second.client = ClientState::Cancelled;
-    entry->second.noLongerAwaitedAt = net::unixNow();
+    entry->second.startCheckDelayBeganAt = net::unixNow();
     abandonDependencyCall(entry);
     batch_.clientCancellations.push_back(id);
     hasEvents_ = true;
@@ -174,8 +174,8 @@
     addRunResult(id, outcome, elapsed);
     if (outcome == Outcome::Ok) runSucceededSinceCheck_ = true;
     if (request.idempotencyRole == IdempotencyRole::HoldsKey)
-        settleKey(entry, outcome, startUnconfirmed, result);
-    if (!request.isClientWaiting()) return eraseIfOver(entry);
+        recordKeyOutcome(entry, outcome, startUnconfirmed, result);
+    if (!request.isClientWaiting()) return eraseIfFinished(entry);
     if (outcome == Outcome::Ok) return answerCompleted(entry, result);
     answerFailed(entry);
 }
@@ -184,7 +184,7 @@
     const auto entry = findRunning(id);
     if (entry == table_.end()) return;
     // The entry stays after the answer, as its run has yet to end.
-    if (entry->second.isClientWaiting()) answerRefused(entry);
+    if (entry->second.isClientWaiting()) answerFailedByClient(entry);
     runCompleted(id, Outcome::Superseded, 0ns, {});
 }
 
@@ -200,7 +200,7 @@
         if (!request.isClientWaiting() && config_.runCancellation != RunCancellation::Unsupported)
             executor_->cancel(request.externalId);
         else
-            repeatLastInstruction(request, lostAt);
+            resendContinuation(request, lostAt);
     }
 }
 
@@ -221,7 +221,7 @@
 
 // An instruction from before the loss window has arrived: repeated, it might be taken for the answer to the
 // run's next dependency call.
-void RequestManager::repeatLastInstruction(const TrackedRequest& request, Timestamp lostAt) {
+void RequestManager::resendContinuation(const TrackedRequest& request, Timestamp lostAt) {
     const std::optional<RunContinuation>& last = request.continuation;
     if (!last || last->sentAt <= lostAt - kLossWindow) return;
     if (last->reply)
@@ -233,12 +233,13 @@
 // A request whose start may be lost would otherwise stay in the table for ever. Started again once it is
 // over, a run in progress is not disturbed, and where there is none the executor reports that nothing was
 // started.
-void RequestManager::inquireUnconfirmedStarts(Timestamp now) {
+void RequestManager::checkUnconfirmedStarts(Timestamp now) {
     if (unconfirmedStartCount_ == 0) return;
     for (auto& [id, request] : table_) {
         if (request.run != RunState::StartUnconfirmed || request.isClientWaiting()) continue;
-        if (now - request.noLongerAwaitedAt < kInquiryDelay) continue;
-        request.noLongerAwaitedAt = now;  // inquires again after the same delay, should this be lost as well
+        if (now - request.startCheckDelayBeganAt < kStartCheckDelay) continue;
+        request.startCheckDelayBeganAt =
+            now;  // inquires again after the same delay, should this be lost as well
         executor_->start(request.runSpec());
     }
 }
@@ -276,12 +277,12 @@
     const bool gaugesAreCurrent = now - gaugesUpdatedAt_ < kGaugesMaxAge;
     batch_.gauges = gaugesAreCurrent ? gauges_ : Gauges{};
     hasEvents_ = true;
-    inquireUnconfirmedStarts(now);
+    checkUnconfirmedStarts(now);
     executor_->requestGauges();
 }
 
 void RequestManager::processEvents() {
-    if (!controller_) return endedThisTurn_.clear();
+    if (!controller_) return endedThisIteration_.clear();
     if (!hasEvents_) return;
     counters_.add(Count::EventBatches);
     // The controller's time is the Unix clock, but never goes back or stands still.
@@ -289,7 +290,7 @@
     EventBatch batch = std::move(batch_);
     batch_ = EventBatch{};
     hasEvents_ = false;
-    endedThisTurn_.clear();
+    endedThisIteration_.clear();
     batch.now = lastDecisionAt_;
     controller_->decide(batch, decisions_);
     for (const Decision& decision : decisions_.decisions())
@@ -297,7 +298,7 @@
     decisions_.clear();
     for (const RequestId id : batch.clientCancellations) {
         const auto entry = table_.find(id);
-        if (entry != table_.end()) eraseIfOver(entry);
+        if (entry != table_.end()) eraseIfFinished(entry);
     }
 }
 
@@ -378,8 +379,8 @@
 
 void RequestManager::carryOut(const AdvertiseLoadShare& decision) { advertisedLoadShare_ = decision.share; }
 
-void RequestManager::carryOut(const CloseIdleConnections& decision) {
-    for (ResponseSink* const sink : sinks_) sink->setIdleTimeout(decision.unusedFor);
+void RequestManager::carryOut(const SetIdleTimeout& decision) {
+    for (ResponseSink* const sink : sinks_) sink->setIdleTimeout(decision.idleTimeout);
 }
 
 void RequestManager::carryOut(const ScheduleTick& decision) {
@@ -425,8 +426,8 @@
     recordAnswer(entry, Count::Failed);
 }
 
-void RequestManager::answerRefused(Table::iterator entry) {
-    entry->second.sink->refused(entry->first);
+void RequestManager::answerFailedByClient(Table::iterator entry) {
+    entry->second.sink->failedByClient(entry->first);
     recordAnswer(entry, Count::Failed);
 }
 
@@ -434,8 +435,8 @@
     counters_.add(kind);
     --unansweredCount_;
     entry->second.client = ClientState::Answered;
-    entry->second.noLongerAwaitedAt = net::unixNow();
-    eraseIfOver(entry);
+    entry->second.startCheckDelayBeganAt = net::unixNow();
+    eraseIfFinished(entry);
 }
 
 void RequestManager::abandonDependencyCall(Table::iterator entry) {
@@ -444,12 +445,12 @@
     entry->second.dependencyCall = CallProgress::NotInProgress;
 }
 
-void RequestManager::eraseIfOver(Table::iterator entry) {
-    if (!entry->second.isOver()) return;
-    bookedBytes_ -= entry->second.bookedBytes;
+void RequestManager::eraseIfFinished(Table::iterator entry) {
+    if (!entry->second.isFinished()) return;
+    reservedBytes_ -= entry->second.reservedBytes;
     const RequestId id = entry->first;
     const TrackedRequest request = std::move(entry->second);
-    endedThisTurn_.insert(id);
+    endedThisIteration_.insert(id);
     table_.erase(entry);
     if (request.idempotencyRole == IdempotencyRole::DuplicateWaiting) keys_.leave(request.idempotencyKey, id);
     // Without effect on a key whose run has ended: that key stays. Otherwise nothing ran, and the duplicates
@@ -462,8 +463,8 @@
 
 // Records what became of the run that holds the key, and answers the duplicates that waited for it. Only a
 // run that is known not to have been started releases the key; an unconfirmed start may have run before.
-void RequestManager::settleKey(Table::iterator entry, Outcome outcome, bool startUnconfirmed,
-                               std::string_view result) {
+void RequestManager::recordKeyOutcome(Table::iterator entry, Outcome outcome, bool startUnconfirmed,
+                                      std::string_view result) {
     const RequestId id = entry->first;
     const std::string& key = entry->second.idempotencyKey;
     if (outcome == Outcome::Superseded && !startUnconfirmed)
@@ -507,7 +508,7 @@
 
 // ---- Observation ----------------------------------------------------------------------------------------
 
-void RequestManager::checkWorkGetsDone(std::function<void(bool)> onChecked) {
+void RequestManager::checkEndToEndHealth(std::function<void(bool)> onChecked) {
     if (!healthy_) return onChecked(false);
     const bool runSucceeded = std::exchange(runSucceededSinceCheck_, false);
     if (runSucceeded) return onChecked(true);
--- a/src/request/request_manager.h
+++ b/src/request/request_manager.h
@@ -49,7 +49,7 @@
 
     /// Joins the parts; to be called once, before the first event. All must outlive the manager's use.
     /// @param sink receives the answers of requests that name no sink.
-    void connect(ResponseSink& sink, Executor& executor, DependencyClient& dependencyClient);
+    void attach(ResponseSink& sink, Executor& executor, DependencyClient& dependencyClient);
     /// Adds a protocol server beside the first one.
     void addResponseSink(ResponseSink& sink) { sinks_.push_back(&sink); }
     /// @param onChange receives the health each time the controller sets it.
@@ -59,7 +59,7 @@
 
     /// @return whether the id may not be used for another request yet. That includes a request that ended in
     /// this turn: the controller has yet to learn of its end, and would take the two requests for one.
-    bool contains(RequestId id) const { return table_.contains(id) || endedThisTurn_.contains(id); }
+    bool contains(RequestId id) const { return table_.contains(id) || endedThisIteration_.contains(id); }
     /// Accepts a request; the sink is answered exactly once, possibly from within the call.
     /// @param incoming its id must not be contained.
     void accept(IncomingRequest incoming);
@@ -113,7 +113,7 @@
     /// Checks that work gets done, beyond healthy(): a run that succeeded since the last such check proves
     /// it; otherwise the executor does a little work.
     /// @param onChecked receives the result, possibly from within the call.
-    void checkWorkGetsDone(std::function<void(bool)> onChecked);
+    void checkEndToEndHealth(std::function<void(bool)> onChecked);
     /// @return the share of its usual traffic that the server can take, from 0 to 1, once one was set.
     std::optional<double> advertisedLoadShare() const { return advertisedLoadShare_; }
     /// @return the number of requests whose clients wait.
@@ -127,9 +127,9 @@
     // Steps of accept().
     Table::iterator track(const IncomingRequest& incoming);
     bool hasCapacityFor(std::size_t bytes) const;
-    void refuseForCapacity(Table::iterator entry, const IncomingRequest& incoming);
+    void rejectForCapacity(Table::iterator entry, const IncomingRequest& incoming);
     bool claimIdempotencyKey(Table::iterator entry, IncomingRequest& incoming);
-    void book(Table::iterator entry, IncomingRequest incoming, std::size_t bytes);
+    void enqueueArrival(Table::iterator entry, IncomingRequest incoming, std::size_t bytes);
 
     // Decisions of the controller.
     void carryOut(const StartRun& decision);
@@ -141,7 +141,7 @@
     void carryOut(const JoinDuplicate& decision);
     void carryOut(const SetHealth& decision);
     void carryOut(const AdvertiseLoadShare& decision);
-    void carryOut(const CloseIdleConnections& decision);
+    void carryOut(const SetIdleTimeout& decision);
     void carryOut(const ScheduleTick& decision);
 
     const RequestClass& classOf(int index) const;
@@ -155,13 +155,14 @@
     void answerCompleted(Table::iterator entry, std::string_view result);
     void answerRejected(Table::iterator entry, const Pushback& pushback);
     void answerFailed(Table::iterator entry);
-    void answerRefused(Table::iterator entry);
+    void answerFailedByClient(Table::iterator entry);
     void recordAnswer(Table::iterator entry, telemetry::Count kind);
     void abandonDependencyCall(Table::iterator entry);
-    void eraseIfOver(Table::iterator entry);
+    void eraseIfFinished(Table::iterator entry);
 
     // Idempotency keys.
-    void settleKey(Table::iterator entry, Outcome outcome, bool startUnconfirmed, std::string_view result);
+    void recordKeyOutcome(Table::iterator entry, Outcome outcome, bool startUnconfirmed,
+                          std::string_view result);
     void resolveDuplicates(const std::vector<RequestId>& duplicates, state::KeyResult result);
     void resolveDuplicate(RequestId id, state::KeyResult result);
     void addRunResult(RequestId id, Outcome outcome, Duration elapsed);
@@ -169,8 +170,8 @@
     // Recovery of runs after the executor's connection was lost.
     bool mayRunTwice(const TrackedRequest& request) const;
     void restartOrMarkUnconfirmed(TrackedRequest& request, Timestamp lostAt);
-    void repeatLastInstruction(const TrackedRequest& request, Timestamp lostAt);
-    void inquireUnconfirmedStarts(Timestamp now);
+    void resendContinuation(const TrackedRequest& request, Timestamp lostAt);
+    void checkUnconfirmedStarts(Timestamp now);
 
     void controlTick();
 
@@ -196,11 +197,11 @@
     bool runSucceededSinceCheck_ = false;
     std::optional<double> advertisedLoadShare_;
     Table table_;  // entries leave with the answer or cancellation and the end of the run
-    std::unordered_set<RequestId> endedThisTurn_;  // emptied by the next processEvents()
+    std::unordered_set<RequestId> endedThisIteration_;  // emptied by the next processEvents()
     state::IdempotencyKeys keys_;
     std::size_t unconfirmedStartCount_ = 0;  // requests in RunState::StartUnconfirmed
     std::size_t unansweredCount_ = 0;
-    std::size_t bookedBytes_ = 0;  // by all requests of the table
+    std::size_t reservedBytes_ = 0;  // by all requests of the table
 };
 
 }  // namespace cottonwing::request
--- a/src/request/request_state.h
+++ b/src/request/request_state.h
@@ -70,7 +70,7 @@
     ClientState client = ClientState::Waiting;
     /// When the answer was given or the client cancelled; moved on with each inquiry after an unconfirmed
     /// start.
-    Timestamp noLongerAwaitedAt{0};
+    Timestamp startCheckDelayBeganAt{0};
 
     RunState run = RunState::NotStarted;
     Timestamp runStartedAt{0};
@@ -82,14 +82,14 @@
     std::string idempotencyKey;
     IdempotencyRole idempotencyRole = IdempotencyRole::None;
 
-    std::size_t bookedBytes = 0;  ///< Counted against the RequestManager's memory limit.
+    std::size_t reservedBytes = 0;  ///< Counted against the RequestManager's memory limit.
 
     bool isClientWaiting() const { return client == ClientState::Waiting; }
     /// Whether the executor has yet to report the end of the run; its start may be unconfirmed.
     bool isRunInProgress() const;
     bool isDependencyCallInProgress() const { return dependencyCall == CallProgress::InProgress; }
     /// Whether nothing is to be awaited: no answer is due and no run is in progress.
-    bool isOver() const { return !isClientWaiting() && !isRunInProgress(); }
+    bool isFinished() const { return !isClientWaiting() && !isRunInProgress(); }
 
     /// @return what the executor is to be started with; refers to this object.
     RunSpec runSpec() const;
--- a/src/request/response_sink.h
+++ b/src/request/response_sink.h
@@ -33,11 +33,11 @@
     /// idempotency key belongs to a request with another body. The protocol server may count this as a
     /// protocol error of the connection.
     /// @param id of the request.
-    virtual void refused(RequestId id) = 0;
+    virtual void failedByClient(RequestId id) = 0;
 
     /// Sets how long a client connection may stay unused before it is closed.
-    /// @param unusedFor the limit.
-    virtual void setIdleTimeout(Duration unusedFor) = 0;
+    /// @param idleTimeout the limit.
+    virtual void setIdleTimeout(Duration idleTimeout) = 0;
 };
 
 }  // namespace cottonwing::request
--- a/src/scgi/scgi_server.h
+++ b/src/scgi/scgi_server.h
@@ -55,7 +55,7 @@
     void completed(RequestId id, std::string_view result) override;
     void rejected(RequestId id, const Pushback& pushback) override;
     void failed(RequestId id) override;
-    void refused(RequestId id) override { failed(id); }
+    void failedByClient(RequestId id) override { failed(id); }
     void setIdleTimeout(Duration) override {}  // connections are never idle: each ends with its response
 
     /// Stops accepting connections. Requests that are still being read are read to their end, and the
--- a/src/serve/gateway.cpp
+++ b/src/serve/gateway.cpp
@@ -60,7 +60,7 @@
     }
     request::ResponseSink& firstSink =
         thriftServer_ ? static_cast<request::ResponseSink&>(*thriftServer_) : *scgiServer_;
-    requests_.connect(firstSink, upstreamGroups_, noDependencyCalls_);
+    requests_.attach(firstSink, upstreamGroups_, noDependencyCalls_);
     if (thriftServer_ && scgiServer_) requests_.addResponseSink(*scgiServer_);
     requests_.executorReady(false, 0ns);
     loop.onTurnEnd([this] { turnEnded(); });
--- a/src/server.cpp
+++ b/src/server.cpp
@@ -39,7 +39,7 @@
       registryClient_(loop, config.registry, config.name, log, counters),
       drainTimer_(loop, [this] { beginDraining(); }),
       stopTimer_(loop, [this] { stop(); }) {
-    requests_.connect(thriftServer_, workerPoolClient_, dependencyClient_);
+    requests_.attach(thriftServer_, workerPoolClient_, dependencyClient_);
     requests_.onHealthChange([this, deregister = config.deregisterWhenUnhealthy](bool healthy) {
         registryClient_.reportReady(!shuttingDown_ && (healthy || !deregister));
     });
--- a/src/simulator/decision_writer.cpp
+++ b/src/simulator/decision_writer.cpp
@@ -72,8 +72,8 @@
     write(wire::kAdvertiseLoadShare, std::string_view(text, static_cast<std::size_t>(end - text)));
 }
 
-void DecisionWriter::setIdleTimeout(Duration unusedFor) {
-    write(wire::kCloseIdleConnections, microseconds(unusedFor));
+void DecisionWriter::setIdleTimeout(Duration idleTimeout) {
+    write(wire::kCloseIdleConnections, microseconds(idleTimeout));
 }
 
 void DecisionWriter::scheduleTick(Duration wait) {
--- a/src/simulator/decision_writer.h
+++ b/src/simulator/decision_writer.h
@@ -27,7 +27,7 @@
     void joinDuplicate(RequestId id) override;
     void setHealth(bool good) override;
     void advertiseLoadShare(double value) override;
-    void setIdleTimeout(Duration unusedFor) override;
+    void setIdleTimeout(Duration idleTimeout) override;
     void scheduleTick(Duration wait) override;
     void log(std::string_view line) override;
 
--- a/src/thrift/thrift_server.cpp
+++ b/src/thrift/thrift_server.cpp
@@ -175,7 +175,7 @@
     if (message.oneway) return;  // no response is expected
     if (!message.deepHealthCheck) return answerHealthCheck(connection, message.sequence, requests_.healthy());
     // The connection may end before the check completes.
-    requests_.checkWorkGetsDone(
+    requests_.checkEndToEndHealth(
         [this, weak = connection.weak_from_this(), sequence = message.sequence](bool healthy) {
             if (const auto still = weak.lock()) answerHealthCheck(*still, sequence, healthy);
         });
@@ -212,7 +212,7 @@
     answer(id, [&](std::int32_t sequence) { return writeFailed(sequence, loadShareFields()); });
 }
 
-void ThriftServer::refused(RequestId id) {
+void ThriftServer::failedByClient(RequestId id) {
     if (const auto found = inFlight_.find(id); found != inFlight_.end())
         found->second.connection->addProtocolError();
     failed(id);
--- a/src/thrift/thrift_server.h
+++ b/src/thrift/thrift_server.h
@@ -41,7 +41,7 @@
     void rejected(RequestId id, const Pushback& pushback) override;
     void failed(RequestId id) override;
     /// Like failed(), and counts as a protocol error of the connection.
-    void refused(RequestId id) override;
+    void failedByClient(RequestId id) override;
     /// Drains connections that were unused for this long, from the next sweep on; 0: never.
     void setIdleTimeout(Duration timeout) override { idleTimeout_ = timeout; }
 
--- a/tests/request/decision_queue_test.cpp
+++ b/tests/request/decision_queue_test.cpp
@@ -54,7 +54,7 @@
     EXPECT_EQ(std::get<JoinDuplicate>(decisions[3]).id, 4U);
     EXPECT_TRUE(std::get<SetHealth>(decisions[4]).healthy);
     EXPECT_EQ(std::get<AdvertiseLoadShare>(decisions[5]).share, 0.25);
-    EXPECT_EQ(std::get<CloseIdleConnections>(decisions[6]).unusedFor, 3s);
+    EXPECT_EQ(std::get<SetIdleTimeout>(decisions[6]).idleTimeout, 3s);
     EXPECT_EQ(std::get<ScheduleTick>(decisions[7]).delay, 20ms);
 }
 
--- a/tests/request/request_manager_test.cpp
+++ b/tests/request/request_manager_test.cpp
@@ -55,11 +55,11 @@
         answers[id] = "failed";
         ++answerCount;
     }
-    void refused(RequestId id) override {
+    void failedByClient(RequestId id) override {
         answers[id] = "unknown";
         ++answerCount;
     }
-    void setIdleTimeout(Duration /*unusedFor*/) override {}
+    void setIdleTimeout(Duration /*idleTimeout*/) override {}
 
     std::map<RequestId, std::string> answers;
     int answerCount = 0;
@@ -95,7 +95,7 @@
 };
 
 struct RequestManagerTest : ::testing::Test {
-    RequestManagerTest() { manager.connect(sink, executor, dependencyClient); }
+    RequestManagerTest() { manager.attach(sink, executor, dependencyClient); }
 
     void becomeReady() {
         manager.executorReady(false, 60s);
@@ -162,7 +162,7 @@
 
 TEST_F(RequestManagerTest, RejectsRequestsBeyondItsMemory) {
     RequestManager small(loop, configWithCapacityToSpare(), 100, 1 << 20, log, counters);
-    small.connect(sink, executor, dependencyClient);
+    small.attach(sink, executor, dependencyClient);
     small.executorReady(false, 60s);
     IncomingRequest incoming;
     incoming.request.id = 1;
@@ -310,10 +310,10 @@
     complete(1);
     std::vector<bool> results;
     const auto record = [&results](bool worksWell) { results.push_back(worksWell); };
-    manager.checkWorkGetsDone(record);
+    manager.checkEndToEndHealth(record);
     EXPECT_EQ(executor.verifications, 0);
     executor.verificationResult = false;
-    manager.checkWorkGetsDone(record);
+    manager.checkEndToEndHealth(record);
     EXPECT_EQ(executor.verifications, 1);
     EXPECT_EQ(results, (std::vector<bool>{true, false}));
 }
@@ -321,7 +321,7 @@
 TEST_F(RequestManagerTest, AVerificationWithoutAResultLeavesTheHealthAsItIs) {
     becomeReady();
     bool worksWell = false;
-    manager.checkWorkGetsDone([&worksWell](bool result) { worksWell = result; });
+    manager.checkEndToEndHealth([&worksWell](bool result) { worksWell = result; });
     EXPECT_EQ(executor.verifications, 1);
     EXPECT_TRUE(worksWell);
 }
--- a/tests/request/request_state_test.cpp
+++ b/tests/request/request_state_test.cpp
@@ -14,33 +14,33 @@
     EXPECT_TRUE(request.isClientWaiting());
     EXPECT_FALSE(request.isRunInProgress());
     EXPECT_FALSE(request.isDependencyCallInProgress());
-    EXPECT_FALSE(request.isOver());
+    EXPECT_FALSE(request.isFinished());
 }
 
 TEST(TrackedRequest, IsOverOnceAnsweredWhenNothingRuns) {
     TrackedRequest request;
     request.client = ClientState::Answered;
-    EXPECT_TRUE(request.isOver());
+    EXPECT_TRUE(request.isFinished());
     request.client = ClientState::Cancelled;
-    EXPECT_TRUE(request.isOver());
+    EXPECT_TRUE(request.isFinished());
 }
 
 TEST(TrackedRequest, IsNotOverUntilTheEndOfItsRunIsReported) {
     TrackedRequest request;
     request.client = ClientState::Cancelled;
     request.run = RunState::Running;
-    EXPECT_FALSE(request.isOver());
+    EXPECT_FALSE(request.isFinished());
     request.run = RunState::StartUnconfirmed;
     EXPECT_TRUE(request.isRunInProgress());
-    EXPECT_FALSE(request.isOver());
+    EXPECT_FALSE(request.isFinished());
     request.run = RunState::Ended;
-    EXPECT_TRUE(request.isOver());
+    EXPECT_TRUE(request.isFinished());
 }
 
 TEST(TrackedRequest, IsNotOverAfterItsRunUntilItIsAnswered) {
     TrackedRequest request;
     request.run = RunState::Ended;
-    EXPECT_FALSE(request.isOver());
+    EXPECT_FALSE(request.isFinished());
 }
 
 TEST(TrackedRequest, ItsRunIsStartedWithWhatTheClientSent) {
--- a/tests/support/controller_harness.h
+++ b/tests/support/controller_harness.h
@@ -94,7 +94,7 @@
         ReferenceModel::skipDependencyCall(id);
     }
     void setHealth(bool healthy) override { good = healthy; }
-    void setIdleTimeout(Duration unusedFor) override { idle = unusedFor; }
+    void setIdleTimeout(Duration idleTimeout) override { idle = idleTimeout; }
     void scheduleTick(Duration delay) override { nextTickAt_ = now + delay; }
     void log(std::string_view line) override { logs.emplace_back(line); }
 
