--- a/src/request/request_manager.cpp
+++ b/src/request/request_manager.cpp
@@ -89,8 +89,9 @@
     attempt.bodyHash = std::hash<std::string>{}(std::to_string(config_.seed) + incoming.body);
     attempt.arrivedAt = now - incoming.request.queuedBeforeRead;
     attempt.readAt = now;
-    const state::KeyTimes times{requestClass.idempotencyWindow, requestClass.timeout + kClockTolerance};
-    const KeyClaim claim = keys_.claim(incoming.idempotencyKey, attempt, times);
+    const state::KeyRetention retention{requestClass.idempotencyWindow,
+                                        requestClass.timeout + kClockTolerance};
+    const KeyClaim claim = keys_.claim(incoming.idempotencyKey, attempt, retention);
     TrackedRequest& request = entry->second;
     switch (claim) {
         case KeyClaim::Conflict:
@@ -452,7 +453,8 @@
     const TrackedRequest request = std::move(entry->second);
     endedThisIteration_.insert(id);
     table_.erase(entry);
-    if (request.idempotencyRole == IdempotencyRole::DuplicateWaiting) keys_.leave(request.idempotencyKey, id);
+    if (request.idempotencyRole == IdempotencyRole::DuplicateWaiting)
+        keys_.stopWaiting(request.idempotencyKey, id);
     // Without effect on a key whose run has ended: that key stays. Otherwise nothing ran, and the duplicates
     // that wait may be tried again.
     if (request.idempotencyRole == IdempotencyRole::HoldsKey)
--- a/src/state/idempotency_keys.cpp
+++ b/src/state/idempotency_keys.cpp
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-KeyClaim IdempotencyKeys::claim(const std::string& key, const KeyAttempt& attempt, KeyTimes times) {
+KeyClaim IdempotencyKeys::claim(const std::string& key, const KeyAttempt& attempt, KeyRetention retention) {
     expire(attempt.readAt);
     if (const auto position = table_.find(key); position != table_.end()) {
         const Entry& held = position->second;
@@ -24,8 +24,8 @@
     entry.holder = attempt.id;
     entry.bodyHash = attempt.bodyHash;
     // Counted from the reading, which is never before the arrival that the window counts from.
-    entry.windowEnd = attempt.readAt + times.window;
-    entry.retainedUntil = entry.windowEnd + times.lateReadAllowance;
+    entry.windowEnd = attempt.readAt + retention.window;
+    entry.retainedUntil = entry.windowEnd + retention.lateReadAllowance;
     insert(key, std::move(entry));
     return KeyClaim::Granted;
 }
@@ -39,16 +39,16 @@
     const auto position = table_.find(key);
     if (position == table_.end()) return {};
     Entry& entry = position->second;
-    if (entry.outcome == KeyOutcome::Pending) entry.waiting.push_back(duplicate);
+    if (entry.outcome == KeyOutcome::Pending) entry.waitingDuplicates.push_back(duplicate);
     // Completed, but there was no memory for the result: it can't be given again, and the request must not
     // run again.
     if (entry.outcome == KeyOutcome::Completed && !entry.result) return {KeyOutcome::Failed, {}};
     return {entry.outcome, entry.result ? std::string_view(*entry.result) : std::string_view()};
 }
 
-void IdempotencyKeys::leave(const std::string& key, RequestId duplicate) {
+void IdempotencyKeys::stopWaiting(const std::string& key, RequestId duplicate) {
     const auto position = table_.find(key);
-    if (position != table_.end()) std::erase(position->second.waiting, duplicate);
+    if (position != table_.end()) std::erase(position->second.waitingDuplicates, duplicate);
 }
 
 std::vector<RequestId> IdempotencyKeys::completed(const std::string& key, RequestId holder,
@@ -57,20 +57,20 @@
     if (position == table_.end()) return {};
     position->second.outcome = KeyOutcome::Completed;
     storeResult(position, result);
-    return std::exchange(position->second.waiting, {});
+    return std::exchange(position->second.waitingDuplicates, {});
 }
 
 std::vector<RequestId> IdempotencyKeys::failed(const std::string& key, RequestId holder) {
     const auto position = findPendingOf(key, holder);
     if (position == table_.end()) return {};
     position->second.outcome = KeyOutcome::Failed;
-    return std::exchange(position->second.waiting, {});
+    return std::exchange(position->second.waitingDuplicates, {});
 }
 
 std::vector<RequestId> IdempotencyKeys::release(const std::string& key, RequestId holder) {
     const auto position = findPendingOf(key, holder);
     if (position == table_.end()) return {};
-    std::vector<RequestId> waiting = std::exchange(position->second.waiting, {});
+    std::vector<RequestId> waiting = std::exchange(position->second.waitingDuplicates, {});
     erase(position);
     return waiting;
 }
@@ -102,10 +102,10 @@
     const std::size_t resultBytes = bytesOfResult(result);
     if (!evictResultsFor(resultBytes)) return;
     bytes_ += resultBytes;
-    ++storedResults_;
+    ++lastResultNumber_;
     position->second.result = std::string(result);
-    position->second.resultNumber = storedResults_;
-    byResult_.emplace(storedResults_, position);
+    position->second.resultNumber = lastResultNumber_;
+    resultsByAge_.emplace(lastResultNumber_, position);
 }
 
 void IdempotencyKeys::erase(Table::iterator position) {
@@ -117,15 +117,15 @@
 
 void IdempotencyKeys::dropResult(Entry& entry) {
     if (!entry.result) return;
-    byResult_.erase(entry.resultNumber);
+    resultsByAge_.erase(entry.resultNumber);
     bytes_ -= bytesOfResult(*entry.result);
     entry.result.reset();
 }
 
 // Drops results, the oldest first, until that much memory is free. Returns whether it is.
 bool IdempotencyKeys::evictResultsFor(std::size_t wantedBytes) {
-    while (bytes_ + wantedBytes > maxBytes_ && !byResult_.empty())
-        dropResult(byResult_.begin()->second->second);
+    while (bytes_ + wantedBytes > maxBytes_ && !resultsByAge_.empty())
+        dropResult(resultsByAge_.begin()->second->second);
     return bytes_ + wantedBytes <= maxBytes_;
 }
 
--- a/src/state/idempotency_keys.h
+++ b/src/state/idempotency_keys.h
@@ -23,7 +23,7 @@
 namespace cottonwing::state {
 
 /// How long a key counts.
-struct KeyTimes {
+struct KeyRetention {
     /// A duplicate that arrives within this time of the reading of the first attempt must not run.
     Duration window{0};
     /// How long after the window a duplicate that arrived within it may still be read.
@@ -69,7 +69,7 @@
 
     /// Claims the key for an attempt, before it may run.
     /// @param attempt whose readAt serves as the present; keys that have run out by then are removed.
-    KeyClaim claim(const std::string& key, const KeyAttempt& attempt, KeyTimes times);
+    KeyClaim claim(const std::string& key, const KeyAttempt& attempt, KeyRetention retention);
 
     /// @return the attempt that holds the key; 0: none.
     RequestId holder(const std::string& key) const;
@@ -78,7 +78,7 @@
     /// returned by completed, failed or release.
     KeyResult join(const std::string& key, RequestId duplicate);
     /// A duplicate no longer waits.
-    void leave(const std::string& key, RequestId duplicate);
+    void stopWaiting(const std::string& key, RequestId duplicate);
 
     /// The run of the attempt that holds the key succeeded. Without effect if that attempt does not hold it.
     /// @param result copied while there is memory for it.
@@ -105,9 +105,9 @@
         Timestamp windowEnd{0};
         Timestamp retainedUntil{0};
         KeyOutcome outcome = KeyOutcome::Pending;
-        std::optional<std::string> result;  // of KeyOutcome::Completed, while there is memory for it
-        std::uint64_t resultNumber = 0;     // in the order in which results were stored
-        std::vector<RequestId> waiting;     // duplicates; emptied by the end of the holder
+        std::optional<std::string> result;         // of KeyOutcome::Completed, while there is memory for it
+        std::uint64_t resultNumber = 0;            // in the order in which results were stored
+        std::vector<RequestId> waitingDuplicates;  // duplicates; emptied by the end of the holder
     };
     using Table = std::map<std::string, Entry, std::less<>>;
     // Memory booked beside the texts: nodes in three tables, and of a result.
@@ -128,10 +128,10 @@
 
     const std::size_t maxBytes_;
     std::size_t bytes_ = 0;
-    std::uint64_t storedResults_ = 0;                       // so far
-    Table table_;                                           // emptied by time and by release
-    std::set<std::pair<Timestamp, std::string>> expiries_;  // keys by the end of their retention
-    std::map<std::uint64_t, Table::iterator> byResult_;     // entries with a result, the oldest in front
+    std::uint64_t lastResultNumber_ = 0;                     // so far
+    Table table_;                                            // emptied by time and by release
+    std::set<std::pair<Timestamp, std::string>> expiries_;   // keys by the end of their retention
+    std::map<std::uint64_t, Table::iterator> resultsByAge_;  // entries with a result, the oldest in front
 };
 
 }  // namespace cottonwing::state
--- a/tests/state/idempotency_keys_test.cpp
+++ b/tests/state/idempotency_keys_test.cpp
@@ -15,13 +15,13 @@
 using state::KeyClaim;
 using state::KeyOutcome;
 
-constexpr state::KeyTimes kTimes{5s, 9s};
+constexpr state::KeyRetention kRetention{5s, 9s};
 
 TEST(IdempotencyKeys, ADuplicateWaitsForTheHolderAndSharesItsResult) {
     IdempotencyKeys keys(1 << 20);
-    EXPECT_EQ(keys.claim("k", {1, 7, 10s, 10s}, kTimes), KeyClaim::Granted);
-    EXPECT_EQ(keys.claim("k", {2, 7, 11s, 11s}, kTimes), KeyClaim::Duplicate);
-    EXPECT_EQ(keys.claim("k", {3, 8, 11s, 11s}, kTimes), KeyClaim::Conflict);
+    EXPECT_EQ(keys.claim("k", {1, 7, 10s, 10s}, kRetention), KeyClaim::Granted);
+    EXPECT_EQ(keys.claim("k", {2, 7, 11s, 11s}, kRetention), KeyClaim::Duplicate);
+    EXPECT_EQ(keys.claim("k", {3, 8, 11s, 11s}, kRetention), KeyClaim::Conflict);
     EXPECT_EQ(keys.holder("k"), 1U);
     EXPECT_EQ(keys.join("k", 2).outcome, KeyOutcome::Pending);
     EXPECT_EQ(keys.completed("k", 1, "result"), std::vector<RequestId>{2});
@@ -31,47 +31,48 @@
 
 TEST(IdempotencyKeys, TheWindowCountsFromTheReadingAndLastsAsLongAsTheRun) {
     IdempotencyKeys keys(1 << 20);
-    keys.claim("k", {1, 7, 10s, 10s}, kTimes);
+    keys.claim("k", {1, 7, 10s, 10s}, kRetention);
     // Read late, but it arrived within the window.
-    EXPECT_EQ(keys.claim("k", {2, 7, 15s, 23s}, kTimes), KeyClaim::Duplicate);
+    EXPECT_EQ(keys.claim("k", {2, 7, 15s, 23s}, kRetention), KeyClaim::Duplicate);
     // Long past the window, while the run of the holder is in progress.
-    EXPECT_EQ(keys.claim("k", {3, 7, 99s, 99s}, kTimes), KeyClaim::Duplicate);
+    EXPECT_EQ(keys.claim("k", {3, 7, 99s, 99s}, kRetention), KeyClaim::Duplicate);
     keys.completed("k", 1, "result");
-    EXPECT_EQ(keys.claim("k", {4, 7, 15s, 99s}, kTimes), KeyClaim::Duplicate);
-    EXPECT_EQ(keys.claim("k", {5, 7, 99s, 99s}, kTimes), KeyClaim::Granted);
+    EXPECT_EQ(keys.claim("k", {4, 7, 15s, 99s}, kRetention), KeyClaim::Duplicate);
+    EXPECT_EQ(keys.claim("k", {5, 7, 99s, 99s}, kRetention), KeyClaim::Granted);
     EXPECT_EQ(keys.holder("k"), 5U);
 }
 
 TEST(IdempotencyKeys, AHolderThatNeverRanReleasesTheKey) {
     IdempotencyKeys keys(1 << 20);
-    keys.claim("k", {1, 7, 10s, 10s}, kTimes);
+    keys.claim("k", {1, 7, 10s, 10s}, kRetention);
     keys.join("k", 2);
     keys.join("k", 3);
-    keys.leave("k", 2);
+    keys.stopWaiting("k", 2);
     EXPECT_EQ(keys.release("k", 9), std::vector<RequestId>());  // does not hold the key
     EXPECT_EQ(keys.release("k", 1), std::vector<RequestId>{3});
     EXPECT_EQ(keys.join("k", 4).outcome, KeyOutcome::NeverRan);
-    EXPECT_EQ(keys.claim("k", {4, 7, 10s, 10s}, kTimes), KeyClaim::Granted);
+    EXPECT_EQ(keys.claim("k", {4, 7, 10s, 10s}, kRetention), KeyClaim::Granted);
     keys.failed("k", 4);
     EXPECT_EQ(keys.release("k", 4), std::vector<RequestId>());  // it ran: no other attempt may
-    EXPECT_EQ(keys.claim("k", {5, 7, 11s, 11s}, kTimes), KeyClaim::Duplicate);
+    EXPECT_EQ(keys.claim("k", {5, 7, 11s, 11s}, kRetention), KeyClaim::Duplicate);
     EXPECT_EQ(keys.join("k", 5).outcome, KeyOutcome::Failed);
 }
 
 TEST(IdempotencyKeys, ResultsAreEvictedForKeysAndKeysAreRefusedWhenNoneIsLeft) {
     IdempotencyKeys keys(4000);
-    keys.claim("a", {1, 7, 10s, 10s}, kTimes);
+    keys.claim("a", {1, 7, 10s, 10s}, kRetention);
     keys.completed("a", 1, std::string(2000, 'x'));
     RequestId next = 2;
-    while (keys.claim("k" + std::to_string(next), {next, 7, 10s, 10s}, kTimes) == KeyClaim::Granted) ++next;
+    while (keys.claim("k" + std::to_string(next), {next, 7, 10s, 10s}, kRetention) == KeyClaim::Granted)
+        ++next;
     EXPECT_LE(keys.bytes(), 4000U);
     EXPECT_GT(next, 5U);
     // Its result was evicted: it can't be given again, and the request may not run again.
-    EXPECT_EQ(keys.claim("a", {99, 7, 11s, 11s}, kTimes), KeyClaim::Duplicate);
+    EXPECT_EQ(keys.claim("a", {99, 7, 11s, 11s}, kRetention), KeyClaim::Duplicate);
     EXPECT_EQ(keys.join("a", 99).outcome, KeyOutcome::Failed);
-    EXPECT_EQ(keys.claim("z", {100, 7, 11s, 11s}, kTimes), KeyClaim::NoCapacity);
+    EXPECT_EQ(keys.claim("z", {100, 7, 11s, 11s}, kRetention), KeyClaim::NoCapacity);
     // Keys whose run has ended expire, those whose run is pending do not.
-    EXPECT_EQ(keys.claim("z", {100, 7, 60s, 60s}, kTimes), KeyClaim::Granted);
+    EXPECT_EQ(keys.claim("z", {100, 7, 60s, 60s}, kRetention), KeyClaim::Granted);
     EXPECT_EQ(keys.holder("a"), 0U);
     EXPECT_EQ(keys.holder("k2"), 2U);
 }
@@ -109,10 +110,10 @@
                 break;
             default: {
                 const Duration arrived = now - 1ms * *rc::gen::inRange(0, 9000);
-                const KeyClaim claim = keys.claim(key, {id, 7, arrived, now}, kTimes);
+                const KeyClaim claim = keys.claim(key, {id, 7, arrived, now}, kRetention);
                 if (claim == KeyClaim::Granted) {
                     RC_ASSERT(pending.count(key) == 0U);
-                    if (ran.count(key) > 0) RC_ASSERT(arrived > ran[key].first + kTimes.window);
+                    if (ran.count(key) > 0) RC_ASSERT(arrived > ran[key].first + kRetention.window);
                     ran[key] = {now, id};
                     pending[key] = id;
                 } else if (claim == KeyClaim::Duplicate &&
@@ -126,7 +127,7 @@
     for (const auto& [key, id] : pending)
         for (const RequestId one : keys.completed(key, id, "")) RC_ASSERT(waiting.erase(one) == 1U);
     RC_ASSERT(waiting.empty());
-    keys.claim("last", {999, 7, now + 1h, now + 1h}, kTimes);
+    keys.claim("last", {999, 7, now + 1h, now + 1h}, kRetention);
     RC_ASSERT(keys.size() <= 1U);
 }
 
