--- a/src/loadtest/emulators/worker_pool.cpp
+++ b/src/loadtest/emulators/worker_pool.cpp
@@ -115,7 +115,7 @@
             sayBound(after);
     } else if (type == "spawn") {
         if (known != names_.end()) return;
-        const auto body = worker_pool::decode64(all.value("data", ""));
+        const auto body = worker_pool::decodeBase64(all.value("data", ""));
         spawn(job, body.value_or(""));
     } else if (type == "suspend") {
         if (known == names_.end()) return;
@@ -175,7 +175,7 @@
         return notice(Json{{"type", "blocked"},
                            {"n", lastNotice_},
                            {"job", job.name},
-                           {"data", worker_pool::encode64(body)}}
+                           {"data", worker_pool::encodeBase64(body)}}
                           .dump() +
                       "\n");
     }
@@ -198,7 +198,7 @@
                 {"job", job.name},
                 {"state", state},
                 {"took", static_cast<double>((steadyNow() - job.since).count()) / 1e6},
-                {"data", worker_pool::encode64(result)}}
+                {"data", worker_pool::encodeBase64(result)}}
                .dump() +
            "\n");
 }
--- a/src/request/request_manager.cpp
+++ b/src/request/request_manager.cpp
@@ -144,13 +144,13 @@
 
 // ---- Events from the executor ---------------------------------------------------------------------------
 
-void RequestManager::executorReady(bool cold, Duration runningFor) {
+void RequestManager::executorReady(bool cold, Duration uptime) {
     if (controller_) return;
     ControllerConfig config = config_;
     config.startsCold = cold;
     controller_ = makeOverloadController(config);
     log_.info("request", std::string("executor ready: state=") + (cold ? "cold" : "warm") +
-                             " running_ms=" + std::to_string(runningFor / 1ms));
+                             " running_ms=" + std::to_string(uptime / 1ms));
     hasEvents_ = true;
 }
 
--- a/src/request/request_manager.h
+++ b/src/request/request_manager.h
@@ -70,8 +70,8 @@
 
     /// The executor can run requests. Only the first call has an effect.
     /// @param cold whether it needs to warm up.
-    /// @param runningFor time since it started.
-    void executorReady(bool cold, Duration runningFor);
+    /// @param uptime time since it started.
+    void executorReady(bool cold, Duration uptime);
     /// A run wants its dependency call.
     /// @param callBody what the call is to carry.
     void runWaitsForDependency(RequestId id, std::string callBody);
--- a/src/worker_pool/base64.cpp
+++ b/src/worker_pool/base64.cpp
@@ -34,7 +34,7 @@
 
 }  // namespace
 
-std::string encode64(std::string_view bytes) {
+std::string encodeBase64(std::string_view bytes) {
     std::string text;
     text.reserve((bytes.size() + kBytesPerGroup - 1) / kBytesPerGroup * kDigitsPerGroup);
     for (std::size_t start = 0; start < bytes.size(); start += kBytesPerGroup) {
@@ -53,7 +53,7 @@
     return text;
 }
 
-std::optional<std::string> decode64(std::string_view text) {
+std::optional<std::string> decodeBase64(std::string_view text) {
     if (text.size() % kDigitsPerGroup != 0) return std::nullopt;
     for (int i = 0; i < kMaxPadding && !text.empty() && text.back() == kPadding; ++i) text.remove_suffix(1);
     std::string bytes;
--- a/src/worker_pool/base64.h
+++ b/src/worker_pool/base64.h
@@ -9,10 +9,10 @@
 namespace cottonwing::worker_pool {
 
 /// @return the text for these bytes, padded to a multiple of four characters.
-std::string encode64(std::string_view bytes);
+std::string encodeBase64(std::string_view bytes);
 
 /// @param text padded base64.
 /// @return the bytes; nothing when the text is not base64.
-std::optional<std::string> decode64(std::string_view text);
+std::optional<std::string> decodeBase64(std::string_view text);
 
 }  // namespace cottonwing::worker_pool
--- a/src/worker_pool/protocol.cpp
+++ b/src/worker_pool/protocol.cpp
@@ -16,9 +16,9 @@
 
 // Fields.
 constexpr const char* kType = "type";
-constexpr const char* kJob = "job";        // external id of the request
-constexpr const char* kReference = "ref";  // of polls and verifications
-constexpr const char* kNumber = "n";       // of a numbered message
+constexpr const char* kJob = "job";           // external id of the request
+constexpr const char* kReference = "ref";     // of polls and verifications
+constexpr const char* kSequenceNumber = "n";  // of a numbered message
 constexpr const char* kElapsedMillis = "took";
 constexpr const char* kData = "data";  // body, call, reply or result in base64
 constexpr const char* kGauges = "gauges";
@@ -31,8 +31,8 @@
 constexpr const char* kRunBlocked = "blocked";
 constexpr const char* kPollAnswered = "polled";
 constexpr const char* kWorkVerified = "verified";
-constexpr const char* kMessageRefused = "unknown";
-constexpr const char* kChatter = "chatter";
+constexpr const char* kMessageRejected = "unknown";
+constexpr const char* kInformationalMessage = "chatter";
 
 // Types of messages to the pool.
 constexpr const char* kBind = "bind";
@@ -67,8 +67,8 @@
     return found != object.end() && found->is_string() ? found->get<std::string>() : std::string();
 }
 
-std::uint64_t numberOf(const Json& object) {
-    const auto found = object.find(wire::kNumber);
+std::uint64_t sequenceNumberOf(const Json& object) {
+    const auto found = object.find(wire::kSequenceNumber);
     return found != object.end() && found->is_number_unsigned() ? found->get<std::uint64_t>() : 0;
 }
 
@@ -120,13 +120,15 @@
                         textOf(object, wire::kState) == wire::kVerifySucceeded};
 }
 
-Content readMessageRefused(const Json& object, std::string&& /*data*/) {
+Content readMessageRejected(const Json& object, std::string&& /*data*/) {
     std::string messageType = textOf(object, wire::kState);
     const bool isStart = messageType == wire::kStart;
-    return MessageRefused{textOf(object, wire::kJob), std::move(messageType), isStart};
+    return MessageRejected{textOf(object, wire::kJob), std::move(messageType), isStart};
 }
 
-Content readChatter(const Json& /*object*/, std::string&& /*data*/) { return Chatter{}; }
+Content readInformationalMessage(const Json& /*object*/, std::string&& /*data*/) {
+    return InformationalMessage{};
+}
 
 using GaugeField = std::optional<double> Gauges::*;
 
@@ -151,15 +153,15 @@
         {wire::kRunBlocked, readRunBlocked},
         {wire::kPollAnswered, readPollAnswered},
         {wire::kWorkVerified, readWorkVerified},
-        {wire::kMessageRefused, readMessageRefused},
-        {wire::kChatter, readChatter}};
+        {wire::kMessageRejected, readMessageRejected},
+        {wire::kInformationalMessage, readInformationalMessage}};
     const Json object = Json::parse(line, nullptr, false);
     if (!object.is_object()) return std::nullopt;
     const auto reader = kReaders.find(textOf(object, wire::kType));
     if (reader == kReaders.end()) return std::nullopt;
-    std::optional<std::string> data = decode64(textOf(object, wire::kData));
+    std::optional<std::string> data = decodeBase64(textOf(object, wire::kData));
     if (!data) return std::nullopt;
-    return PoolMessage{numberOf(object), reader->second(object, std::move(*data))};
+    return PoolMessage{sequenceNumberOf(object), reader->second(object, std::move(*data))};
 }
 
 Outcome outcomeOf(RunEnd end) {
@@ -185,15 +187,15 @@
     return gauges;
 }
 
-std::string bindLine(std::uint64_t lastNumber) {
-    return toLine({{wire::kType, wire::kBind}, {wire::kNumber, lastNumber}});
+std::string bindLine(std::uint64_t lastSequenceNumber) {
+    return toLine({{wire::kType, wire::kBind}, {wire::kSequenceNumber, lastSequenceNumber}});
 }
 
 std::string startLine(std::string_view job, std::string_view requestClass, std::string_view body) {
     return toLine({{wire::kType, wire::kStart},
                    {wire::kJob, job},
                    {wire::kRequestClass, requestClass},
-                   {wire::kData, encode64(body)}});
+                   {wire::kData, encodeBase64(body)}});
 }
 
 std::string cancelLine(std::string_view job) {
@@ -201,7 +203,7 @@
 }
 
 std::string supplyLine(std::string_view job, std::string_view reply) {
-    return toLine({{wire::kType, wire::kSupply}, {wire::kJob, job}, {wire::kData, encode64(reply)}});
+    return toLine({{wire::kType, wire::kSupply}, {wire::kJob, job}, {wire::kData, encodeBase64(reply)}});
 }
 
 std::string skipDependencyCallLine(std::string_view job) {
--- a/src/worker_pool/protocol.h
+++ b/src/worker_pool/protocol.h
@@ -19,8 +19,8 @@
 
 /// The pool accepted the connection. Sent again on each connection.
 struct ConnectionAccepted {
-    bool cold = false;       ///< Whether the pool needs to warm up.
-    Duration runningFor{0};  ///< Time since the pool started.
+    bool cold = false;   ///< Whether the pool needs to warm up.
+    Duration uptime{0};  ///< Time since the pool started.
 };
 
 /// How a run ended, by the pool's account.
@@ -58,21 +58,21 @@
 };
 
 /// The pool did not carry a message out.
-struct MessageRefused {
+struct MessageRejected {
     std::string job;          ///< External id of the request.
     std::string messageType;  ///< Wire word of the message that was refused.
     bool isStart = false;     ///< Whether that message was to start a run.
 };
 
 /// A message without consequences.
-struct Chatter {};
+struct InformationalMessage {};
 
 /// One message from the worker pool.
 struct PoolMessage {
     /// Position among the pool's numbered messages, from 1; 0 for kinds that are not numbered.
-    std::uint64_t number = 0;
-    std::variant<Chatter, ConnectionAccepted, RunFinished, RunBlocked, PollAnswered, WorkVerified,
-                 MessageRefused>
+    std::uint64_t sequenceNumber = 0;
+    std::variant<InformationalMessage, ConnectionAccepted, RunFinished, RunBlocked, PollAnswered,
+                 WorkVerified, MessageRejected>
         content;
 };
 
@@ -90,8 +90,9 @@
 // ---- Messages to the worker pool, each a complete line.
 
 /// The first message on a connection.
-/// @param lastNumber of the last numbered message that was read; the pool repeats all later ones. 0: none.
-std::string bindLine(std::uint64_t lastNumber);
+/// @param lastSequenceNumber of the last numbered message that was read; the pool repeats all later ones. 0:
+/// none.
+std::string bindLine(std::uint64_t lastSequenceNumber);
 /// Starts a run; no effect where it is in progress.
 std::string startLine(std::string_view job, std::string_view requestClass, std::string_view body);
 std::string cancelLine(std::string_view job);
--- a/src/worker_pool/worker_pool_client.cpp
+++ b/src/worker_pool/worker_pool_client.cpp
@@ -10,10 +10,10 @@
 using namespace std::chrono_literals;
 using telemetry::Count;
 
-constexpr const char* kLogKind = "worker_pool";
+constexpr const char* kLogComponent = "worker_pool";
 constexpr Duration kVerificationTimeout = 250ms;
 // With no message for this long after a poll, the connection is open but dead.
-constexpr Duration kSilenceLimit = 1s;
+constexpr Duration kPollTimeout = 1s;
 // Bounds of the random delay before a connection that could not be opened is tried again.
 constexpr int kReconnectMinMillis = 20;
 constexpr int kReconnectMaxMillis = 100;
@@ -65,10 +65,10 @@
 
 void WorkerPoolClient::requestGauges() {
     const Timestamp now = net::unixNow();
-    const bool pollPending = silentSince_ > 0ns;
-    if (ready_ && pollPending && now - silentSince_ > kSilenceLimit)
+    const bool pollPending = unansweredPollAt_ > 0ns;
+    if (ready_ && pollPending && now - unansweredPollAt_ > kPollTimeout)
         return handleConnectionLost(net::ConnectionEnd::TimedOut);
-    if (!pollPending) silentSince_ = now;
+    if (!pollPending) unansweredPollAt_ = now;
     sendIfReady(pollLine(kGaugesReference));
 }
 
@@ -94,18 +94,18 @@
 
 void WorkerPoolClient::connect() {
     reconnectTimer_.stop();
-    searchedBytes_ = 0;
-    silentSince_ = 0ns;
+    scannedBytes_ = 0;
+    unansweredPollAt_ = 0ns;
     const std::size_t inputBytes = bufferBytes_ / kInputDivisor;
     const net::BufferLimits bounds{inputBytes, bufferBytes_ - inputBytes};
     // Not by make_unique, which can't see that this is a net::ConnectionHandler.
     connection_.reset(new net::Connection(loop_, address_, *this, bounds));
-    connection_->send(bindLine(lastNumber_));
+    connection_->send(bindLine(lastSequenceNumber_));
 }
 
 void WorkerPoolClient::moveTo(net::Address address) {
     address_ = std::move(address);
-    log_.info(kLogKind,
+    log_.info(kLogComponent,
               "worker pool address changed: address=" + address_.host + ":" + std::to_string(address_.port));
     markDisconnected();
     // Closed over messages that were not read yet, the old connection would be reset, and what was sent last
@@ -124,9 +124,9 @@
 void WorkerPoolClient::handleConnectionLost(net::ConnectionEnd end) {
     counters_.addEnd(end);
     if (ready_ || !lossLogged_)
-        log_.warn(kLogKind, std::string(ready_ ? "worker pool connection lost: reason="
-                                               : "worker pool connection failed: reason=") +
-                                net::nameOf(end));
+        log_.warn(kLogComponent, std::string(ready_ ? "worker pool connection lost: reason="
+                                                    : "worker pool connection failed: reason=") +
+                                     net::nameOf(end));
     // A connection that served is opened again at once: runs that end meanwhile delay those that wait for
     // their cores.
     const bool reconnectAtOnce = ready_;
@@ -142,19 +142,19 @@
     net::ByteRing& input = connection.input();
     std::string scratch;
     for (;;) {
-        const std::size_t lineEnd = input.find('\n', searchedBytes_);
+        const std::size_t lineEnd = input.find('\n', scannedBytes_);
         if (lineEnd == input.size()) {
-            searchedBytes_ = lineEnd;
+            scannedBytes_ = lineEnd;
             return;
         }
         const std::optional<PoolMessage> message = parsePoolMessage(input.peek(lineEnd, scratch));
         input.drop(lineEnd + 1);
-        searchedBytes_ = 0;
+        scannedBytes_ = 0;
         if (message) {
             handle(*message);
         } else {
             counters_.add(Count::WorkerPoolMalformedMessages);
-            log_.warn(kLogKind, "message from the worker pool ignored: reason=malformed");
+            log_.warn(kLogComponent, "message from the worker pool ignored: reason=malformed");
         }
     }
 }
@@ -166,10 +166,10 @@
 // ---- Messages from the pool -----------------------------------------------------------------------------
 
 void WorkerPoolClient::handle(const PoolMessage& message) {
-    silentSince_ = 0ns;
-    if (message.number != 0) {
-        if (message.number <= lastNumber_) return;  // was read on an earlier connection
-        lastNumber_ = message.number;
+    unansweredPollAt_ = 0ns;
+    if (message.sequenceNumber != 0) {
+        if (message.sequenceNumber <= lastSequenceNumber_) return;  // was read on an earlier connection
+        lastSequenceNumber_ = message.sequenceNumber;
     }
     std::visit([this](const auto& content) { handle(content); }, message.content);
 }
@@ -179,11 +179,12 @@
     lossLogged_ = false;
     counters_.add(Count::WorkerPoolConnections);
     if (wasEverReady_) {
-        log_.info(kLogKind, "worker pool connection restored: last_number=" + std::to_string(lastNumber_));
+        log_.info(kLogComponent,
+                  "worker pool connection restored: last_number=" + std::to_string(lastSequenceNumber_));
         sendIfReady(pollLine(kCaughtUpReference));
     }
     wasEverReady_ = true;
-    requests_.executorReady(message.cold, message.runningFor);
+    requests_.executorReady(message.cold, message.uptime);
 }
 
 void WorkerPoolClient::handle(const RunFinished& message) {
@@ -208,14 +209,14 @@
 
 // A refused start tells that nothing of the request runs, which says something about its client and nothing
 // about the health of runs. Other messages that were refused leave a run as it is.
-void WorkerPoolClient::handle(const MessageRefused& message) {
+void WorkerPoolClient::handle(const MessageRejected& message) {
     counters_.add(Count::WorkerPoolUnknownRequests);
-    log_.warn(kLogKind,
+    log_.warn(kLogComponent,
               "message refused by the worker pool: type=" + message.messageType + " request=" + message.job);
     const std::optional<RequestId> id = request::parseRequestId(message.job);
     if (id && message.isStart) requests_.runUnknownToExecutor(*id);
 }
 
-void WorkerPoolClient::handle(const Chatter& /*message*/) {}
+void WorkerPoolClient::handle(const InformationalMessage& /*message*/) {}
 
 }  // namespace cottonwing::worker_pool
--- a/src/worker_pool/worker_pool_client.h
+++ b/src/worker_pool/worker_pool_client.h
@@ -61,8 +61,8 @@
     void handle(const RunBlocked& message);
     void handle(const PollAnswered& message);
     void handle(const WorkVerified& message);
-    void handle(const MessageRefused& message);
-    void handle(const Chatter& message);
+    void handle(const MessageRejected& message);
+    void handle(const InformationalMessage& message);
 
     net::Loop& loop_;
     net::Address address_;
@@ -77,12 +77,12 @@
     net::Timer verificationTimer_;
     std::unique_ptr<net::Connection> connection_;
     std::vector<std::function<void(std::optional<bool>)>> verifications_;  // emptied by result or timeout
-    std::uint64_t verificationCount_ = 0;  // sent so far; the last one's reference
-    std::uint64_t lastNumber_ = 0;         // of the last numbered message that was read
-    std::size_t searchedBytes_ = 0;        // of the input, in which there is no end of line
-    Timestamp silentSince_{0};  // when the first poll was sent that no message has followed; 0: none was
-    Timestamp lostAt_{0};       // when the connection was lost that is not caught up with; 0: none was
-    bool ready_ = false;        // the pool has accepted the connection
+    std::uint64_t verificationCount_ = 0;   // sent so far; the last one's reference
+    std::uint64_t lastSequenceNumber_ = 0;  // of the last numbered message that was read
+    std::size_t scannedBytes_ = 0;          // of the input, in which there is no end of line
+    Timestamp unansweredPollAt_{0};  // when the first poll was sent that no message has followed; 0: none was
+    Timestamp lostAt_{0};            // when the connection was lost that is not caught up with; 0: none was
+    bool ready_ = false;             // the pool has accepted the connection
     bool wasEverReady_ = false;
     bool lossLogged_ = false;  // a loss has been logged since the pool last accepted a connection
 };
--- a/tests/soak/worker_pool_process.cpp
+++ b/tests/soak/worker_pool_process.cpp
@@ -144,7 +144,7 @@
 
 void WorkerPoolProcess::start(const Json& message) {
     const std::string id = message.value("job", ""), requestClass = message.value("kind", "");
-    const std::string body = worker_pool::decode64(message.value("data", "")).value_or("");
+    const std::string body = worker_pool::decodeBase64(message.value("data", "")).value_or("");
     const Attempt* const attempt = recorder_.find(id);
     long long work = 0;
     int calls = 0;
@@ -198,7 +198,7 @@
     --job.callsLeft;
     job.blocked = true;
     recorder_.note("pool", "the run waits for its call", job.id);
-    notice({{"type", "blocked"}, {"job", job.id}, {"data", worker_pool::encode64("call of " + job.id)}});
+    notice({{"type", "blocked"}, {"job", job.id}, {"data", worker_pool::encodeBase64("call of " + job.id)}});
 }
 
 void WorkerPoolProcess::finish(std::uint64_t number, const std::string& state, const std::string& result) {
@@ -209,7 +209,7 @@
             {"job", id},
             {"state", state},
             {"took", 5},
-            {"data", worker_pool::encode64(result)}});
+            {"data", worker_pool::encodeBase64(result)}});
 }
 
 void WorkerPoolProcess::notice(Json message) {
--- a/tests/support/fake_worker_pool.h
+++ b/tests/support/fake_worker_pool.h
@@ -38,11 +38,11 @@
              {"job", job},
              {"state", state},
              {"took", 5},
-             {"data", worker_pool::encode64(result)}});
+             {"data", worker_pool::encodeBase64(result)}});
     }
     /// Has a run wait for its dependency call.
     void block(const std::string& job, const std::string& body) {
-        say({{"type", "blocked"}, {"job", job}, {"data", worker_pool::encode64(body)}});
+        say({{"type", "blocked"}, {"job", job}, {"data", worker_pool::encodeBase64(body)}});
     }
     /// Sends a message without a number.
     void send(const Json& line) { server.lines.back().connection->send(line.dump() + "\n"); }
@@ -61,7 +61,7 @@
         for (std::size_t end; (end = text.find('\n')) != text.npos; text.erase(0, end + 1)) {
             const Json all = Json::parse(text.substr(0, end));
             const std::string type = all["type"], job = all.value("job", "");
-            const std::string data = worker_pool::decode64(all.value("data", "")).value();
+            const std::string data = worker_pool::decodeBase64(all.value("data", "")).value();
             if (type == "bind") {
                 binds.push_back(all);
                 boundOn = server.accepted;
--- a/tests/worker_pool/protocol_test.cpp
+++ b/tests/worker_pool/protocol_test.cpp
@@ -28,7 +28,7 @@
     const std::string line =
         R"({"type":"finished","n":12,"job":"9b1f03aa5c7e2d41","state":"ok","took":12.5,"data":"AGI=","new":[1]})";
     const auto finished = contentOf<RunFinished>(line);
-    EXPECT_EQ(parsePoolMessage(line)->number, 12U);
+    EXPECT_EQ(parsePoolMessage(line)->sequenceNumber, 12U);
     EXPECT_EQ(finished.end, RunEnd::Completed);
     EXPECT_EQ(finished.elapsed, Duration(12500000));
     EXPECT_EQ(finished.result, std::string("\0b", 2));
@@ -50,15 +50,15 @@
 TEST(PoolMessages, EachTypeIsReadAsItsKind) {
     EXPECT_TRUE(contentOf<ConnectionAccepted>(R"({"type":"bound","state":"cold","took":1500})").cold);
     EXPECT_FALSE(contentOf<ConnectionAccepted>(R"({"type":"bound","state":"warm"})").cold);
-    EXPECT_EQ(contentOf<ConnectionAccepted>(R"({"type":"bound","took":1500})").runningFor, 1500ms);
+    EXPECT_EQ(contentOf<ConnectionAccepted>(R"({"type":"bound","took":1500})").uptime, 1500ms);
     EXPECT_EQ(contentOf<RunBlocked>(R"({"type":"blocked","job":"x","data":"Y2FsbA=="})").callBody, "call");
     EXPECT_EQ(contentOf<PollAnswered>(R"({"type":"polled","ref":"a","gauges":[1,2.5]})").gauges.size(), 2U);
     EXPECT_EQ(contentOf<PollAnswered>(R"({"type":"polled","ref":"a"})").reference, "a");
     EXPECT_TRUE(contentOf<WorkVerified>(R"({"type":"verified","ref":"3","state":"ok"})").succeeded);
     EXPECT_FALSE(contentOf<WorkVerified>(R"({"type":"verified","ref":"3","state":"no"})").succeeded);
-    EXPECT_TRUE(contentOf<MessageRefused>(R"({"type":"unknown","state":"spawn","job":"x"})").isStart);
-    EXPECT_FALSE(contentOf<MessageRefused>(R"({"type":"unknown","state":"supply","job":"x"})").isStart);
-    contentOf<Chatter>(R"({"type":"chatter","n":1})");
+    EXPECT_TRUE(contentOf<MessageRejected>(R"({"type":"unknown","state":"spawn","job":"x"})").isStart);
+    EXPECT_FALSE(contentOf<MessageRejected>(R"({"type":"unknown","state":"supply","job":"x"})").isStart);
+    contentOf<InformationalMessage>(R"({"type":"chatter","n":1})");
 }
 
 TEST(PoolMessages, MalformedLinesAndUnknownTypesAreNoMessages) {
@@ -70,7 +70,7 @@
 TEST(PoolMessages, FieldsOfAnotherTypeAndTimesOutOfRangeCountAsAbsent) {
     const std::string line = R"({"type":"finished","n":-1,"job":7,"took":-5,"state":"ok"})";
     const auto finished = contentOf<RunFinished>(line);
-    EXPECT_EQ(parsePoolMessage(line)->number, 0U);
+    EXPECT_EQ(parsePoolMessage(line)->sequenceNumber, 0U);
     EXPECT_EQ(finished.job, "");
     EXPECT_EQ(finished.elapsed, 0ns);
     EXPECT_EQ(contentOf<RunFinished>(R"({"type":"finished","took":1e300})").elapsed, 0ns);
@@ -78,11 +78,11 @@
 
 RC_GTEST_PROP(PoolMessages, AnyBytesAreReadOrRefused, (const std::string& bytes)) {
     parsePoolMessage(bytes);
-    RC_ASSERT(decode64(encode64(bytes)) == bytes);
+    RC_ASSERT(decodeBase64(encodeBase64(bytes)) == bytes);
     const auto message =
-        parsePoolMessage("{\"type\":\"blocked\",\"job\":\"x\",\"data\":\"" + encode64(bytes) + "\"}");
+        parsePoolMessage("{\"type\":\"blocked\",\"job\":\"x\",\"data\":\"" + encodeBase64(bytes) + "\"}");
     RC_ASSERT(message && std::get<RunBlocked>(message->content).callBody == bytes);
-    if (const auto decoded = decode64(bytes)) RC_ASSERT(decoded->size() <= bytes.size());
+    if (const auto decoded = decodeBase64(bytes)) RC_ASSERT(decoded->size() <= bytes.size());
 }
 
 TEST(PoolMessages, GaugesAreMatchedByNameAndAbsentWhereNotFinite) {
