--- a/src/dependency/http_dependency_client.cpp
+++ b/src/dependency/http_dependency_client.cpp
@@ -16,7 +16,7 @@
 // The other side closes connections after 10 s without use: no call is to be sent on one that is closing.
 constexpr Duration kMaxIdleTime = 4s;
 // A duplicate of a reply may follow it in pieces; it must not be taken for the reply to the next call.
-constexpr Duration kSettleTime = 5ms;
+constexpr Duration kReuseDelay = 5ms;
 
 Count counterOf(Outcome outcome) {
     switch (outcome) {
@@ -53,7 +53,7 @@
 };
 
 struct HttpDependencyClient::PooledConnection : private net::ConnectionHandler {
-    enum class Use {
+    enum class State {
         Busy,
         Idle,
         Discarded  ///< To be closed in the next turn of the loop.
@@ -61,15 +61,15 @@
 
     explicit PooledConnection(HttpDependencyClient& owner)
         : client(owner),
-          timeoutTimer(owner.loop_, [this] { timedOut(); }),
-          replies([this](net::HttpResponseParser::Response&& reply) {
+          timeoutTimer(owner.loop_, [this] { handleTimeout(); }),
+          replyParser([this](net::HttpResponseParser::Response&& reply) {
               client.handleReply(*this, std::move(reply));
           }),
           connection(owner.loop_, *owner.address_, *this,
                      {kInputBufferBytes, kOutputBufferBytes, owner.bufferBytes_}) {}
 
-    void timedOut() {
-        client.handleEnd(
+    void handleTimeout() {
+        client.handleConnectionEnd(
             *this, connection.isOpen() ? net::ConnectionEnd::TimedOut : net::ConnectionEnd::ConnectTimedOut);
     }
 
@@ -78,19 +78,21 @@
         while (!input.empty()) {
             const std::string piece(input.front());
             input.drop(piece.size());
-            if (use != Use::Busy || !replies.parse(piece))
-                return client.handleEnd(*this, net::ConnectionEnd::Malformed);
+            if (state != State::Busy || !replyParser.parse(piece))
+                return client.handleConnectionEnd(*this, net::ConnectionEnd::Malformed);
         }
     }
 
-    void ended(net::Connection& /*from*/, net::ConnectionEnd end) override { client.handleEnd(*this, end); }
+    void ended(net::Connection& /*from*/, net::ConnectionEnd end) override {
+        client.handleConnectionEnd(*this, end);
+    }
 
     HttpDependencyClient& client;
     net::Timer timeoutTimer;
-    net::HttpResponseParser replies;
+    net::HttpResponseParser replyParser;
     net::Connection connection;
     ConnectionList::iterator position;
-    Use use = Use::Busy;
+    State state = State::Busy;
     Timestamp idleSince{0};
     bool addressOutdated = false;  // connected to an address that is no longer configured
     Call call;                     // the last one
@@ -107,7 +109,7 @@
       bufferBytes_(std::make_shared<net::MemoryBudget>(net::MemoryBudget{limits.dependencyBytes})),
       requests_(requests),
       counters_(counters),
-      closeUnusedTimer_(loop, [this] { closeUnused(); }) {}
+      closeIdleTimer_(loop, [this] { closeIdleConnections(); }) {}
 
 HttpDependencyClient::~HttpDependencyClient() = default;
 
@@ -139,8 +141,8 @@
         --position;
         const PooledConnection& connection = **position;
         // Those in front of it are to be closed as well.
-        if (connection.use == PooledConnection::Use::Discarded) return idle_.end();
-        if (now - connection.idleSince >= kSettleTime) return position;
+        if (connection.state == PooledConnection::State::Discarded) return idle_.end();
+        if (now - connection.idleSince >= kReuseDelay) return position;
     }
     return idle_.end();
 }
@@ -158,7 +160,7 @@
                                 const std::string& request) {
     PooledConnection& connection = **position;
     connection.position = position;
-    connection.use = PooledConnection::Use::Busy;
+    connection.state = PooledConnection::State::Busy;
     connection.call = call;
     connection.callBytes = request.size();
     callsInFlight_[call.id] = position;
@@ -183,15 +185,15 @@
     connection.timeoutTimer.stop();
     callsInFlight_.erase(call.id);
     if (reply.keepAlive && !connection.addressOutdated) {
-        connection.use = PooledConnection::Use::Idle;
+        connection.state = PooledConnection::State::Idle;
         connection.idleSince = net::unixNow();
-        if (idle_.empty()) closeUnusedTimer_.start(kMaxIdleTime);
+        if (idle_.empty()) closeIdleTimer_.start(kMaxIdleTime);
         idle_.splice(idle_.end(), busy_, connection.position);
     } else {
         // Not destroyed here, as it is the caller of this function: it is closed in its next turn of the
         // loop.
-        connection.use = PooledConnection::Use::Discarded;
-        closeUnusedTimer_.start(0ns);
+        connection.state = PooledConnection::State::Discarded;
+        closeIdleTimer_.start(0ns);
         idle_.splice(idle_.begin(), busy_, connection.position);
     }
     report(call.id, outcomeOf(reply), elapsed, reply.body);
@@ -204,13 +206,13 @@
 
 // ---- Connections ----------------------------------------------------------------------------------------
 
-void HttpDependencyClient::handleEnd(PooledConnection& connection, net::ConnectionEnd end) {
+void HttpDependencyClient::handleConnectionEnd(PooledConnection& connection, net::ConnectionEnd end) {
     counters_.addEnd(end);
-    if (connection.use != PooledConnection::Use::Busy) {
+    if (connection.state != PooledConnection::State::Busy) {
         idle_.erase(connection.position);
         return;
     }
-    if (maySendAgain(connection, end)) return sendAgain(connection);
+    if (isSafeToResend(connection, end)) return resend(connection);
     const Call call = connection.call;
     const Duration elapsed = net::unixNow() - call.startedAt;
     callsInFlight_.erase(call.id);
@@ -220,7 +222,7 @@
 
 // A reused connection that was gone before a byte of the call was written, or one that was refused by an
 // address that is no longer configured: the call has not begun.
-bool HttpDependencyClient::maySendAgain(const PooledConnection& connection, net::ConnectionEnd end) {
+bool HttpDependencyClient::isSafeToResend(const PooledConnection& connection, net::ConnectionEnd end) {
     const bool nothingWritten = connection.connection.output().size() == connection.callBytes;
     const bool closedWhileIdle = connection.reusedForCall &&
                                  (end == net::ConnectionEnd::Reset || end == net::ConnectionEnd::PeerClosed);
@@ -228,7 +230,7 @@
     return nothingWritten && (closedWhileIdle || refusedByOldAddress);
 }
 
-void HttpDependencyClient::sendAgain(PooledConnection& connection) {
+void HttpDependencyClient::resend(PooledConnection& connection) {
     std::string scratch;
     const std::string request(connection.connection.output().peek(connection.callBytes, scratch));
     const Call call = connection.call;
@@ -236,24 +238,24 @@
     send(openConnection(), call, request);
 }
 
-void HttpDependencyClient::moveTo(std::optional<net::Address> address) {
+void HttpDependencyClient::changeAddress(std::optional<net::Address> address) {
     if (!address) return;
     address_ = std::move(address);
     idle_.clear();
     for (const auto& connection : busy_) connection->addressOutdated = true;
 }
 
-void HttpDependencyClient::closeUnused() {
+void HttpDependencyClient::closeIdleConnections() {
     const Timestamp now = net::unixNow();
     const auto isUnused = [now](const PooledConnection& connection) {
-        return connection.use == PooledConnection::Use::Discarded ||
+        return connection.state == PooledConnection::State::Discarded ||
                now - connection.idleSince >= kMaxIdleTime;
     };
     while (!idle_.empty() && isUnused(*idle_.front())) {
         counters_.addEnd(net::ConnectionEnd::Unused);
         idle_.pop_front();
     }
-    if (!idle_.empty()) closeUnusedTimer_.start(idle_.front()->idleSince + kMaxIdleTime - now);
+    if (!idle_.empty()) closeIdleTimer_.start(idle_.front()->idleSince + kMaxIdleTime - now);
 }
 
 }  // namespace cottonwing::dependency
--- a/src/dependency/http_dependency_client.h
+++ b/src/dependency/http_dependency_client.h
@@ -35,7 +35,7 @@
     /// Sends new calls to another address. Calls in flight may still complete where they are; idle
     /// connections are closed.
     /// @param address ignored when absent: calls in flight that may have to be sent again still need one.
-    void moveTo(std::optional<net::Address> address);
+    void changeAddress(std::optional<net::Address> address);
 
     std::size_t callsInFlight() const { return callsInFlight_.size(); }
     std::size_t idleConnections() const { return idle_.size(); }
@@ -50,11 +50,11 @@
     ConnectionList::iterator openConnection();
     void send(ConnectionList::iterator position, const Call& call, const std::string& request);
     void handleReply(PooledConnection& connection, net::HttpResponseParser::Response&& reply);
-    void handleEnd(PooledConnection& connection, net::ConnectionEnd end);
-    static bool maySendAgain(const PooledConnection& connection, net::ConnectionEnd end);
-    void sendAgain(PooledConnection& connection);
+    void handleConnectionEnd(PooledConnection& connection, net::ConnectionEnd end);
+    static bool isSafeToResend(const PooledConnection& connection, net::ConnectionEnd end);
+    void resend(PooledConnection& connection);
     void report(RequestId id, Outcome outcome, Duration elapsed, std::string_view reply);
-    void closeUnused();
+    void closeIdleConnections();
 
     net::Loop& loop_;
     std::optional<net::Address> address_;
@@ -62,7 +62,7 @@
     const std::shared_ptr<net::MemoryBudget> bufferBytes_;  // shared by the buffers of all connections
     request::RequestManager& requests_;
     telemetry::Counters& counters_;
-    net::Timer closeUnusedTimer_;
+    net::Timer closeIdleTimer_;
     std::unordered_map<RequestId, ConnectionList::iterator> callsInFlight_;  // emptied by their ends
     ConnectionList busy_;
     // In the order in which they became idle, those to be closed in front; emptied by reuse, by time and by
--- a/src/registry/registry_client.cpp
+++ b/src/registry/registry_client.cpp
@@ -9,7 +9,7 @@
 using namespace std::chrono_literals;
 using telemetry::Count;
 
-constexpr const char* kLogKind = "registry";
+constexpr const char* kLogComponent = "registry";
 constexpr std::size_t kBufferBytes = 16 << 10;  // in each direction
 // The registry removes an entry 3 s after its last report: three reports may fail in between.
 constexpr Duration kEntryLifetime = 3s;
@@ -46,7 +46,7 @@
     sendReport();
 }
 
-void RegistryClient::moveTo(net::Address address) {
+void RegistryClient::changeAddress(net::Address address) {
     address_ = std::move(address);
     abandonReport();
     sendReport();
@@ -73,7 +73,7 @@
 }
 
 void RegistryClient::connect() {
-    replies_ = std::make_unique<net::HttpResponseParser>(
+    replyParser_ = std::make_unique<net::HttpResponseParser>(
         [this](net::HttpResponseParser::Response&& reply) { handleReply(reply); });
     const net::BufferLimits bounds{kBufferBytes, kBufferBytes};
     // Not by make_unique, which can't see that this is a net::ConnectionHandler.
@@ -83,10 +83,10 @@
 void RegistryClient::handleReply(const net::HttpResponseParser::Response& reply) {
     reportInFlight_ = false;
     timeoutTimer_.stop();
-    if (unavailabilityLogged_) log_.info(kLogKind, "registry available again");
+    if (unavailabilityLogged_) log_.info(kLogComponent, "registry available again");
     unavailabilityLogged_ = false;
     if (reply.status != kStatusNoContent)
-        log_.warn(kLogKind, "registry refused a report: status=" + std::to_string(reply.status));
+        log_.warn(kLogComponent, "registry refused a report: status=" + std::to_string(reply.status));
     lastReplyAt_ = net::unixNow();
     reportTimer_.start(kReportInterval);
 }
@@ -96,7 +96,7 @@
     while (!input.empty()) {
         const std::string piece(input.front());
         input.drop(piece.size());
-        if (!reportInFlight_ || !replies_->parse(piece))
+        if (!reportInFlight_ || !replyParser_->parse(piece))
             return handleConnectionEnd(net::ConnectionEnd::Malformed);
     }
 }
@@ -116,8 +116,8 @@
     // has been silent for as long as an entry lasts.
     if (!unavailabilityLogged_ && net::unixNow() - lastReplyAt_ > kEntryLifetime) {
         unavailabilityLogged_ = true;
-        log_.warn(kLogKind, "registry unavailable: silent_ms=" + std::to_string(kEntryLifetime / 1ms) +
-                                " reason=" + net::nameOf(end));
+        log_.warn(kLogComponent, "registry unavailable: silent_ms=" + std::to_string(kEntryLifetime / 1ms) +
+                                     " reason=" + net::nameOf(end));
     }
     reportTimer_.start(kRetryDelay);
 }
--- a/src/registry/registry_client.h
+++ b/src/registry/registry_client.h
@@ -27,7 +27,7 @@
     /// @param ready whether clients may use this server; false: it is draining. A change is reported at once.
     void reportReady(bool ready);
     /// Reports to another address, at once.
-    void moveTo(net::Address address);
+    void changeAddress(net::Address address);
 
 private:
     void arrived(net::Connection& connection) override;
@@ -47,8 +47,8 @@
     net::Timer reportTimer_;   // until the next report
     net::Timer timeoutTimer_;  // of the report in flight
     std::unique_ptr<net::Connection> connection_;
-    std::unique_ptr<net::HttpResponseParser> replies_;  // of connection_
-    Timestamp lastReplyAt_;                             // or the start, before the first reply
+    std::unique_ptr<net::HttpResponseParser> replyParser_;  // of connection_
+    Timestamp lastReplyAt_;                                 // or the start, before the first reply
     bool ready_ = true;
     bool reportInFlight_ = false;
     bool unavailabilityLogged_ = false;
--- a/src/server.cpp
+++ b/src/server.cpp
@@ -95,7 +95,7 @@
     const auto moveIfChanged = [&moved](auto& current, const auto& address, auto& client) {
         if (current == address) return;
         current = address;
-        client.moveTo(current);
+        client.changeAddress(current);
         ++moved;
     };
     moveIfChanged(config_.workerPool, next.workerPool, workerPoolClient_);
--- a/src/worker_pool/worker_pool_client.cpp
+++ b/src/worker_pool/worker_pool_client.cpp
@@ -103,7 +103,7 @@
     connection_->send(bindLine(lastSequenceNumber_));
 }
 
-void WorkerPoolClient::moveTo(net::Address address) {
+void WorkerPoolClient::changeAddress(net::Address address) {
     address_ = std::move(address);
     log_.info(kLogComponent,
               "worker pool address changed: address=" + address_.host + ":" + std::to_string(address_.port));
--- a/src/worker_pool/worker_pool_client.h
+++ b/src/worker_pool/worker_pool_client.h
@@ -43,7 +43,7 @@
     /// One check at a time serves all that ask for it meanwhile.
     void verifyWork(std::function<void(std::optional<bool>)> onVerified) override;
     /// Connects to another address at once. Runs go on, and what was missed is repeated.
-    void moveTo(net::Address address);
+    void changeAddress(net::Address address);
 
 private:
     void arrived(net::Connection& connection) override;
--- a/tests/config/deployment_variants_test.cpp
+++ b/tests/config/deployment_variants_test.cpp
@@ -41,7 +41,7 @@
     request::RequestManager backend(loop, start.controller, 1 << 20, 1 << 20, log, counters);
     dependency::HttpDependencyClient records(loop, start.dependency, start.limits, backend, counters);
     records.startCall(1, ThriftTestClient::trace(1), 1s, "call");
-    records.moveTo(std::nullopt);
+    records.changeAddress(std::nullopt);
     EXPECT_EQ(counters.of(telemetry::Count::CallsUnreachable), 1U);
     EXPECT_EQ(records.callsInFlight(), 0U);
 }
--- a/tests/request/event_ordering_test.cpp
+++ b/tests/request/event_ordering_test.cpp
@@ -221,7 +221,7 @@
     runUntil(loop, [&] { return counters.of(Count::WorkerPoolConnections) == 1; });
     client.requestGauges();
     old.send("{\"type\":\"chatter\",\"n\":1,\"state\":\"unread\"}\n");
-    client.moveTo({"127.0.0.1", after.port});
+    client.changeAddress({"127.0.0.1", after.port});
     runUntil(loop, [&] { return old.over(); });
     EXPECT_TRUE(old.ended);
     EXPECT_NE(old.text.find("poll"), std::string::npos);
@@ -239,9 +239,9 @@
     testing::Pool pool(loop);
     worker_pool::WorkerPoolClient client(loop, {"127.0.0.1", 1}, start.limits, {"read", "look"},
                                          start.gaugeNames, 7, requests, log, counters);
-    client.moveTo({"127.0.0.1", 1});  // while it is being opened
+    client.changeAddress({"127.0.0.1", 1});  // while it is being opened
     runUntil(loop, [&] { return counters.of(ConnectionEnd::ConnectRefused) > 0; });
-    client.moveTo(pool.server.address());  // while it waits to reconnect
+    client.changeAddress(pool.server.address());  // while it waits to reconnect
     runUntil(loop, [&] { return counters.of(Count::WorkerPoolConnections) == 1; });
     EXPECT_EQ(pool.binds.size(), 1U);
 }
