--- a/src/config/controller_config.cpp
+++ b/src/config/controller_config.cpp
@@ -12,41 +12,41 @@
 
 using namespace std::chrono_literals;
 
-const std::map<std::string, Idempotency>& idempotencyWords() {
-    static const std::map<std::string, Idempotency> kWords = {
+const std::map<std::string, Idempotency>& idempotencyValues() {
+    static const std::map<std::string, Idempotency> kValues = {
         {keys::kIdempotent, Idempotency::Idempotent},
         {keys::kIdempotentWithKey, Idempotency::WithKey},
         {keys::kNotIdempotent, Idempotency::None},
     };
-    return kWords;
+    return kValues;
 }
 
-const std::map<std::string, RunCancellation>& runCancellationWords() {
-    static const std::map<std::string, RunCancellation> kWords = {
+const std::map<std::string, RunCancellation>& runCancellationValues() {
+    static const std::map<std::string, RunCancellation> kValues = {
         {keys::kOff, RunCancellation::Unsupported},
         {keys::kCancellationAborts, RunCancellation::Abort},
         {keys::kCancellationSuspends, RunCancellation::Suspend},
     };
-    return kWords;
+    return kValues;
 }
 
-const std::map<std::string, LoadSignal>& loadSignalWords() {
-    static const std::map<std::string, LoadSignal> kWords = {
+const std::map<std::string, LoadSignal>& loadSignalValues() {
+    static const std::map<std::string, LoadSignal> kValues = {
         {keys::kOff, LoadSignal::None},
         {keys::kSignalThreshold, LoadSignal::Threshold},
         {keys::kSignalWindow, LoadSignal::Window},
         {keys::kSignalShare, LoadSignal::Share},
     };
-    return kWords;
+    return kValues;
 }
 
-const std::map<std::string, DependencyKind>& dependencyKindWords() {
-    static const std::map<std::string, DependencyKind> kWords = {
+const std::map<std::string, DependencyKind>& dependencyKindValues() {
+    static const std::map<std::string, DependencyKind> kValues = {
         {keys::kOff, DependencyKind::None},
         {keys::kDependencyShared, DependencyKind::Shared},
         {keys::kDependencyTier, DependencyKind::Tier},
     };
-    return kWords;
+    return kValues;
 }
 
 std::string readName(const JsonReader& entry, const char* key) {
@@ -57,7 +57,7 @@
 
 RequestClass readRequestClass(const JsonReader& entry) {
     RequestClass requestClass;
-    requestClass.idempotency = entry.choiceOr(keys::kIdempotency, idempotencyWords(), Idempotency::None);
+    requestClass.idempotency = entry.choiceOr(keys::kIdempotency, idempotencyValues(), Idempotency::None);
     requestClass.latencyObjective = entry.microsecondsOr(keys::kLatencyObjectiveUs, 0ns);
     requestClass.timeout = entry.microsecondsOr(keys::kTimeoutUs, 0ns);
     requestClass.latencyObjectiveWorkFactor = entry.valueOr(keys::kLatencyObjectiveWorkFactor, 0.0);
@@ -106,10 +106,10 @@
     controller.idempotencyKeyKb = instance.valueOr(keys::kIdempotencyKeyKb, 0.0);
     controller.runMemoryFactor = instance.valueOr(keys::kRunMemoryFactor, 1.0);
     controller.runCancellation =
-        instance.choiceOr(keys::kRunCancellation, runCancellationWords(), RunCancellation::Unsupported);
-    controller.loadSignal = instance.choiceOr(keys::kLoadSignal, loadSignalWords(), LoadSignal::None);
+        instance.choiceOr(keys::kRunCancellation, runCancellationValues(), RunCancellation::Unsupported);
+    controller.loadSignal = instance.choiceOr(keys::kLoadSignal, loadSignalValues(), LoadSignal::None);
     controller.dependency =
-        instance.choiceOr(keys::kDependencyKind, dependencyKindWords(), DependencyKind::None);
+        instance.choiceOr(keys::kDependencyKind, dependencyKindValues(), DependencyKind::None);
     controller.dependencyQuota = instance.valueOr(keys::kDependencyQuota, 0.0);
     controller.dependencyQuotaWindow = instance.microsecondsOr(keys::kDependencyQuotaWindowUs, 0ns);
     controller.abandonedCallTime = instance.microsecondsOr(keys::kAbandonedCallTimeUs, 0ns);
--- a/src/config/json_reader.cpp
+++ b/src/config/json_reader.cpp
@@ -30,7 +30,7 @@
     return *value;
 }
 
-std::string JsonReader::requiredText(const char* key) const {
+std::string JsonReader::requiredString(const char* key) const {
     const Json& value = required(key);
     if (!value.is_string() || value.get_ref<const std::string&>().empty())
         throw ConfigError(pathOf(key), "a text", describe(value));
@@ -73,7 +73,7 @@
     return value->get<bool>();
 }
 
-std::vector<std::string> JsonReader::textsOrEmpty(const char* key) const {
+std::vector<std::string> JsonReader::stringsOrEmpty(const char* key) const {
     std::vector<std::string> texts;
     const Json* const list = find(key);
     if (list == nullptr) return texts;
--- a/src/config/json_reader.h
+++ b/src/config/json_reader.h
@@ -29,7 +29,7 @@
     const nlohmann::json* find(const char* key) const;
 
     /// A text of at least one byte; throws when it is missing.
-    std::string requiredText(const char* key) const;
+    std::string requiredString(const char* key) const;
     /// A number above 0; throws when it is missing.
     double requiredPositive(const char* key) const;
     /// An object; throws when it is missing.
@@ -42,7 +42,7 @@
     /// `true` or `false`; throws on everything else, `null` included.
     bool flagOr(const char* key, bool fallback) const;
     /// A list of texts; throws on everything else, `null` included.
-    std::vector<std::string> textsOrEmpty(const char* key) const;
+    std::vector<std::string> stringsOrEmpty(const char* key) const;
 
     /// A value of the type T; the fallback when it is missing or `null`.
     template <typename T>
--- a/src/config/process_config.cpp
+++ b/src/config/process_config.cpp
@@ -46,7 +46,7 @@
 }
 
 net::Address readAddress(const JsonReader& file, const char* key) {
-    return readAddress(file.pathOf(key), file.requiredText(key));
+    return readAddress(file.pathOf(key), file.requiredString(key));
 }
 
 telemetry::Level readLogLevel(const Environment& environment) {
@@ -72,9 +72,9 @@
 }
 
 // The file repeats what the environment says: a file that is meant for another instance is refused.
-void validateSameAsVariable(const JsonReader& file, const char* key, const std::string& value,
-                            const char* variable) {
-    const std::string text = file.requiredText(key);
+void validateMatchesVariable(const JsonReader& file, const char* key, const std::string& value,
+                             const char* variable) {
+    const std::string text = file.requiredString(key);
     if (text != value)
         throw ConfigError(file.pathOf(key), quoted(value) + " as in " + variable, quoted(text));
 }
@@ -97,7 +97,7 @@
     double sockets = 0;
 };
 
-ResourceLimits divide(const ProcessLimits& limits) {
+ResourceLimits divideLimits(const ProcessLimits& limits) {
     const auto connections = [&](double fraction) {
         return static_cast<std::size_t>(limits.sockets * fraction);
     };
@@ -124,11 +124,11 @@
         throw ConfigError(limits.pathOf(keys::kLimitMemoryMb), "at least 16", describe(memoryMb));
     if (sockets < kMinSockets)
         throw ConfigError(limits.pathOf(keys::kLimitSockets), "at least 64", describe(sockets));
-    return divide({.memoryMb = memoryMb, .sockets = sockets});
+    return divideLimits({.memoryMb = memoryMb, .sockets = sockets});
 }
 
 std::uint64_t readSeed(const JsonReader& file) {
-    const std::string text = file.requiredText(keys::kSeed);
+    const std::string text = file.requiredString(keys::kSeed);
     const std::optional<std::uint64_t> seed = parseSeed(text);
     if (!seed) throw ConfigError(file.pathOf(keys::kSeed), "up to 16 hex digits", quoted(text));
     return *seed;
@@ -169,32 +169,32 @@
 }  // namespace
 
 ProcessConfig readProcessConfig(const Environment& environment) {
-    ProcessConfig process;
-    process.name = readVariable(environment, keys::kNameVariable);
+    ProcessConfig config;
+    config.name = readVariable(environment, keys::kNameVariable);
     const std::string listen = readVariable(environment, keys::kListenVariable);
     const std::string path = readVariable(environment, keys::kFileVariable);
-    process.listen = readAddress(keys::kListenVariable, listen);
-    process.level = readLogLevel(environment);
+    config.listen = readAddress(keys::kListenVariable, listen);
+    config.level = readLogLevel(environment);
 
     const Json document = readFile(path);
     const JsonReader file(document, "");
-    validateSameAsVariable(file, keys::kName, process.name, keys::kNameVariable);
-    validateSameAsVariable(file, keys::kListen, listen, keys::kListenVariable);
-    process.workerPool = readAddress(file, keys::kWorkerPool);
-    process.registry = readAddress(file, keys::kRegistry);
-    process.restartOnlyKeys = readRestartOnlyKeys(file);
-    process.shutdownTimeout = readShutdownTimeout(file);
-    process.limits = readLimits(file);
-    process.controller = readController(file, process.nameTables);
+    validateMatchesVariable(file, keys::kName, config.name, keys::kNameVariable);
+    validateMatchesVariable(file, keys::kListen, listen, keys::kListenVariable);
+    config.workerPool = readAddress(file, keys::kWorkerPool);
+    config.registry = readAddress(file, keys::kRegistry);
+    config.restartOnlyKeys = readRestartOnlyKeys(file);
+    config.shutdownTimeout = readShutdownTimeout(file);
+    config.limits = readLimits(file);
+    config.controller = readController(file, config.nameTables);
 
     const JsonReader instance = file.requiredObject(keys::kSettings).requiredObject(keys::kInstance);
-    process.dependency = readDependency(file, process.controller.dependency);
+    config.dependency = readDependency(file, config.controller.dependency);
     instance.requiredPositive(keys::kCores);
     instance.requiredPositive(keys::kMemoryLimitKb);
-    process.gaugeNames = instance.textsOrEmpty(keys::kGaugeNames);
-    process.deregisterWhenUnhealthy = instance.flagOr(keys::kDeregisterWhenUnhealthy, false);
-    process.clientsSendTimeout = instance.flagOr(keys::kClientsSendTimeout, false);
-    return process;
+    config.gaugeNames = instance.stringsOrEmpty(keys::kGaugeNames);
+    config.deregisterWhenUnhealthy = instance.flagOr(keys::kDeregisterWhenUnhealthy, false);
+    config.clientsSendTimeout = instance.flagOr(keys::kClientsSendTimeout, false);
+    return config;
 }
 
 }  // namespace cottonwing::config
--- a/src/telemetry/log.cpp
+++ b/src/telemetry/log.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr std::chrono::seconds kSuppressionInterval{1};
-constexpr int kLinesPerInterval = 10;
+constexpr int kMaxLinesPerInterval = 10;
 
 const char* nameOf(Level level) {
     switch (level) {
@@ -59,31 +59,32 @@
 
 Log::~Log() = default;
 
-void Log::line(Level level, const char* kind, std::string_view text) {
-    if (isEnabled(level) && !isSuppressed(kind)) write(level, kind, text);
+void Log::line(Level level, const char* component, std::string_view text) {
+    if (isEnabled(level) && !isSuppressed(component)) write(level, component, text);
 }
 
-bool Log::isSuppressed(const char* kind) {
+bool Log::isSuppressed(const char* component) {
     const auto now = std::chrono::steady_clock::now();
-    Interval& interval = intervals_[kind];
+    Interval& interval = intervals_[component];
     if (now - interval.begin >= kSuppressionInterval) {
         if (interval.suppressed > 0)
-            write(Level::Info, kind, std::to_string(interval.suppressed) + " more lines left out");
+            write(Level::Info, component, std::to_string(interval.suppressed) + " more lines left out");
         interval = {now, 0, 0};
     }
     ++interval.lines;
-    if (interval.lines <= kLinesPerInterval) return false;
+    if (interval.lines <= kMaxLinesPerInterval) return false;
     ++interval.suppressed;
     return true;
 }
 
-void Log::write(Level level, std::string_view kind, std::string_view text) {
+void Log::write(Level level, std::string_view component, std::string_view text) {
     const spdlog::level::level_enum spdlogLevel = spdlogLevelOf(level);
     const char* const name = nameOf(level);
     if (format_ == LogFormat::Text)
-        logger_->log(spdlogLevel, "{} {}: {}", name, kind, text);
+        logger_->log(spdlogLevel, "{} {}: {}", name, component, text);
     else
-        logger_->log(spdlogLevel, R"("level":"{}","kind":{},"text":{})", name, quoted(kind), quoted(text));
+        logger_->log(spdlogLevel, R"("level":"{}","kind":{},"text":{})", name, quoted(component),
+                     quoted(text));
 }
 
 }  // namespace cottonwing::telemetry
--- a/src/telemetry/log.h
+++ b/src/telemetry/log.h
@@ -47,15 +47,16 @@
     bool isEnabled(Level level) const { return level <= level_; }
 
     /// Writes a line, unless its level is not enabled or its kind is suppressed.
-    /// @param kind the part of the program that writes: a string literal, so that the table of kinds stays
+    /// @param component the part of the program that writes: a string literal, so that the table of kinds
+    /// stays
     ///        small and its keys valid.
     /// @param text may hold any bytes; in JSON, those that are not UTF-8 are replaced.
-    void line(Level level, const char* kind, std::string_view text);
+    void line(Level level, const char* component, std::string_view text);
 
-    void error(const char* kind, std::string_view text) { line(Level::Error, kind, text); }
-    void warn(const char* kind, std::string_view text) { line(Level::Warn, kind, text); }
-    void info(const char* kind, std::string_view text) { line(Level::Info, kind, text); }
-    void debug(const char* kind, std::string_view text) { line(Level::Debug, kind, text); }
+    void error(const char* component, std::string_view text) { line(Level::Error, component, text); }
+    void warn(const char* component, std::string_view text) { line(Level::Warn, component, text); }
+    void info(const char* component, std::string_view text) { line(Level::Info, component, text); }
+    void debug(const char* component, std::string_view text) { line(Level::Debug, component, text); }
 
 private:
     /// The lines of one kind in the present interval.
@@ -65,8 +66,8 @@
         std::uint64_t suppressed = 0;
     };
 
-    bool isSuppressed(const char* kind);
-    void write(Level level, std::string_view kind, std::string_view text);
+    bool isSuppressed(const char* component);
+    void write(Level level, std::string_view component, std::string_view text);
 
     Level level_;
     LogFormat format_;
--- a/tests/config/config_test.cpp
+++ b/tests/config/config_test.cpp
@@ -34,12 +34,12 @@
     const Json document = Json::parse(R"({"text": "a", "number": 2.5, "time_us": 1500, "flag": true,
         "list": [{"x": 1}, {"x": 2}], "texts": ["a", "b"], "null": null, "word": "two", "empty": ""})");
     const JsonReader reader(document, "");
-    EXPECT_EQ(reader.requiredText("text"), "a");
+    EXPECT_EQ(reader.requiredString("text"), "a");
     EXPECT_EQ(reader.requiredPositive("number"), 2.5);
     EXPECT_EQ(reader.microsecondsOr("time_us", 0ns), 1500us);
     EXPECT_TRUE(reader.flagOr("flag", false));
     EXPECT_EQ(reader.listOrEmpty("list")[1].valueOr("x", 0), 2);
-    EXPECT_EQ(reader.textsOrEmpty("texts"), (std::vector<std::string>{"a", "b"}));
+    EXPECT_EQ(reader.stringsOrEmpty("texts"), (std::vector<std::string>{"a", "b"}));
     EXPECT_EQ(reader.choiceOr<int>("word", {{"one", 1}, {"two", 2}}, 0), 2);
     EXPECT_EQ(reader.choiceOr<int>("empty", {{"one", 1}}, 7), 7);
 }
@@ -60,14 +60,14 @@
     const Json document =
         Json::parse(R"({"a": {"number": -1, "word": "x", "list": [{"x": "y"}], "null": null}})");
     const JsonReader reader = JsonReader(document, "").requiredObject("a");
-    EXPECT_EQ(errorOf([&] { reader.requiredText("b"); }), "a.b: expected a value, found nothing");
-    EXPECT_EQ(errorOf([&] { reader.requiredText("number"); }), "a.number: expected a text, found -1");
+    EXPECT_EQ(errorOf([&] { reader.requiredString("b"); }), "a.b: expected a value, found nothing");
+    EXPECT_EQ(errorOf([&] { reader.requiredString("number"); }), "a.number: expected a text, found -1");
     EXPECT_EQ(errorOf([&] { reader.requiredPositive("number"); }),
               "a.number: expected a number above 0, found -1");
     EXPECT_EQ(errorOf([&] { reader.requiredObject("word"); }), "a.word: expected an object, found \"x\"");
     EXPECT_EQ(errorOf([&] { reader.listOrEmpty("word"); }), "a.word: expected a list, found \"x\"");
     EXPECT_EQ(errorOf([&] { reader.flagOr("null", true); }), "a.null: expected true or false, found null");
-    EXPECT_EQ(errorOf([&] { reader.textsOrEmpty("number"); }),
+    EXPECT_EQ(errorOf([&] { reader.stringsOrEmpty("number"); }),
               "a.number: expected a list of names, found -1");
     EXPECT_EQ(errorOf([&] { reader.listOrEmpty("list")[0].valueOr("x", 0); }),
               "a.list[0].x: expected a value of another type, found \"y\"");
