--- a/tests/config/config_test.cpp
+++ b/tests/config/config_test.cpp
@@ -21,7 +21,7 @@
     return "no error";
 }
 
-TEST(ConfigError, KeepsItsPartsAndNamesThemInItsText) {
+TEST(ConfigError, StoresItsPartsAndFormatsThemAsItsMessage) {
     const ConfigError error("limits.sockets", "at least 64", "8");
     EXPECT_STREQ(error.what(), "limits.sockets: expected at least 64, found 8");
     EXPECT_EQ(error.path(), "limits.sockets");
@@ -30,7 +30,7 @@
     EXPECT_STREQ(ConfigError("pool", "a text").what(), "pool: expected a text");
 }
 
-TEST(JsonReader, GivesFieldsByTheirType) {
+TEST(JsonReader, ReadsFieldsByType) {
     const Json document = Json::parse(R"({"text": "a", "number": 2.5, "time_us": 1500, "flag": true,
         "list": [{"x": 1}, {"x": 2}], "texts": ["a", "b"], "null": null, "word": "two", "empty": ""})");
     const JsonReader reader(document, "");
@@ -44,7 +44,7 @@
     EXPECT_EQ(reader.choiceOr<int>("empty", {{"one", 1}}, 7), 7);
 }
 
-TEST(JsonReader, TakesTheFallbackForWhatIsMissingOrNull) {
+TEST(JsonReader, UsesTheFallbackForMissingAndNullFields) {
     const Json document = Json::parse(R"({"null": null, "number": 4})");
     const JsonReader reader(document, "");
     for (const char* key : {"null", "missing"}) {
@@ -56,7 +56,7 @@
     EXPECT_EQ(reader.objectOrEmpty("number").valueOr("x", 3), 3);
 }
 
-TEST(JsonReader, NamesThePathAndWhatWasFound) {
+TEST(JsonReader, ErrorsNameThePathAndTheValueFound) {
     const Json document =
         Json::parse(R"({"a": {"number": -1, "word": "x", "list": [{"x": "y"}], "null": null}})");
     const JsonReader reader = JsonReader(document, "").requiredObject("a");
@@ -77,7 +77,7 @@
               "a.word: expected one of one, two, found 'x'");
 }
 
-TEST(ParseAddress, TakesANumericHostAndAPort) {
+TEST(ParseAddress, AcceptsANumericHostAndAPort) {
     EXPECT_EQ(net::Address::parse("127.0.0.1:8080"), (net::Address{"127.0.0.1", 8080}));
     EXPECT_EQ(net::Address::parse("127.0.0.1:0"), (net::Address{"127.0.0.1", 0}));
     for (const char* text : {"", "127.0.0.1", "localhost:80", "127.0.0.1:", "127.0.0.1:x", "127.0.0.1:80 ",
@@ -85,7 +85,7 @@
         EXPECT_FALSE(net::Address::parse(text)) << text;
 }
 
-TEST(ParseSeed, TakesUpTo64BitsInHexDigits) {
+TEST(ParseSeed, AcceptsUpTo64BitsInHexDigits) {
     EXPECT_EQ(parseSeed("8c1f30d27a5be964"), 0x8c1f30d27a5be964U);
     EXPECT_EQ(parseSeed("0"), 0U);
     for (const char* text : {"", "xyz", "12 ", "-1", "18c1f30d27a5be964"})
--- a/tests/config/deployment_variants_test.cpp
+++ b/tests/config/deployment_variants_test.cpp
@@ -11,53 +11,54 @@
 using testing::ThriftTestClient;
 namespace frames = testing::frames;
 
-Json lastTier() {
-    Json all = testing::plainConfigFile();
-    all.erase("records");
-    Json& mine = all["settings"]["family_info"];
-    mine["below"] = "off";
-    mine["class_calls"] = {false, false};
-    mine["dep_share"] = 0;
-    return all;
+Json lastTierConfig() {
+    Json file = testing::plainConfigFile();
+    file.erase("records");
+    Json& instance = file["settings"]["family_info"];
+    instance["below"] = "off";
+    instance["class_calls"] = {false, false};
+    instance["dep_share"] = 0;
+    return file;
 }
 
 // The last tier is given no dependency address; requiring one once refused the start of every such instance.
 TEST(DeploymentVariants, AnInstanceWithoutDependencyNeedsNoAddressForIt) {
-    EXPECT_FALSE(testing::processConfigFrom(lastTier()).dependency.has_value());
-    Json all = testing::plainConfigFile();
-    all.erase("records");
-    EXPECT_THROW(testing::processConfigFrom(all), config::ConfigError);  // with a dependency, it does
-    all = lastTier();
-    all["records"] = "nowhere";
-    EXPECT_THROW(testing::processConfigFrom(all), config::ConfigError);
+    EXPECT_FALSE(testing::processConfigFrom(lastTierConfig()).dependency.has_value());
+    Json file = testing::plainConfigFile();
+    file.erase("records");
+    EXPECT_THROW(testing::processConfigFrom(file), config::ConfigError);  // with a dependency, it does
+    file = lastTierConfig();
+    file["records"] = "nowhere";
+    EXPECT_THROW(testing::processConfigFrom(file), config::ConfigError);
 }
 
 TEST(DeploymentVariants, ACallWithoutDependencyIsUnreachable) {
     net::Loop loop;
-    std::ostringstream lines;
-    telemetry::Log log(lines, telemetry::Level::Debug);
+    std::ostringstream logOutput;
+    telemetry::Log log(logOutput, telemetry::Level::Debug);
     telemetry::Counters counters;
-    const config::ProcessConfig start = testing::processConfigFrom(lastTier());
-    request::RequestManager backend(loop, start.controller, 1 << 20, 1 << 20, log, counters);
-    dependency::HttpDependencyClient records(loop, start.dependency, start.limits, backend, counters);
-    records.startCall(1, ThriftTestClient::trace(1), 1s, "call");
-    records.changeAddress(std::nullopt);
+    const config::ProcessConfig processConfig = testing::processConfigFrom(lastTierConfig());
+    request::RequestManager requestManager(loop, processConfig.controller, 1 << 20, 1 << 20, log, counters);
+    dependency::HttpDependencyClient dependencyClient(loop, processConfig.dependency, processConfig.limits,
+                                                      requestManager, counters);
+    dependencyClient.startCall(1, ThriftTestClient::trace(1), 1s, "call");
+    dependencyClient.changeAddress(std::nullopt);
     EXPECT_EQ(counters.of(telemetry::Count::CallsUnreachable), 1U);
-    EXPECT_EQ(records.callsInFlight(), 0U);
+    EXPECT_EQ(dependencyClient.callsInFlight(), 0U);
 }
 
 TEST(DeploymentVariants, CallsToATierAreServedAsThoseToASharedDependency) {
-    Json all = testing::plainConfigFile();
-    all["settings"]["family_info"]["below"] = "tier";
-    all["settings"]["family_info"]["dep_share"] = 0;
-    ServerFixture on(all);
-    on.bound();
-    ThriftTestClient sidecar(on.loop, on.port());
-    sidecar.ask(1);
-    on.wait([&] { return on.pool.running.contains(ThriftTestClient::trace(1)); });
-    on.pool.block(ThriftTestClient::trace(1), "call");
-    on.wait([&] { return on.pool.supplied.contains(ThriftTestClient::trace(1)); });
-    EXPECT_EQ(on.pool.supplied.at(ThriftTestClient::trace(1)), "re:call");
+    Json file = testing::plainConfigFile();
+    file["settings"]["family_info"]["below"] = "tier";
+    file["settings"]["family_info"]["dep_share"] = 0;
+    ServerFixture fixture(file);
+    fixture.bound();
+    ThriftTestClient client(fixture.loop, fixture.port());
+    client.ask(1);
+    fixture.wait([&] { return fixture.pool.running.contains(ThriftTestClient::trace(1)); });
+    fixture.pool.block(ThriftTestClient::trace(1), "call");
+    fixture.wait([&] { return fixture.pool.supplied.contains(ThriftTestClient::trace(1)); });
+    EXPECT_EQ(fixture.pool.supplied.at(ThriftTestClient::trace(1)), "re:call");
 }
 
 // Where the settings do not say that clients send how long they wait, the field is absent.
@@ -65,31 +66,31 @@
     testing::FieldMap fields = ThriftTestClient::fields(1);
     fields.erase("patience");
     for (const bool clientsSendTimeout : {true, false}) {
-        Json all = testing::plainConfigFile();
-        all["settings"]["family_info"]["passes_deadline"] = clientsSendTimeout;
-        ServerFixture on(all);
-        on.bound();
-        ThriftTestClient sidecar(on.loop, on.port());
-        sidecar.say(frames::serve(1, fields, "body"));
+        Json file = testing::plainConfigFile();
+        file["settings"]["family_info"]["passes_deadline"] = clientsSendTimeout;
+        ServerFixture fixture(file);
+        fixture.bound();
+        ThriftTestClient client(fixture.loop, fixture.port());
+        client.say(frames::serve(1, fields, "body"));
         if (clientsSendTimeout) {
-            on.wait([&] { return sidecar.answers.contains(1); });
-            EXPECT_EQ(sidecar.answers[1].kind, "refusal");
+            fixture.wait([&] { return client.answers.contains(1); });
+            EXPECT_EQ(client.answers[1].kind, "refusal");
             continue;
         }
-        on.wait([&] { return on.pool.running.contains(ThriftTestClient::trace(1)); });
-        on.pool.finish(ThriftTestClient::trace(1), "ok", "done");
-        on.wait([&] { return sidecar.answers.contains(1); });
-        EXPECT_EQ(sidecar.answers[1].body, "done");
+        fixture.wait([&] { return fixture.pool.running.contains(ThriftTestClient::trace(1)); });
+        fixture.pool.finish(ThriftTestClient::trace(1), "ok", "done");
+        fixture.wait([&] { return client.answers.contains(1); });
+        EXPECT_EQ(client.answers[1].body, "done");
         // A value that is there is read all the same.
         testing::FieldMap bad = ThriftTestClient::fields(2);
         bad["patience"] = "-4";
-        sidecar.say(frames::serve(2, bad, "body"));
-        on.wait([&] { return sidecar.answers.contains(2); });
-        EXPECT_EQ(sidecar.answers[2].kind, "refusal");
+        client.say(frames::serve(2, bad, "body"));
+        fixture.wait([&] { return client.answers.contains(2); });
+        EXPECT_EQ(client.answers[2].kind, "refusal");
     }
-    Json all = testing::plainConfigFile();
-    all["settings"]["family_info"]["passes_deadline"] = "yes";
-    EXPECT_THROW(testing::processConfigFrom(all), config::ConfigError);
+    Json file = testing::plainConfigFile();
+    file["settings"]["family_info"]["passes_deadline"] = "yes";
+    EXPECT_THROW(testing::processConfigFrom(file), config::ConfigError);
 }
 
 }  // namespace
--- a/tests/config/process_config_test.cpp
+++ b/tests/config/process_config_test.cpp
@@ -19,63 +19,63 @@
 using testing::Json;
 
 // Whatever the limits of the process are, all that has a limit of its own stays below them in total.
-RC_GTEST_PROP(ResourceLimits, TogetherStayBelowTheLimitsOfTheProcess, ()) {
+RC_GTEST_PROP(ResourceLimits, SumsStayBelowTheLimitsOfTheProcess, ()) {
     const int sockets = *rc::gen::inRange(64, 4096);
     const int megabytes = *rc::gen::inRange(16, 1024);
-    Json all = testing::plainConfigFile();
-    all["limits"] = {{"cores", 0.5}, {"memory_mb", megabytes}, {"sockets", sockets}};
-    const config::ResourceLimits shares = testing::processConfigFrom(all).limits;
-    RC_ASSERT(shares.thriftConnections * 2 > static_cast<std::size_t>(sockets));  // theirs by right, and some
-    RC_ASSERT(shares.thriftConnections + shares.dependencyConnections + 4 <=
+    Json file = testing::plainConfigFile();
+    file["limits"] = {{"cores", 0.5}, {"memory_mb", megabytes}, {"sockets", sockets}};
+    const config::ResourceLimits limits = testing::processConfigFrom(file).limits;
+    RC_ASSERT(limits.thriftConnections * 2 > static_cast<std::size_t>(sockets));  // theirs by right, and some
+    RC_ASSERT(limits.thriftConnections + limits.dependencyConnections + 4 <=
               static_cast<std::size_t>(sockets));
     const std::size_t bytes = static_cast<std::size_t>(megabytes) << 20;
-    RC_ASSERT(shares.thriftBytes + shares.dependencyBytes + shares.requestBytes + shares.workerPoolBytes <=
+    RC_ASSERT(limits.thriftBytes + limits.dependencyBytes + limits.requestBytes + limits.workerPoolBytes <=
               bytes / 8 * 5);
 }
 
 TEST(ProcessConfig, IsReadFromEnvironmentAndFile) {
-    const config::ProcessConfig start = testing::processConfigFrom(testing::plainConfigFile());
-    EXPECT_EQ(start.name, "n3");
-    EXPECT_EQ(start.shutdownTimeout, 1500ms);
-    EXPECT_EQ(start.controller.seed, 0x8c1f30d27a5be964U);
-    EXPECT_EQ(start.controller.requestClasses.size(), 2U);
-    EXPECT_EQ(start.controller.requestClasses[1].latencyObjective, 2300ms);
-    EXPECT_EQ(start.nameTables.tenants.at("acme"), 0);
-    EXPECT_TRUE(start.deregisterWhenUnhealthy);
-    EXPECT_EQ(start.gaugeNames.size(), 4U);
+    const config::ProcessConfig processConfig = testing::processConfigFrom(testing::plainConfigFile());
+    EXPECT_EQ(processConfig.name, "n3");
+    EXPECT_EQ(processConfig.shutdownTimeout, 1500ms);
+    EXPECT_EQ(processConfig.controller.seed, 0x8c1f30d27a5be964U);
+    EXPECT_EQ(processConfig.controller.requestClasses.size(), 2U);
+    EXPECT_EQ(processConfig.controller.requestClasses[1].latencyObjective, 2300ms);
+    EXPECT_EQ(processConfig.nameTables.tenants.at("acme"), 0);
+    EXPECT_TRUE(processConfig.deregisterWhenUnhealthy);
+    EXPECT_EQ(processConfig.gaugeNames.size(), 4U);
 }
 
 TEST(ProcessConfig, AnErrorNamesItsKey) {
     using Change = std::function<void(Json&)>;
     const std::vector<std::pair<std::string, Change>> cases = {
-        {"name", [](Json& all) { all["name"] = "n4"; }},
-        {"listen", [](Json& all) { all["listen"] = "127.0.0.1:9"; }},
-        {"pool", [](Json& all) { all.erase("pool"); }},
-        {"pool", [](Json& all) { all["pool"] = "localhost"; }},
-        {"records", [](Json& all) { all["records"] = "127.0.0.1:x"; }},
-        {"registry", [](Json& all) { all["registry"] = "127.0.0.1:70000"; }},
-        {"seed", [](Json& all) { all["seed"] = "xyz"; }},
-        {"stop_ms", [](Json& all) { all["stop_ms"] = 0; }},
-        {"limits", [](Json& all) { all["limits"] = 4; }},
-        {"limits.sockets", [](Json& all) { all["limits"]["sockets"] = 8; }},
-        {"limits.memory_mb", [](Json& all) { all["limits"].erase("memory_mb"); }},
-        {"settings", [](Json& all) { all.erase("settings"); }},
-        {"classes", [](Json& all) { all["settings"]["classes"] = Json::array(); }},
-        {"worth", [](Json& all) { all["settings"]["classes"][0]["worth"] = "much"; }},
-        {"repeat", [](Json& all) { all["settings"]["classes"][0]["repeat"] = "often"; }},
-        {"window_us", [](Json& all) { all["settings"]["classes"][0]["repeat"] = "guarded"; }},
-        {"deadline_us", [](Json& all) { all["settings"]["classes"][0].erase("deadline_us"); }},
-        {"degraded_worth", [](Json& all) { all["settings"]["family_info"]["degraded_worth"] = "half"; }},
-        {"below", [](Json& all) { all["settings"]["family_info"]["below"] = "off"; }},
-        {"cores", [](Json& all) { all["settings"]["family_info"].erase("cores"); }},
-        {"heap_kb", [](Json& all) { all["settings"]["family_info"]["heap_kb"] = -1; }},
-        {"own_stats", [](Json& all) { all["settings"]["family_info"]["own_stats"] = 3; }},
-        {"readiness", [](Json& all) { all["settings"]["family_info"]["readiness"] = 3; }}};
+        {"name", [](Json& file) { file["name"] = "n4"; }},
+        {"listen", [](Json& file) { file["listen"] = "127.0.0.1:9"; }},
+        {"pool", [](Json& file) { file.erase("pool"); }},
+        {"pool", [](Json& file) { file["pool"] = "localhost"; }},
+        {"records", [](Json& file) { file["records"] = "127.0.0.1:x"; }},
+        {"registry", [](Json& file) { file["registry"] = "127.0.0.1:70000"; }},
+        {"seed", [](Json& file) { file["seed"] = "xyz"; }},
+        {"stop_ms", [](Json& file) { file["stop_ms"] = 0; }},
+        {"limits", [](Json& file) { file["limits"] = 4; }},
+        {"limits.sockets", [](Json& file) { file["limits"]["sockets"] = 8; }},
+        {"limits.memory_mb", [](Json& file) { file["limits"].erase("memory_mb"); }},
+        {"settings", [](Json& file) { file.erase("settings"); }},
+        {"classes", [](Json& file) { file["settings"]["classes"] = Json::array(); }},
+        {"worth", [](Json& file) { file["settings"]["classes"][0]["worth"] = "much"; }},
+        {"repeat", [](Json& file) { file["settings"]["classes"][0]["repeat"] = "often"; }},
+        {"window_us", [](Json& file) { file["settings"]["classes"][0]["repeat"] = "guarded"; }},
+        {"deadline_us", [](Json& file) { file["settings"]["classes"][0].erase("deadline_us"); }},
+        {"degraded_worth", [](Json& file) { file["settings"]["family_info"]["degraded_worth"] = "half"; }},
+        {"below", [](Json& file) { file["settings"]["family_info"]["below"] = "off"; }},
+        {"cores", [](Json& file) { file["settings"]["family_info"].erase("cores"); }},
+        {"heap_kb", [](Json& file) { file["settings"]["family_info"]["heap_kb"] = -1; }},
+        {"own_stats", [](Json& file) { file["settings"]["family_info"]["own_stats"] = 3; }},
+        {"readiness", [](Json& file) { file["settings"]["family_info"]["readiness"] = 3; }}};
     for (const auto& [key, change] : cases) {
-        Json all = testing::plainConfigFile();
-        change(all);
+        Json file = testing::plainConfigFile();
+        change(file);
         try {
-            testing::processConfigFrom(all);
+            testing::processConfigFrom(file);
             ADD_FAILURE() << "accepted in spite of " << key;
         } catch (const config::ConfigError& error) {
             EXPECT_NE(std::string(error.what()).find(key + ": "), std::string::npos) << error.what();
--- a/tests/dependency/call_format_test.cpp
+++ b/tests/dependency/call_format_test.cpp
@@ -16,13 +16,13 @@
     return reply;
 }
 
-TEST(CallFormat, ACallIsSentByteForByte) {
+TEST(CallFormat, ACallIsFormattedByteForByte) {
     EXPECT_EQ(formatCall("00000000000000ff", 250ms, "body"),
               "POST /records/op HTTP/1.1\r\nOp-Of: 00000000000000ff\r\nOp-Wait-Ms: 250\r\n"
               "Content-Length: 4\r\n\r\nbody");
 }
 
-TEST(CallFormat, TheTimeoutIsCutToMillisecondsButNeverZero) {
+TEST(CallFormat, TheTimeoutIsTruncatedToMillisecondsButNeverZero) {
     EXPECT_NE(formatCall("x", 1999us, "").find("Op-Wait-Ms: 1\r\n"), std::string::npos);
     EXPECT_NE(formatCall("x", 20us, "").find("Op-Wait-Ms: 1\r\n"), std::string::npos);
 }
@@ -34,7 +34,7 @@
     EXPECT_EQ(outcomeOf(replyOf(204)), Outcome::Error);
 }
 
-TEST(CallFormat, AStatusThatDeniesTheBeginningNeedsTheHeaderThatSaysSo) {
+TEST(CallFormat, ANotBegunStatusCountsOnlyWithTheNotBegunHeader) {
     const std::string notBegun = "\nop-not-begun:1\n";
     EXPECT_EQ(outcomeOf(replyOf(503, notBegun)), Outcome::ResourceExhausted);
     EXPECT_EQ(outcomeOf(replyOf(503)), Outcome::Error);
--- a/tests/request/request_id_test.cpp
+++ b/tests/request/request_id_test.cpp
@@ -12,7 +12,7 @@
     EXPECT_EQ(parseRequestId("00000000000000ff"), 255U);
 }
 
-TEST(RequestIdText, AnythingElseIsNone) {
+TEST(RequestIdText, AnythingElseIsRejected) {
     EXPECT_FALSE(parseRequestId(""));
     EXPECT_FALSE(parseRequestId("9b1f03aa5c7e2d4"));
     EXPECT_FALSE(parseRequestId("9b1f03aa5c7e2d4x"));
--- a/tests/request/request_manager_test.cpp
+++ b/tests/request/request_manager_test.cpp
@@ -16,9 +16,9 @@
 
 constexpr int kIdempotentClass = 0;
 constexpr int kKeyedClass = 1;
-constexpr int kOnceOnlyClass = 2;
+constexpr int kNonIdempotentClass = 2;
 
-ControllerConfig configWithCapacityToSpare() {
+ControllerConfig configWithSpareCapacity() {
     RequestClass idempotent;
     idempotent.latencyObjective = 2s;
     idempotent.timeout = 60s;
@@ -26,11 +26,11 @@
     RequestClass keyed = idempotent;
     keyed.idempotency = Idempotency::WithKey;
     keyed.idempotencyWindow = 60s;
-    RequestClass onceOnly = idempotent;
-    onceOnly.idempotency = Idempotency::None;
+    RequestClass nonIdempotent = idempotent;
+    nonIdempotent.idempotency = Idempotency::None;
     ControllerConfig config;
     config.seed = 7;
-    config.requestClasses = {idempotent, keyed, onceOnly};
+    config.requestClasses = {idempotent, keyed, nonIdempotent};
     config.cores = 8;
     config.memoryLimitKb = 1e6;
     config.runCancellation = RunCancellation::Suspend;
@@ -56,7 +56,7 @@
         ++answerCount;
     }
     void failedByClient(RequestId id) override {
-        answers[id] = "unknown";
+        answers[id] = "failed by client";
         ++answerCount;
     }
     void setIdleTimeout(Duration /*idleTimeout*/) override {}
@@ -131,7 +131,7 @@
     RecordingSink sink;
     RecordingExecutor executor;
     RecordingDependencyClient dependencyClient;
-    RequestManager manager{loop, configWithCapacityToSpare(), 1 << 20, 1 << 20, log, counters};
+    RequestManager manager{loop, configWithSpareCapacity(), 1 << 20, 1 << 20, log, counters};
 };
 
 TEST_F(RequestManagerTest, RejectsRequestsUntilTheExecutorIsReady) {
@@ -161,7 +161,7 @@
 }
 
 TEST_F(RequestManagerTest, RejectsRequestsBeyondItsMemory) {
-    RequestManager small(loop, configWithCapacityToSpare(), 100, 1 << 20, log, counters);
+    RequestManager small(loop, configWithSpareCapacity(), 100, 1 << 20, log, counters);
     small.attach(sink, executor, dependencyClient);
     small.executorReady(false, 60s);
     IncomingRequest incoming;
@@ -183,7 +183,7 @@
     becomeReady();
     acceptAndStart(1);
     manager.runUnknownToExecutor(1);
-    EXPECT_EQ(sink.answers[1], "unknown");
+    EXPECT_EQ(sink.answers[1], "failed by client");
     EXPECT_EQ(sink.answerCount, 1);
     expectNothingTracked();
 }
@@ -198,7 +198,7 @@
     EXPECT_EQ(executor.sent.back(), "supply 1 reply");
 }
 
-TEST_F(RequestManagerTest, NeitherAnswersACancelledRequestNorKeepsItsCall) {
+TEST_F(RequestManagerTest, AbandonsTheCallOfACancelledRequestAndDoesNotAnswerIt) {
     becomeReady();
     acceptAndStart(1);
     manager.runWaitsForDependency(1, "call");
@@ -216,7 +216,7 @@
 TEST_F(RequestManagerTest, StartsOnlyIdempotentRunsAgainAfterAConnectionLoss) {
     becomeReady();
     acceptAndStart(1, kIdempotentClass);
-    acceptAndStart(2, kOnceOnlyClass);
+    acceptAndStart(2, kNonIdempotentClass);
     acceptAndStart(3, kKeyedClass, "key");
     executor.sent.clear();
     manager.resumeRuns(net::unixNow());
@@ -225,7 +225,7 @@
 
 TEST_F(RequestManagerTest, RepeatsAReplyThatMayBeLostWithTheConnection) {
     becomeReady();
-    acceptAndStart(1, kOnceOnlyClass);
+    acceptAndStart(1, kNonIdempotentClass);
     manager.runWaitsForDependency(1, "call");
     manager.processEvents();
     manager.dependencyCallCompleted(1, Outcome::Ok, 5ms, "reply");
@@ -236,7 +236,7 @@
 
 TEST_F(RequestManagerTest, DoesNotRepeatAReplyThatArrivedLongBeforeTheConnectionWasLost) {
     becomeReady();
-    acceptAndStart(1, kOnceOnlyClass);
+    acceptAndStart(1, kNonIdempotentClass);
     manager.runWaitsForDependency(1, "call");
     manager.processEvents();
     manager.dependencyCallCompleted(1, Outcome::Ok, 5ms, "reply");
@@ -247,7 +247,7 @@
 
 TEST_F(RequestManagerTest, DoesNotRepeatAReplyOnceTheRunWaitsForItsNextCall) {
     becomeReady();
-    acceptAndStart(1, kOnceOnlyClass);
+    acceptAndStart(1, kNonIdempotentClass);
     manager.runWaitsForDependency(1, "first");
     manager.processEvents();
     manager.dependencyCallCompleted(1, Outcome::Ok, 5ms, "reply");
@@ -299,17 +299,17 @@
     incoming.body = "another body";
     incoming.idempotencyKey = "key";
     manager.accept(std::move(incoming));
-    EXPECT_EQ(sink.answers[2], "unknown");
+    EXPECT_EQ(sink.answers[2], "failed by client");
     EXPECT_EQ(counters.of(Count::KeyConflicts), 1U);
 }
 
-TEST_F(RequestManagerTest, ASuccessfulRunProvesOnceThatWorkGetsDone) {
+TEST_F(RequestManagerTest, ASuccessfulRunPassesOneEndToEndHealthCheck) {
     becomeReady();
     ASSERT_TRUE(manager.healthy());
     acceptAndStart(1);
     complete(1);
     std::vector<bool> results;
-    const auto record = [&results](bool worksWell) { results.push_back(worksWell); };
+    const auto record = [&results](bool healthy) { results.push_back(healthy); };
     manager.checkEndToEndHealth(record);
     EXPECT_EQ(executor.verifications, 0);
     executor.verificationResult = false;
@@ -318,12 +318,12 @@
     EXPECT_EQ(results, (std::vector<bool>{true, false}));
 }
 
-TEST_F(RequestManagerTest, AVerificationWithoutAResultLeavesTheHealthAsItIs) {
+TEST_F(RequestManagerTest, AnEndToEndHealthCheckWithoutAResultKeepsTheHealth) {
     becomeReady();
-    bool worksWell = false;
-    manager.checkEndToEndHealth([&worksWell](bool result) { worksWell = result; });
+    bool healthy = false;
+    manager.checkEndToEndHealth([&healthy](bool result) { healthy = result; });
     EXPECT_EQ(executor.verifications, 1);
-    EXPECT_TRUE(worksWell);
+    EXPECT_TRUE(healthy);
 }
 
 }  // namespace
--- a/tests/request/request_state_test.cpp
+++ b/tests/request/request_state_test.cpp
@@ -9,7 +9,7 @@
 
 using namespace std::chrono_literals;
 
-TEST(TrackedRequest, ANewRequestWaitsAndIsNotOver) {
+TEST(TrackedRequest, ANewRequestWaitsAndIsNotFinished) {
     const TrackedRequest request;
     EXPECT_TRUE(request.isClientWaiting());
     EXPECT_FALSE(request.isRunInProgress());
@@ -17,7 +17,7 @@
     EXPECT_FALSE(request.isFinished());
 }
 
-TEST(TrackedRequest, IsOverOnceAnsweredWhenNothingRuns) {
+TEST(TrackedRequest, IsFinishedOnceAnsweredWhenNothingRuns) {
     TrackedRequest request;
     request.client = ClientState::Answered;
     EXPECT_TRUE(request.isFinished());
@@ -25,7 +25,7 @@
     EXPECT_TRUE(request.isFinished());
 }
 
-TEST(TrackedRequest, IsNotOverUntilTheEndOfItsRunIsReported) {
+TEST(TrackedRequest, IsNotFinishedUntilTheEndOfItsRunIsReported) {
     TrackedRequest request;
     request.client = ClientState::Cancelled;
     request.run = RunState::Running;
@@ -37,7 +37,7 @@
     EXPECT_TRUE(request.isFinished());
 }
 
-TEST(TrackedRequest, IsNotOverAfterItsRunUntilItIsAnswered) {
+TEST(TrackedRequest, IsNotFinishedAfterItsRunUntilItIsAnswered) {
     TrackedRequest request;
     request.run = RunState::Ended;
     EXPECT_FALSE(request.isFinished());
--- a/tests/state/idempotency_keys_test.cpp
+++ b/tests/state/idempotency_keys_test.cpp
@@ -29,7 +29,7 @@
     EXPECT_EQ(keys.join("k", 4).result, "result");
 }
 
-TEST(IdempotencyKeys, TheWindowCountsFromTheReadingAndLastsAsLongAsTheRun) {
+TEST(IdempotencyKeys, TheWindowStartsAtTheReadAndIsExtendedWhileTheRunIsPending) {
     IdempotencyKeys keys(1 << 20);
     keys.claim("k", {1, 7, 10s, 10s}, kRetention);
     // Read late, but it arrived within the window.
@@ -58,7 +58,7 @@
     EXPECT_EQ(keys.join("k", 5).outcome, KeyOutcome::Failed);
 }
 
-TEST(IdempotencyKeys, ResultsAreEvictedForKeysAndKeysAreRefusedWhenNoneIsLeft) {
+TEST(IdempotencyKeys, ResultsAreEvictedToMakeRoomForKeysAndThenKeysAreRejected) {
     IdempotencyKeys keys(4000);
     keys.claim("a", {1, 7, 10s, 10s}, kRetention);
     keys.completed("a", 1, std::string(2000, 'x'));
@@ -79,7 +79,7 @@
 
 // Over random histories: within its window no key is granted twice unless the holder is known not to have
 // run, each duplicate that waits is returned once, and the booked memory stays within its bound.
-RC_GTEST_PROP(IdempotencyKeys, NoTwoAttemptsWithAKeyRun, ()) {
+RC_GTEST_PROP(IdempotencyKeys, AtMostOneAttemptWithAKeyRuns, ()) {
     const std::size_t maxBytes = *rc::gen::inRange<std::size_t>(0, 20000);
     IdempotencyKeys keys(maxBytes);
     std::map<std::string, std::pair<Duration, RequestId>>
@@ -90,20 +90,20 @@
     for (RequestId id = 1; id <= 150; ++id) {
         now += 1ms * *rc::gen::inRange(0, 2000);
         const std::string key = std::to_string(*rc::gen::inRange(0, 6));
-        const auto notified = [&](const std::vector<RequestId>& ids) {
-            for (const RequestId one : ids) RC_ASSERT(waiting.erase(one) == 1U);
+        const auto endWaits = [&](const std::vector<RequestId>& ids) {
+            for (const RequestId duplicate : ids) RC_ASSERT(waiting.erase(duplicate) == 1U);
         };
         switch (*rc::gen::inRange(0, 5)) {
             case 0:
                 if (const auto holder = pending.find(key); holder != pending.end()) {
-                    notified(id % 2 == 0 ? keys.completed(key, holder->second, std::string(id * 10, 'r'))
+                    endWaits(id % 2 == 0 ? keys.completed(key, holder->second, std::string(id * 10, 'r'))
                                          : keys.failed(key, holder->second));
                     pending.erase(holder);
                 }
                 break;
             case 1:
                 if (const auto holder = pending.find(key); holder != pending.end()) {
-                    notified(keys.release(key, holder->second));
+                    endWaits(keys.release(key, holder->second));
                     pending.erase(holder);
                     ran.erase(key);
                 }
@@ -125,7 +125,8 @@
         RC_ASSERT(keys.bytes() <= maxBytes);
     }
     for (const auto& [key, id] : pending)
-        for (const RequestId one : keys.completed(key, id, "")) RC_ASSERT(waiting.erase(one) == 1U);
+        for (const RequestId duplicate : keys.completed(key, id, ""))
+            RC_ASSERT(waiting.erase(duplicate) == 1U);
     RC_ASSERT(waiting.empty());
     keys.claim("last", {999, 7, now + 1h, now + 1h}, kRetention);
     RC_ASSERT(keys.size() <= 1U);
--- a/tests/worker_pool/protocol_test.cpp
+++ b/tests/worker_pool/protocol_test.cpp
@@ -24,7 +24,7 @@
     return std::get<Content>(message->content);
 }
 
-TEST(PoolMessages, AFinishedRunIsReadWithAllItsFields) {
+TEST(PoolMessages, AFinishedRunIsParsedWithAllItsFields) {
     const std::string line =
         R"({"type":"finished","n":12,"job":"9b1f03aa5c7e2d41","state":"ok","took":12.5,"data":"AGI=","new":[1]})";
     const auto finished = contentOf<RunFinished>(line);
@@ -47,7 +47,7 @@
     EXPECT_EQ(outcomeFor(""), Outcome::Error);
 }
 
-TEST(PoolMessages, EachTypeIsReadAsItsKind) {
+TEST(PoolMessages, EachTypeIsParsedAsItsContent) {
     EXPECT_TRUE(contentOf<ConnectionAccepted>(R"({"type":"bound","state":"cold","took":1500})").cold);
     EXPECT_FALSE(contentOf<ConnectionAccepted>(R"({"type":"bound","state":"warm"})").cold);
     EXPECT_EQ(contentOf<ConnectionAccepted>(R"({"type":"bound","took":1500})").uptime, 1500ms);
@@ -61,7 +61,7 @@
     contentOf<InformationalMessage>(R"({"type":"chatter","n":1})");
 }
 
-TEST(PoolMessages, MalformedLinesAndUnknownTypesAreNoMessages) {
+TEST(PoolMessages, MalformedLinesAndUnknownTypesAreRejected) {
     for (const char* line : {"", "[]", "{", R"({"type":"news"})", R"({"type":"blocked","data":"AG="})",
                              R"({"type":"blocked","data":"A-=="})"})
         EXPECT_FALSE(parsePoolMessage(line)) << line;
@@ -76,7 +76,7 @@
     EXPECT_EQ(contentOf<RunFinished>(R"({"type":"finished","took":1e300})").elapsed, 0ns);
 }
 
-RC_GTEST_PROP(PoolMessages, AnyBytesAreReadOrRefused, (const std::string& bytes)) {
+RC_GTEST_PROP(PoolMessages, AnyBytesAreParsedOrRejected, (const std::string& bytes)) {
     parsePoolMessage(bytes);
     RC_ASSERT(decodeBase64(encodeBase64(bytes)) == bytes);
     const auto message =
@@ -94,7 +94,7 @@
     EXPECT_FALSE(gauges.openConnections);
 }
 
-TEST(PoolMessages, AreWrittenByteForByte) {
+TEST(PoolMessages, AreFormattedByteForByte) {
     EXPECT_EQ(bindLine(7), "{\"n\":7,\"type\":\"bind\"}\n");
     EXPECT_EQ(startLine("j", "read", "body"),
               "{\"data\":\"Ym9keQ==\",\"job\":\"j\",\"kind\":\"read\",\"type\":\"spawn\"}\n");
