--- a/src/request/decision_queue.h
+++ b/src/request/decision_queue.h
@@ -1,6 +1,6 @@
 /// @file
-/// Collects the decisions of one OverloadController::decide call, so that they are carried out in order only
-/// after the controller has returned: carrying one out may report further events.
+/// Buffers the decisions of one OverloadController::decide call. They are carried out in order after the
+/// controller has returned, because carrying one out may report further events.
 #pragma once
 
 #include <string_view>
@@ -24,12 +24,12 @@
     Pushback pushback;
 };
 
-/// Answers a request that ran, or may have run, without a result.
+/// Fails a request that ran, or may have run, and has no result.
 struct FailRequest {
     RequestId id;
 };
 
-/// Stops a run that nobody waits for any more.
+/// Cancels a run whose result no client waits for.
 struct CancelRun {
     RequestId id;
 };
@@ -55,17 +55,17 @@
     bool healthy;
 };
 
-/// Advertises the share of its usual traffic that the server can take.
+/// Advertises the fraction of its usual traffic that this server can accept.
 struct AdvertiseLoadShare {
     double share;  ///< From 0 to 1.
 };
 
-/// Limits how long a client connection may stay unused.
+/// Sets the idle timeout of client connections.
 struct SetIdleTimeout {
     Duration idleTimeout;
 };
 
-/// Requests the next control tick.
+/// Schedules the next control tick, which delivers current gauges to the controller.
 struct ScheduleTick {
     Duration delay;
 };
@@ -75,8 +75,8 @@
     std::variant<StartRun, RejectRequest, FailRequest, CancelRun, CallDependency, SkipDependencyCall,
                  JoinDuplicate, SetHealth, AdvertiseLoadShare, SetIdleTimeout, ScheduleTick>;
 
-/// Records each decision in the order in which it was made. Log messages of the controller are passed on at
-/// once.
+/// Buffers decisions in the order in which they are made. Log messages of the controller are written
+/// immediately.
 class DecisionQueue : public DecisionSink {
 public:
     /// @param log receives the controller's messages; must outlive the queue.
@@ -84,7 +84,7 @@
 
     /// @return the decisions since the last clear(), in order.
     const std::vector<Decision>& decisions() const { return decisions_; }
-    /// Empties the queue; its storage is kept for the next batch.
+    /// Clears the queue but keeps its capacity for the next batch.
     void clear() { decisions_.clear(); }
 
     void startRun(RequestId id) override;
@@ -93,10 +93,10 @@
     void cancelRun(RequestId id) override;
     void callDependency(RequestId id, Duration timeout) override;
     void skipDependencyCall(RequestId id) override;
-    /// Reported as an error: the server holds idempotency keys in memory of its own, so no key of the
-    /// controller's takes memory that is booked for requests.
+    /// Logs an error, because the controller should not make this decision: the server stores idempotency
+    /// keys itself, outside the memory that the controller accounts for requests.
     void retainKey(RequestId id, Duration lifetime) override;
-    /// Reported as an error, as retainKey.
+    /// Logs an error, as retainKey does.
     void releaseKey(RequestId id) override;
     void joinDuplicate(RequestId id) override;
     void setHealth(bool healthy) override;
@@ -107,7 +107,7 @@
 
 private:
     telemetry::Log& log_;
-    std::vector<Decision> decisions_;  // emptied once they are carried out
+    std::vector<Decision> decisions_;  // cleared once they have been carried out
 };
 
 }  // namespace cottonwing::request
--- a/src/request/dependency_client.h
+++ b/src/request/dependency_client.h
@@ -9,13 +9,13 @@
 
 namespace cottonwing::request {
 
-/// Carries out dependency calls, at most one at a time for each request. The end of a call is reported
-/// through RequestManager::dependencyCallCompleted, possibly from within startCall.
+/// Makes dependency calls, at most one at a time per request. The outcome of a call is reported through
+/// RequestManager::dependencyCallCompleted, possibly from within startCall.
 class DependencyClient {
 public:
     virtual ~DependencyClient() = default;
 
-    /// Sends a call; a call of the same request that is still in progress is abandoned first.
+    /// Starts a call; a call of the same request that is still in progress is abandoned first.
     /// @param id of the request.
     /// @param externalId of the request, as the client sent it.
     /// @param timeout of this attempt.
@@ -23,7 +23,7 @@
     virtual void startCall(RequestId id, const std::string& externalId, Duration timeout,
                            std::string_view body) = 0;
 
-    /// Abandons the request's call, whose end is then not reported. No effect when none is in progress.
+    /// Abandons the request's call, whose outcome is then not reported. No effect if none is in progress.
     /// @param id of the request.
     virtual void abandonCall(RequestId id) = 0;
 };
--- a/src/request/executor.h
+++ b/src/request/executor.h
@@ -1,5 +1,5 @@
 /// @file
-/// The interface to what runs requests: a worker pool or upstream servers.
+/// The interface to the backend that runs requests: a worker pool or upstream servers.
 #pragma once
 
 #include <cstdint>
@@ -13,18 +13,18 @@
 
 namespace cottonwing::request {
 
-/// What a run is started with. Refers to storage of the caller and is valid during Executor::start only.
+/// The parameters of a run. Refers to storage of the caller and is valid only during Executor::start.
 struct RunSpec {
     const std::string& externalId;  ///< The request's id in the form in which the client sent it.
     int requestClass;               ///< Index into ControllerConfig::requestClasses.
     std::string_view body;
     PayloadFormat format;
-    std::uint64_t routingKey;  ///< Names what the request is about, for executors that route by it.
+    std::uint64_t routingKey;  ///< Hash of the request's subject, for executors that route by subject.
     Timestamp deadline;        ///< When the client stops waiting.
 };
 
-/// Runs requests. Reports back through RequestManager, possibly from within start. Runs are addressed by the
-/// external id of their request.
+/// Runs requests and reports to the RequestManager, possibly from within start. A run is identified by the
+/// external id of its request.
 class Executor {
 public:
     virtual ~Executor() = default;
@@ -33,7 +33,7 @@
     /// @param run valid during the call only.
     virtual void start(const RunSpec& run) = 0;
 
-    /// Stops a run that nobody waits for any more. Its end is reported all the same.
+    /// Cancels a run whose result no client waits for. The end of the run is still reported.
     /// @param externalId of the request.
     virtual void cancel(const std::string& externalId) = 0;
 
@@ -46,11 +46,11 @@
     /// @param externalId of the request.
     virtual void skipDependencyCall(const std::string& externalId) = 0;
 
-    /// Requests fresh measurements; they arrive through RequestManager::updateGauges.
+    /// Requests current gauges, which are delivered through RequestManager::updateGauges.
     virtual void requestGauges() = 0;
 
-    /// Checks end to end that work gets done, by doing a little of it.
-    /// @param onVerified receives the result, or nothing when none came in time.
+    /// Checks end to end that work can be done, by doing a small piece of test work.
+    /// @param onVerified receives the result; nullopt if there was none in time.
     virtual void verifyWork(std::function<void(std::optional<bool>)> onVerified) = 0;
 };
 
--- a/src/request/payload_format.h
+++ b/src/request/payload_format.h
@@ -1,12 +1,12 @@
 /// @file
-/// The format of the bytes that a request carries to the executor.
+/// The format in which a request body is passed to the executor.
 #pragma once
 
 namespace cottonwing::request {
 
 /// How the executor is to interpret the body of a request.
 enum class PayloadFormat {
-    Plain,  ///< The body consists of the request's own bytes.
+    Plain,  ///< The body is application data.
     Scgi    ///< The body is a complete SCGI request, and the result is a complete response.
 };
 
--- a/src/request/request_id.h
+++ b/src/request/request_id.h
@@ -9,9 +9,9 @@
 
 namespace cottonwing::request {
 
-/// Parses a request id as it stands on the wire.
+/// Parses a request id in its wire form.
 /// @param text exactly 16 hexadecimal digits.
-/// @return the id; nothing when the text has another form.
+/// @return the id; nullopt if the text has another form.
 std::optional<RequestId> parseRequestId(std::string_view text);
 
 }  // namespace cottonwing::request
--- a/src/request/request_manager.cpp
+++ b/src/request/request_manager.cpp
@@ -13,18 +13,19 @@
 using state::KeyOutcome;
 using telemetry::Count;
 
-// Gauges older than this are left out of a batch rather than presented as current.
+// Gauges older than this are omitted from a batch instead of being reported as current.
 constexpr Duration kGaugesMaxAge = 100ms;
-// What was sent within this time before a connection was lost may be lost with it.
+// Messages sent within this time before a connection was lost may not have arrived.
 constexpr Duration kLossWindow = 1s;
-// After a request has been over for this long the executor does not run it any more: asked to start it, it
-// reports that nothing ran. Also the interval between such inquiries.
+// Time from the answer to a request, or its cancellation, until its unconfirmed start is checked, and between
+// such checks. After this time the executor no longer runs the request: when it is asked to start it, it
+// reports that nothing ran.
 constexpr Duration kStartCheckDelay = 1s;
-// The greatest difference between the clocks of clients and servers that is tolerated. An idempotency key is
-// retained that much longer than its window and the longest wait of its client.
+// Tolerated difference between the clocks of clients and servers. An idempotency key is retained for this
+// long beyond its window and the timeout of its request class.
 constexpr Duration kClockTolerance = 2s;
-// Memory booked for each request: its body, the body of its dependency call and the reply, estimated by the
-// size of its body each, and what the tables take.
+// Memory reserved for each request: its body, the body of its dependency call and the reply, each estimated
+// at the size of the request's body, and the overhead of the table entries.
 constexpr std::size_t kBodiesPerRequest = 3;
 constexpr std::size_t kRequestOverheadBytes = 1024;
 
@@ -64,13 +65,13 @@
     return entry;
 }
 
-// Nothing can run before the executor is ready, or without memory for the request.
+// No request can run before the executor is ready, or without memory for it.
 bool RequestManager::hasCapacityFor(std::size_t bytes) const {
     return controller_ && reservedBytes_ + bytes <= maxRequestBytes_;
 }
 
-// A rejection tells the client that nothing ran and another server may be tried. Where another attempt holds
-// the idempotency key and may have run, the request fails instead.
+// A rejection tells the client that nothing ran and that it may retry on another server. If another attempt
+// holds the idempotency key and may have run, the request fails instead.
 void RequestManager::rejectForCapacity(Table::iterator entry, const IncomingRequest& incoming) {
     if (controller_) counters_.add(Count::RejectedForMemory);
     if (!incoming.idempotencyKey.empty() && keys_.holder(incoming.idempotencyKey) != 0)
@@ -78,7 +79,7 @@
     answerRejected(entry, {});
 }
 
-// Returns whether the request is to go on; otherwise it has been answered.
+// Returns whether to proceed with the request; if not, it has been answered.
 bool RequestManager::claimIdempotencyKey(Table::iterator entry, IncomingRequest& incoming) {
     const RequestClass& requestClass = classOf(incoming.request.requestClass);
     if (requestClass.idempotency != Idempotency::WithKey) return true;
@@ -184,7 +185,7 @@
 void RequestManager::runUnknownToExecutor(RequestId id) {
     const auto entry = findRunning(id);
     if (entry == table_.end()) return;
-    // The entry stays after the answer, as its run has yet to end.
+    // The entry remains after the answer, because its run has not ended yet.
     if (entry->second.isClientWaiting()) answerFailedByClient(entry);
     runCompleted(id, Outcome::Superseded, 0ns, {});
 }
@@ -209,9 +210,9 @@
     return classOf(request.requestClass).idempotency == Idempotency::Idempotent;
 }
 
-// Also restarts runs that nobody waits for any more: only the report of an end, even of a run that never was,
-// removes the request from the table. A request that may run only once is not restarted, as its run may have
-// ended meanwhile; it is inquired after once it is over.
+// Also restarts runs whose clients no longer wait: a request is removed from the table only when the executor
+// reports the end of its run, even if nothing ran. A request that may run only once is not restarted, because
+// its run may have ended in the meantime; checkUnconfirmedStarts() handles it once no answer is due.
 void RequestManager::restartOrMarkUnconfirmed(TrackedRequest& request, Timestamp lostAt) {
     if (mayRunTwice(request)) return executor_->start(request.runSpec());
     const bool startMayBeLost = request.runStartedAt > lostAt - kLossWindow;
@@ -220,8 +221,8 @@
     ++unconfirmedStartCount_;
 }
 
-// An instruction from before the loss window has arrived: repeated, it might be taken for the answer to the
-// run's next dependency call.
+// A continuation sent before the loss window has arrived; if it were resent, it might be taken for the reply
+// to the run's next dependency call.
 void RequestManager::resendContinuation(const TrackedRequest& request, Timestamp lostAt) {
     const std::optional<RunContinuation>& last = request.continuation;
     if (!last || last->sentAt <= lostAt - kLossWindow) return;
@@ -231,16 +232,15 @@
         executor_->skipDependencyCall(request.externalId);
 }
 
-// A request whose start may be lost would otherwise stay in the table for ever. Started again once it is
-// over, a run in progress is not disturbed, and where there is none the executor reports that nothing was
-// started.
+// Without this check, a request whose start was lost would stay in the table forever. Starting it again once
+// no answer is due is safe: a run in progress is not affected, and if there is none, the executor reports
+// that nothing was started.
 void RequestManager::checkUnconfirmedStarts(Timestamp now) {
     if (unconfirmedStartCount_ == 0) return;
     for (auto& [id, request] : table_) {
         if (request.run != RunState::StartUnconfirmed || request.isClientWaiting()) continue;
         if (now - request.startCheckDelayBeganAt < kStartCheckDelay) continue;
-        request.startCheckDelayBeganAt =
-            now;  // inquires again after the same delay, should this be lost as well
+        request.startCheckDelayBeganAt = now;  // repeats the check, in case this start is lost as well
         executor_->start(request.runSpec());
     }
 }
@@ -253,7 +253,7 @@
     if (entry == table_.end() || !entry->second.isDependencyCallInProgress()) return;
     TrackedRequest& request = entry->second;
     request.dependencyCall = CallProgress::NotInProgress;
-    // No run waits for the call: the end of the run is about to be reported, and that is what counts.
+    // No run waits for the call: the end of the run is about to be reported and determines the outcome.
     if (outcome == Outcome::Superseded) return;
     if (outcome == Outcome::Ok) {
         request.continuation = RunContinuation{std::string(reply), net::unixNow()};
@@ -270,8 +270,8 @@
     hasEvents_ = true;
 }
 
-// The latest gauges go into this batch, and new ones are requested for the next: a batch never waits for
-// them, and gauges that did not arrive in time are absent rather than old.
+// Adds the latest gauges to this batch and requests new ones for the next tick. The batch is not delayed
+// until gauges arrive; outdated gauges are left unset.
 void RequestManager::controlTick() {
     const Timestamp now = net::unixNow();
     if (now < nextTickAt_) return tickTimer_.start(nextTickAt_ - now);
@@ -286,7 +286,7 @@
     if (!controller_) return endedThisIteration_.clear();
     if (!hasEvents_) return;
     counters_.add(Count::EventBatches);
-    // The controller's time is the Unix clock, but never goes back or stands still.
+    // The controller's time is the Unix clock, made strictly increasing.
     lastDecisionAt_ = std::max(lastDecisionAt_ + 1ns, net::unixNow());
     EventBatch batch = std::move(batch_);
     batch_ = EventBatch{};
@@ -308,14 +308,14 @@
     for (const auto& [id, request] : table_)
         if (request.isClientWaiting()) unanswered.push_back(id);
     for (const RequestId id : unanswered) {
-        // The answer to one may have ended others that waited for it.
+        // Failing one request may have answered the duplicates that waited for it.
         const auto entry = findWaiting(id);
         if (entry != table_.end()) answerFailed(entry);
     }
 }
 
 // ---- Decisions of the controller ------------------------------------------------------------------------
-// The request of a decision may have ended since the events that the decision rests on.
+// The request of a decision may have ended after the events on which the decision is based.
 
 void RequestManager::carryOut(const StartRun& decision) {
     const auto entry = table_.find(decision.id);
@@ -410,7 +410,7 @@
     return entry != table_.end() && entry->second.isClientWaiting() ? entry : table_.end();
 }
 
-// ---- Answers and ends -----------------------------------------------------------------------------------
+// ---- Answers and removal --------------------------------------------------------------------------------
 
 void RequestManager::answerCompleted(Table::iterator entry, std::string_view result) {
     entry->second.sink->completed(entry->first, result);
@@ -455,16 +455,17 @@
     table_.erase(entry);
     if (request.idempotencyRole == IdempotencyRole::DuplicateWaiting)
         keys_.stopWaiting(request.idempotencyKey, id);
-    // Without effect on a key whose run has ended: that key stays. Otherwise nothing ran, and the duplicates
-    // that wait may be tried again.
+    // Has no effect on a key whose run has ended: that key is retained. Otherwise nothing ran, and the
+    // waiting duplicates are rejected so that their clients can retry.
     if (request.idempotencyRole == IdempotencyRole::HoldsKey)
         resolveDuplicates(keys_.release(request.idempotencyKey, id), {});
 }
 
 // ---- Idempotency keys -----------------------------------------------------------------------------------
 
-// Records what became of the run that holds the key, and answers the duplicates that waited for it. Only a
-// run that is known not to have been started releases the key; an unconfirmed start may have run before.
+// Records the outcome of the run that holds the key and answers the duplicates that waited for it. The key is
+// released only if the run is known not to have started; after an unconfirmed start, the request may have run
+// before.
 void RequestManager::recordKeyOutcome(Table::iterator entry, Outcome outcome, bool startUnconfirmed,
                                       std::string_view result) {
     const RequestId id = entry->first;
@@ -481,8 +482,8 @@
     for (const RequestId id : duplicates) resolveDuplicate(id, result);
 }
 
-// A duplicate is answered with what became of the attempt that holds its key; while that is pending, it
-// waits.
+// Answers a duplicate with the outcome of the attempt that holds its key, or lets it wait while that outcome
+// is pending.
 void RequestManager::resolveDuplicate(RequestId id, state::KeyResult result) {
     const auto entry = findWaiting(id);
     if (entry == table_.end()) return;
@@ -515,7 +516,7 @@
     const bool runSucceeded = std::exchange(runSucceededSinceCheck_, false);
     if (runSucceeded) return onChecked(true);
     executor_->verifyWork([this, onChecked = std::move(onChecked)](std::optional<bool> verified) {
-        // No result in time does not prove that work fails.
+        // The absence of a timely result does not prove a failure.
         onChecked(healthy_ && verified.value_or(true));
     });
 }
--- a/src/request/request_manager.h
+++ b/src/request/request_manager.h
@@ -1,14 +1,15 @@
 /// @file
-/// The owner of every request from its acceptance to its answer.
+/// Manages every request from its acceptance to its answer.
 ///
-/// Collects the events of one turn of the loop, has the overload controller decide once, and carries out the
-/// decisions in order. Knows no protocol: requests arrive from and answers go to a ResponseSink; runs and
-/// dependency calls go through an Executor and a DependencyClient.
+/// Collects the events of one iteration of the event loop, passes them to the overload controller in one
+/// batch, and carries out its decisions in order. Independent of protocols: protocol servers pass requests in
+/// and receive the answers through ResponseSink; runs and dependency calls go through Executor and
+/// DependencyClient.
 ///
-/// Who owns what: the table of requests (RequestState), the batch of events in progress and the queue of
-/// decisions belong to the RequestManager alone. The overload controller keeps its own account of each
-/// request, fed by the events only. Bodies and results are passed to the interfaces as views that are valid
-/// during the call. Idempotency keys and their results belong to state::IdempotencyKeys, which only the
+/// Ownership: the table of requests (TrackedRequest), the batch of events being collected and the queue of
+/// decisions belong to the RequestManager alone. The overload controller has its own state for each request,
+/// which only events update. Bodies and results are passed to the interfaces as views that are valid during
+/// the call. Idempotency keys and their results belong to state::IdempotencyKeys, which only the
 /// RequestManager calls.
 #pragma once
 
@@ -36,34 +37,38 @@
 
 namespace cottonwing::request {
 
-/// Tracks requests between the protocol servers, the overload controller, the executor and the dependency
-/// client. Lives on the loop's thread. Events about requests that are not tracked are ignored.
+/// Tracks requests and connects the protocol servers, the overload controller, the executor and the
+/// dependency client. Must be used on the loop's thread only. Events about requests that are not tracked are
+/// ignored.
 class RequestManager {
 public:
     /// @param loop must outlive the manager, as must log and counters.
     /// @param config of the overload controller; copied.
-    /// @param maxRequestBytes memory that the bodies of all tracked requests may take.
-    /// @param maxKeyBytes memory that idempotency keys and their results may take.
+    /// @param maxRequestBytes memory limit for the bodies of all tracked requests together.
+    /// @param maxKeyBytes memory limit for idempotency keys and their results together.
     RequestManager(net::Loop& loop, const ControllerConfig& config, std::size_t maxRequestBytes,
                    std::size_t maxKeyBytes, telemetry::Log& log, telemetry::Counters& counters);
 
-    /// Joins the parts; to be called once, before the first event. All must outlive the manager's use.
+    /// Attaches the collaborators, which must stay valid while the manager is used. Must be called once,
+    /// before the first event.
     /// @param sink receives the answers of requests that name no sink.
     void attach(ResponseSink& sink, Executor& executor, DependencyClient& dependencyClient);
-    /// Adds a protocol server beside the first one.
+    /// Adds the sink of a further protocol server.
     void addResponseSink(ResponseSink& sink) { sinks_.push_back(&sink); }
     /// @param onChange receives the health each time the controller sets it.
     void onHealthChange(std::function<void(bool)> onChange) { onHealthChange_ = std::move(onChange); }
 
     // ---- Events from protocol servers.
 
-    /// @return whether the id may not be used for another request yet. That includes a request that ended in
-    /// this turn: the controller has yet to learn of its end, and would take the two requests for one.
+    /// @return whether the id is still in use. This includes a request that ended in the current loop
+    /// iteration: the controller has not processed its end yet, and would take a new request with the same id
+    /// for the old one.
     bool contains(RequestId id) const { return table_.contains(id) || endedThisIteration_.contains(id); }
-    /// Accepts a request; the sink is answered exactly once, possibly from within the call.
-    /// @param incoming its id must not be contained.
+    /// Accepts a request. Its sink receives exactly one answer, possibly from within the call, unless the
+    /// client cancels.
+    /// @param incoming must have an id for which contains() is false.
     void accept(IncomingRequest incoming);
-    /// The client no longer waits; the sink is not answered.
+    /// The client cancelled the request: its sink receives no answer.
     void clientCancelled(RequestId id);
 
     // ---- Events from the executor.
@@ -72,19 +77,19 @@
     /// @param cold whether it needs to warm up.
     /// @param uptime time since it started.
     void executorReady(bool cold, Duration uptime);
-    /// A run wants its dependency call.
-    /// @param callBody what the call is to carry.
+    /// A run waits for its dependency call.
+    /// @param callBody body of the call.
     void runWaitsForDependency(RequestId id, std::string callBody);
-    /// A run ended. Its client, if it still waits, is answered at once.
-    /// @param elapsed time that the run took.
+    /// A run ended. Its client, if it still waits, is answered immediately.
+    /// @param elapsed duration of the run.
     /// @param result of a successful run; valid during the call only.
     void runCompleted(RequestId id, Outcome outcome, Duration elapsed, std::string_view result);
-    /// The executor refused to start the run.
+    /// The executor rejected the start of a run because it does not know the request.
     void runUnknownToExecutor(RequestId id);
-    /// Takes in the measurements that requestGauges asked for.
+    /// Stores the gauges requested by Executor::requestGauges until the next control tick.
     void updateGauges(const Gauges& gauges);
-    /// Restores what the executor has to know after its connection was lost and opened again: all runs that
-    /// are still in progress. To be called once the reports missed meanwhile have been read.
+    /// Synchronizes the runs in progress with the executor after its connection was lost and reopened. Must
+    /// be called after the reports that were missed in the meantime have been processed.
     /// @param lostAt when the connection was lost.
     void resumeRuns(Timestamp lostAt);
 
@@ -96,29 +101,31 @@
 
     // ---- Control.
 
-    /// Graceful shutdown begins.
-    /// @param stopAt when the process ends.
+    /// Begins the graceful shutdown.
+    /// @param stopAt when the process exits.
     void beginShutdown(Timestamp stopAt);
-    /// Has the controller decide on all events since the last call, and carries its decisions out. To be
-    /// called at the end of each turn of the loop.
+    /// Passes all events since the last call to the controller and carries out its decisions. Must be called
+    /// at the end of each loop iteration.
     void processEvents();
 
-    /// Fails every request that is still unanswered, for the end of the process: the controller is not told.
+    /// Fails every request that is still unanswered, just before the process exits. The controller is not
+    /// notified.
     void failUnanswered();
 
     // ---- Observation.
 
-    /// @return the health as the controller set it last.
+    /// @return the health that the controller set last.
     bool healthy() const { return healthy_; }
-    /// Checks that work gets done, beyond healthy(): a run that succeeded since the last such check proves
-    /// it; otherwise the executor does a little work.
+    /// Checks end to end that requests can be run, in addition to healthy(). A run that succeeded since the
+    /// last such check is sufficient proof; otherwise the executor does a small piece of test work.
     /// @param onChecked receives the result, possibly from within the call.
     void checkEndToEndHealth(std::function<void(bool)> onChecked);
-    /// @return the share of its usual traffic that the server can take, from 0 to 1, once one was set.
+    /// @return the fraction of its usual traffic that this server can accept, from 0 to 1; nullopt until it
+    /// is set.
     std::optional<double> advertisedLoadShare() const { return advertisedLoadShare_; }
-    /// @return the number of requests whose clients wait.
+    /// @return the number of requests whose clients wait for an answer.
     std::size_t unansweredCount() const { return unansweredCount_; }
-    /// @return the number of requests whose clients wait or whose runs are in progress.
+    /// @return the number of requests whose clients wait for an answer or whose runs are in progress.
     std::size_t trackedCount() const { return table_.size(); }
 
 private:
@@ -151,7 +158,7 @@
     Table::iterator findRunning(RequestId id);
     Table::iterator findRunningAndWaiting(RequestId id);
 
-    // Answers and ends.
+    // Answers and removal.
     void answerCompleted(Table::iterator entry, std::string_view result);
     void answerRejected(Table::iterator entry, const Pushback& pushback);
     void answerFailed(Table::iterator entry);
@@ -188,7 +195,7 @@
     std::unique_ptr<OverloadController> controller_;  // created once the executor is ready
     DecisionQueue decisions_;
     EventBatch batch_;        // events since the last processEvents()
-    bool hasEvents_ = false;  // whether batch_ is to be decided on
+    bool hasEvents_ = false;  // whether batch_ must be passed to the controller
     Timestamp lastDecisionAt_{0};
     Timestamp nextTickAt_{0};
     Gauges gauges_;
@@ -196,12 +203,12 @@
     bool healthy_ = false;
     bool runSucceededSinceCheck_ = false;
     std::optional<double> advertisedLoadShare_;
-    Table table_;  // entries leave with the answer or cancellation and the end of the run
-    std::unordered_set<RequestId> endedThisIteration_;  // emptied by the next processEvents()
+    Table table_;  // an entry is removed once no answer is due and its run has ended
+    std::unordered_set<RequestId> endedThisIteration_;  // cleared by the next processEvents()
     state::IdempotencyKeys keys_;
     std::size_t unconfirmedStartCount_ = 0;  // requests in RunState::StartUnconfirmed
     std::size_t unansweredCount_ = 0;
-    std::size_t reservedBytes_ = 0;  // by all requests of the table
+    std::size_t reservedBytes_ = 0;  // sum over table_
 };
 
 }  // namespace cottonwing::request
--- a/src/request/request_state.h
+++ b/src/request/request_state.h
@@ -1,12 +1,12 @@
 /// @file
-/// The state of one request from its acceptance until both its answer and the end of its run are known.
+/// The state of one request from its acceptance until no answer is due and its run has ended.
 ///
-/// Five independent aspects, each with one owner that changes it:
-///  - ClientState: RequestManager, on the answer or on the client's cancellation;
-///  - RunState: RequestManager, on the controller's decisions and on the executor's reports;
-///  - CallProgress: RequestManager, as it starts and abandons calls at the DependencyClient;
+/// Five independent aspects, all changed by the RequestManager only:
+///  - ClientState: when the request is answered or its client cancels it;
+///  - RunState: on decisions of the controller and reports of the executor;
+///  - CallProgress: when a call of the DependencyClient is started, completed or abandoned;
 ///  - IdempotencyRole: mirrors what state::IdempotencyKeys holds for this request;
-///  - RunContinuation: what the run was last sent in place of its dependency call.
+///  - RunContinuation: when the run is sent the reply to its dependency call or told to skip the call.
 #pragma once
 
 #include <cstddef>
@@ -25,33 +25,33 @@
 /// Whether the client still waits for the answer.
 enum class ClientState {
     Waiting,
-    Answered,  ///< One answer went to the response sink.
+    Answered,  ///< The answer was passed to the response sink.
     Cancelled  ///< Cancelled by the client; no answer is due.
 };
 
-/// What is known of the request's run.
+/// What is known about the request's run.
 enum class RunState {
     NotStarted,
     Running,
-    /// The start may have been lost with a connection, and the request may not run twice: the executor is
-    /// asked for the run only after nobody waits for the request any more.
+    /// The start may have been lost with a connection, and the request must not run twice: it is sent again
+    /// only once the client has been answered or has cancelled.
     StartUnconfirmed,
     Ended
 };
 
-/// Whether a dependency call of the request is out.
+/// Whether a dependency call of the request is in progress.
 enum class CallProgress { NotInProgress, InProgress };
 
-/// The part that the request plays for its idempotency key.
+/// The relation of the request to its idempotency key.
 enum class IdempotencyRole {
-    None,             ///< Its class carries no key, or the key has not been claimed.
+    None,             ///< Its class uses no keys, or the key has not been claimed.
     HoldsKey,         ///< The first attempt with the key; the only one that may run.
-    Duplicate,        ///< Another attempt holds the key; the controller has yet to decide.
+    Duplicate,        ///< Another attempt holds the key; the controller has not decided yet.
     DuplicateWaiting  ///< Waits for the end of the attempt that holds the key.
 };
 
-/// What a run was sent so that it continues after it asked for its dependency call. It is retained because it
-/// may be lost with the executor's connection and is then sent again.
+/// What was sent to a run to let it continue after it asked for its dependency call. Retained to be resent if
+/// it may have been lost with the executor's connection.
 struct RunContinuation {
     std::optional<std::string> reply;  ///< Body of the reply; absent: the call was skipped.
     Timestamp sentAt{0};
@@ -68,15 +68,14 @@
     ResponseSink* sink = nullptr;  ///< Receives the answer; not owned, outlives the request.
 
     ClientState client = ClientState::Waiting;
-    /// When the answer was given or the client cancelled; moved on with each inquiry after an unconfirmed
-    /// start.
+    /// When the request was answered or cancelled, or when its unconfirmed start was last checked.
     Timestamp startCheckDelayBeganAt{0};
 
     RunState run = RunState::NotStarted;
     Timestamp runStartedAt{0};
 
     CallProgress dependencyCall = CallProgress::NotInProgress;
-    std::string dependencyCallBody;  ///< Of the call that the run asked for last.
+    std::string dependencyCallBody;  ///< Of the last call that the run asked for.
     std::optional<RunContinuation> continuation;
 
     std::string idempotencyKey;
@@ -85,13 +84,13 @@
     std::size_t reservedBytes = 0;  ///< Counted against the RequestManager's memory limit.
 
     bool isClientWaiting() const { return client == ClientState::Waiting; }
-    /// Whether the executor has yet to report the end of the run; its start may be unconfirmed.
+    /// Whether the executor has not yet reported the end of the run; the start may be unconfirmed.
     bool isRunInProgress() const;
     bool isDependencyCallInProgress() const { return dependencyCall == CallProgress::InProgress; }
-    /// Whether nothing is to be awaited: no answer is due and no run is in progress.
+    /// Whether no answer is due and no run is in progress.
     bool isFinished() const { return !isClientWaiting() && !isRunInProgress(); }
 
-    /// @return what the executor is to be started with; refers to this object.
+    /// @return the parameters with which to start the run; refers to this object.
     RunSpec runSpec() const;
 };
 
--- a/src/request/response_sink.h
+++ b/src/request/response_sink.h
@@ -29,14 +29,14 @@
     /// @param id of the request.
     virtual void failed(RequestId id) = 0;
 
-    /// The request failed because of its client: the executor does not know such a request, or its
-    /// idempotency key belongs to a request with another body. The protocol server may count this as a
+    /// The request failed through a fault of its client: the executor does not know the request, or its
+    /// idempotency key belongs to a request with a different body. The protocol server may count this as a
     /// protocol error of the connection.
     /// @param id of the request.
     virtual void failedByClient(RequestId id) = 0;
 
-    /// Sets how long a client connection may stay unused before it is closed.
-    /// @param idleTimeout the limit.
+    /// Sets the idle timeout of client connections.
+    /// @param idleTimeout a connection that is unused for longer is closed.
     virtual void setIdleTimeout(Duration idleTimeout) = 0;
 };
 
--- a/src/state/idempotency_keys.cpp
+++ b/src/state/idempotency_keys.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-// A key whose holder has yet to end may not expire before it: its retention is extended by this.
+// A key must not expire before its holder's run has ended. Until then, its retention is extended by this
+// time.
 constexpr Duration kPendingExtension = std::chrono::seconds(1);
 
 }  // namespace
@@ -23,7 +24,8 @@
     Entry entry;
     entry.holder = attempt.id;
     entry.bodyHash = attempt.bodyHash;
-    // Counted from the reading, which is never before the arrival that the window counts from.
+    // The window starts when the attempt is read, which is never before its arrival, so it is never too
+    // short.
     entry.windowEnd = attempt.readAt + retention.window;
     entry.retainedUntil = entry.windowEnd + retention.lateReadAllowance;
     insert(key, std::move(entry));
@@ -40,8 +42,8 @@
     if (position == table_.end()) return {};
     Entry& entry = position->second;
     if (entry.outcome == KeyOutcome::Pending) entry.waitingDuplicates.push_back(duplicate);
-    // Completed, but there was no memory for the result: it can't be given again, and the request must not
-    // run again.
+    // Completed, but the result was not stored or was evicted for lack of memory: it cannot be returned
+    // again, and the request must not run again.
     if (entry.outcome == KeyOutcome::Completed && !entry.result) return {KeyOutcome::Failed, {}};
     return {entry.outcome, entry.result ? std::string_view(*entry.result) : std::string_view()};
 }
@@ -83,7 +85,7 @@
     return kResultOverheadBytes + result.size();
 }
 
-// The entry of the key if that attempt holds it and has yet to end; otherwise table_.end().
+// The entry of the key if this attempt holds it and its outcome is pending; otherwise table_.end().
 IdempotencyKeys::Table::iterator IdempotencyKeys::findPendingOf(const std::string& key, RequestId holder) {
     const auto position = table_.find(key);
     if (position == table_.end()) return position;
@@ -122,7 +124,7 @@
     entry.result.reset();
 }
 
-// Drops results, the oldest first, until that much memory is free. Returns whether it is.
+// Evicts results, the oldest first, until this much memory is free. Returns whether it is.
 bool IdempotencyKeys::evictResultsFor(std::size_t wantedBytes) {
     while (bytes_ + wantedBytes > maxBytes_ && !resultsByAge_.empty())
         dropResult(resultsByAge_.begin()->second->second);
