--- a/src/dependency/call_format.cpp
+++ b/src/dependency/call_format.cpp
@@ -9,13 +9,13 @@
 
 using namespace std::chrono_literals;
 
-// The words of the protocol. No other file knows them.
+// The names used on the wire. They appear in no other file of the server.
 constexpr std::string_view kRequestLine = "POST /records/op HTTP/1.1\r\n";
 constexpr std::string_view kRequestIdHeader = "Op-Of: ";
 constexpr std::string_view kTimeoutMillisHeader = "Op-Wait-Ms: ";
 constexpr std::string_view kContentLengthHeader = "Content-Length: ";
 constexpr std::string_view kLineEnd = "\r\n";
-// Present in replies to calls that the dependency did not begin; in lower case, as replies are searched.
+// Present in replies to calls that the dependency did not begin. In lower case, as required by Response::has.
 constexpr std::string_view kNotBegunHeader = "op-not-begun";
 constexpr std::string_view kNotBegunValue = "1";
 
@@ -24,7 +24,7 @@
 constexpr int kStatusServiceUnavailable = 503;
 constexpr int kStatusGatewayTimeout = 504;
 
-constexpr std::int64_t kMinTimeoutMillis = 1;  // 0 would have another meaning
+constexpr std::int64_t kMinTimeoutMillis = 1;  // 0 has a different meaning
 
 }  // namespace
 
--- a/src/dependency/http_dependency_client.cpp
+++ b/src/dependency/http_dependency_client.cpp
@@ -13,9 +13,11 @@
 
 constexpr std::size_t kInputBufferBytes = 128 << 10;
 constexpr std::size_t kOutputBufferBytes = 32 << 10;
-// The other side closes connections after 10 s without use: no call is to be sent on one that is closing.
+// The dependency closes connections after 10 s without use. They are closed here before that, so that no call
+// is sent on a connection that is being closed.
 constexpr Duration kMaxIdleTime = 4s;
-// A duplicate of a reply may follow it in pieces; it must not be taken for the reply to the next call.
+// Time after a reply until its connection is reused. A duplicate of the reply may follow in pieces, and must
+// not be taken for the reply to the next call.
 constexpr Duration kReuseDelay = 5ms;
 
 Count counterOf(Outcome outcome) {
@@ -49,14 +51,14 @@
 struct HttpDependencyClient::Call {
     RequestId id = 0;
     Timestamp startedAt{0};
-    Timestamp deadline{0};  ///< Of this attempt; unchanged when the call is sent again.
+    Timestamp deadline{0};  ///< Of this attempt; unchanged when the call is resent.
 };
 
 struct HttpDependencyClient::PooledConnection : private net::ConnectionHandler {
     enum class State {
         Busy,
         Idle,
-        Discarded  ///< To be closed in the next turn of the loop.
+        Discarded  ///< To be closed in the next iteration of the loop.
     };
 
     explicit PooledConnection(HttpDependencyClient& owner)
@@ -96,7 +98,7 @@
     Timestamp idleSince{0};
     bool addressOutdated = false;  // connected to an address that is no longer configured
     Call call;                     // the last one
-    std::size_t callBytes = 0;     // size of the call as it is sent
+    std::size_t callBytes = 0;     // size of the formatted call
     bool reusedForCall = false;    // the call was sent on a connection that had been idle
 };
 
@@ -134,13 +136,13 @@
     send(position, {id, now, now + timeout}, request);
 }
 
-// The connection used last of those past the time in which something may still follow their replies.
+// The most recently used idle connection whose reuse delay has passed; idle_.end() if there is none.
 HttpDependencyClient::ConnectionList::iterator HttpDependencyClient::findReusable() {
     const Timestamp now = net::unixNow();
     for (auto position = idle_.end(); position != idle_.begin();) {
         --position;
         const PooledConnection& connection = **position;
-        // Those in front of it are to be closed as well.
+        // All connections in front of it are discarded as well.
         if (connection.state == PooledConnection::State::Discarded) return idle_.end();
         if (now - connection.idleSince >= kReuseDelay) return position;
     }
@@ -190,7 +192,7 @@
         if (idle_.empty()) closeIdleTimer_.start(kMaxIdleTime);
         idle_.splice(idle_.end(), busy_, connection.position);
     } else {
-        // Not destroyed here, as it is the caller of this function: it is closed in its next turn of the
+        // Not destroyed here, because it is the caller of this function; closed in the next iteration of the
         // loop.
         connection.state = PooledConnection::State::Discarded;
         closeIdleTimer_.start(0ns);
@@ -220,8 +222,8 @@
     report(call.id, net::outcomeOf(end), elapsed, {});
 }
 
-// A reused connection that was gone before a byte of the call was written, or one that was refused by an
-// address that is no longer configured: the call has not begun.
+// The call has not begun if no byte of it was written and either the reused connection was closed while idle,
+// or the connection was refused by an address that is no longer configured.
 bool HttpDependencyClient::isSafeToResend(const PooledConnection& connection, net::ConnectionEnd end) {
     const bool nothingWritten = connection.connection.output().size() == connection.callBytes;
     const bool closedWhileIdle = connection.reusedForCall &&
--- a/src/dependency/http_dependency_client.h
+++ b/src/dependency/http_dependency_client.h
@@ -1,5 +1,5 @@
 /// @file
-/// The HTTP client of the dependency: one call at a time on a connection, connections kept for reuse.
+/// The HTTP client of the dependency: one call at a time per connection, with a pool of reusable connections.
 #pragma once
 
 #include <list>
@@ -15,14 +15,14 @@
 
 namespace cottonwing::dependency {
 
-/// Carries out dependency calls. Each call that is started ends in exactly one report to
-/// RequestManager::dependencyCallCompleted, unless it is abandoned. A call that fails before any of it was
-/// sent on a reused connection is sent once more on a new one; no other call is repeated here. Not
-/// thread-safe.
+/// Makes dependency calls. Each started call results in exactly one report to
+/// RequestManager::dependencyCallCompleted, unless it is abandoned. A call that fails on a reused connection
+/// before any of it was sent is resent on a new one, as is one refused by an address that is no longer
+/// configured; no other call is retried here. Not thread-safe.
 class HttpDependencyClient : public request::DependencyClient {
 public:
     /// @param address of the dependency; without one each call ends as unreachable.
-    /// @param limits bound the number of connections and the memory of their buffers.
+    /// @param limits dependencyConnections and dependencyBytes, the memory of all buffers, apply.
     /// @param requests receives the reports; must outlive the client, as must loop and counters.
     HttpDependencyClient(net::Loop& loop, std::optional<net::Address> address,
                          const config::ResourceLimits& limits, request::RequestManager& requests,
@@ -32,9 +32,9 @@
     void startCall(RequestId id, const std::string& externalId, Duration timeout,
                    std::string_view body) override;
     void abandonCall(RequestId id) override;
-    /// Sends new calls to another address. Calls in flight may still complete where they are; idle
+    /// Sends new calls to another address. Calls in flight may complete on their current connections; idle
     /// connections are closed.
-    /// @param address ignored when absent: calls in flight that may have to be sent again still need one.
+    /// @param address ignored if absent, because calls in flight may have to be resent and need an address.
     void changeAddress(std::optional<net::Address> address);
 
     std::size_t callsInFlight() const { return callsInFlight_.size(); }
@@ -63,10 +63,10 @@
     request::RequestManager& requests_;
     telemetry::Counters& counters_;
     net::Timer closeIdleTimer_;
-    std::unordered_map<RequestId, ConnectionList::iterator> callsInFlight_;  // emptied by their ends
+    std::unordered_map<RequestId, ConnectionList::iterator> callsInFlight_;  // erased at call end
     ConnectionList busy_;
-    // In the order in which they became idle, those to be closed in front; emptied by reuse, by time and by
-    // the other side.
+    // In the order in which they became idle, preceded by the discarded ones. Removed on reuse, on timeout,
+    // or when the peer closes them.
     ConnectionList idle_;
 };
 
--- a/src/registry/registry_client.cpp
+++ b/src/registry/registry_client.cpp
@@ -11,13 +11,13 @@
 
 constexpr const char* kLogComponent = "registry";
 constexpr std::size_t kBufferBytes = 16 << 10;  // in each direction
-// The registry removes an entry 3 s after its last report: three reports may fail in between.
+// The registry removes an entry 3 s after its last report, so three reports in a row may fail.
 constexpr Duration kEntryLifetime = 3s;
 constexpr Duration kReportInterval = 800ms;
 constexpr Duration kReportTimeout = 500ms;
 constexpr Duration kRetryDelay = 100ms;
 constexpr int kStatusNoContent = 204;
-// The words of the protocol.
+// Protocol strings.
 constexpr const char* kReadyBody = R"({"state":"ready"})";
 constexpr const char* kDrainingBody = R"({"state":"draining"})";
 constexpr const char* kReportMethodAndPath = "PUT /v1/instances/";
@@ -52,7 +52,8 @@
     sendReport();
 }
 
-// A report that waits for its reply must not delay the next one: it is abandoned with its connection.
+// A report that waits for its reply must not delay the next one, so it is abandoned and its connection
+// closed.
 void RegistryClient::abandonReport() {
     if (reportInFlight_) {
         counters_.add(Count::RegistryReportsFailed);
@@ -76,7 +77,7 @@
     replyParser_ = std::make_unique<net::HttpResponseParser>(
         [this](net::HttpResponseParser::Response&& reply) { handleReply(reply); });
     const net::BufferLimits bounds{kBufferBytes, kBufferBytes};
-    // Not by make_unique, which can't see that this is a net::ConnectionHandler.
+    // Not make_unique, which has no access to the private base class net::ConnectionHandler.
     connection_.reset(new net::Connection(loop_, address_, *this, bounds));
 }
 
@@ -86,7 +87,7 @@
     if (unavailabilityLogged_) log_.info(kLogComponent, "registry available again");
     unavailabilityLogged_ = false;
     if (reply.status != kStatusNoContent)
-        log_.warn(kLogComponent, "registry refused a report: status=" + std::to_string(reply.status));
+        log_.warn(kLogComponent, "registry rejected a report: status=" + std::to_string(reply.status));
     lastReplyAt_ = net::unixNow();
     reportTimer_.start(kReportInterval);
 }
@@ -112,8 +113,8 @@
     if (!reportInFlight_) return;  // an idle connection was closed: the next report opens another
     reportInFlight_ = false;
     counters_.add(Count::RegistryReportsFailed);
-    // A report without a reply may still have counted, so the registry is called unavailable only after it
-    // has been silent for as long as an entry lasts.
+    // A report without a reply may still have been processed, so the registry is logged as unavailable only
+    // after it has not replied for the lifetime of an entry.
     if (!unavailabilityLogged_ && net::unixNow() - lastReplyAt_ > kEntryLifetime) {
         unavailabilityLogged_ = true;
         log_.warn(kLogComponent, "registry unavailable: silent_ms=" + std::to_string(kEntryLifetime / 1ms) +
--- a/src/registry/registry_client.h
+++ b/src/registry/registry_client.h
@@ -1,8 +1,8 @@
 /// @file
-/// Reports this server's state to the registry, from which clients learn the servers they may use.
+/// Reports this server's state to the registry, from which clients learn which servers they may use.
 ///
-/// About one report a second goes out, on a timer and a connection of its own, so that no other work delays
-/// it: the registry removes a server that has not reported for 3 s.
+/// Sends about one report per second on a dedicated timer and connection, so that no other work delays it:
+/// the registry removes a server that has not reported for 3 s.
 #pragma once
 
 #include <memory>
@@ -15,7 +15,7 @@
 
 namespace cottonwing::registry {
 
-/// Keeps the registry informed for as long as it exists; reports that fail are repeated. Not thread-safe.
+/// Sends reports for as long as it exists; failed reports are retried. Not thread-safe.
 class RegistryClient : private net::ConnectionHandler {
 public:
     /// Sends the first report, which says that the server is ready.
@@ -26,7 +26,7 @@
 
     /// @param ready whether clients may use this server; false: it is draining. A change is reported at once.
     void reportReady(bool ready);
-    /// Reports to another address, at once.
+    /// Sends reports to another address, starting immediately.
     void changeAddress(net::Address address);
 
 private:
--- a/src/worker_pool/base64.h
+++ b/src/worker_pool/base64.h
@@ -1,5 +1,5 @@
 /// @file
-/// Base64 (RFC 4648, section 4), in which the worker pool protocol carries bytes.
+/// Base64 (RFC 4648, section 4), the encoding of binary data in the worker pool protocol.
 #pragma once
 
 #include <optional>
@@ -8,11 +8,11 @@
 
 namespace cottonwing::worker_pool {
 
-/// @return the text for these bytes, padded to a multiple of four characters.
+/// @return the encoded bytes, padded to a multiple of four characters.
 std::string encodeBase64(std::string_view bytes);
 
 /// @param text padded base64.
-/// @return the bytes; nothing when the text is not base64.
+/// @return the decoded bytes; nullopt if the text is not base64.
 std::optional<std::string> decodeBase64(std::string_view text);
 
 }  // namespace cottonwing::worker_pool
--- a/src/worker_pool/protocol.cpp
+++ b/src/worker_pool/protocol.cpp
@@ -11,7 +11,7 @@
 
 using Json = nlohmann::json;
 
-// The words of the protocol. No other file knows them.
+// The names used on the wire. They appear in no other file of the server.
 namespace wire {
 
 // Fields.
@@ -43,7 +43,7 @@
 constexpr const char* kPoll = "poll";
 constexpr const char* kVerify = "verify";
 
-// Values of the state field; by the type of the message.
+// Values of the state field, by message type.
 constexpr const char* kCold = "cold";            // connection accepted
 constexpr const char* kRunCompleted = "ok";      // run finished; anything else: it failed
 constexpr const char* kRunCancelled = "halted";  // run finished
@@ -59,7 +59,7 @@
 }  // namespace wire
 
 constexpr double kNanosPerMilli = 1e6;
-// Longer times are taken for absent, as they would not fit a Duration.
+// Longer times are treated as absent, because they would not fit into a Duration.
 constexpr double kMaxElapsedMillis = 1e12;
 
 std::string textOf(const Json& object, const char* field) {
@@ -132,7 +132,7 @@
 
 using GaugeField = std::optional<double> Gauges::*;
 
-// Where the value of each gauge goes, by the name of the gauge.
+// The field of Gauges that corresponds to each gauge name.
 const std::map<std::string, GaugeField>& gaugeFields() {
     static const std::map<std::string, GaugeField> kFields = {
         {wire::kCoreUtilization, &Gauges::coreUtilization},
--- a/src/worker_pool/worker_pool_client.cpp
+++ b/src/worker_pool/worker_pool_client.cpp
@@ -12,15 +12,15 @@
 
 constexpr const char* kLogComponent = "worker_pool";
 constexpr Duration kVerificationTimeout = 250ms;
-// With no message for this long after a poll, the connection is open but dead.
+// If no message arrives for this long after a poll, the connection is considered dead although it is open.
 constexpr Duration kPollTimeout = 1s;
-// Bounds of the random delay before a connection that could not be opened is tried again.
+// Range of the random delay before another attempt to open a connection.
 constexpr int kReconnectMinMillis = 20;
 constexpr int kReconnectMaxMillis = 100;
-// The input buffer's part of both.
+// The input buffer gets this fraction (1/n) of the memory, the output buffer the rest.
 constexpr std::size_t kInputDivisor = 4;
-// References of polls. The answer to the second kind stands behind all messages that a new connection has to
-// catch up with, and so tells that they have all been read.
+// References of polls. The answer to a caught-up poll follows all messages that the pool repeats on a new
+// connection, and so confirms that they have all been read.
 constexpr const char* kGaugesReference = "gauges";
 constexpr const char* kCaughtUpReference = "caught-up";
 
@@ -85,7 +85,7 @@
     for (const auto& onVerified : std::exchange(verifications_, {})) onVerified(result);
 }
 
-// Without a connection nothing is sent: what the pool has to know is repeated once there is one.
+// Without a connection the message is dropped: RequestManager::resumeRuns resends what the pool needs later.
 void WorkerPoolClient::sendIfReady(const std::string& line) {
     if (ready_) connection_->send(line);
 }
@@ -98,7 +98,7 @@
     unansweredPollAt_ = 0ns;
     const std::size_t inputBytes = bufferBytes_ / kInputDivisor;
     const net::BufferLimits bounds{inputBytes, bufferBytes_ - inputBytes};
-    // Not by make_unique, which can't see that this is a net::ConnectionHandler.
+    // Not make_unique, which has no access to the private base class net::ConnectionHandler.
     connection_.reset(new net::Connection(loop_, address_, *this, bounds));
     connection_->send(bindLine(lastSequenceNumber_));
 }
@@ -108,14 +108,14 @@
     log_.info(kLogComponent,
               "worker pool address changed: address=" + address_.host + ":" + std::to_string(address_.port));
     markDisconnected();
-    // Closed over messages that were not read yet, the old connection would be reset, and what was sent last
-    // would be lost with it.
+    // Not destroyed at once: closing a connection with unread input would reset it, and the messages sent
+    // last would be lost.
     if (connection_) connection_->closeGracefully([] {});
     connect();
 }
 
-// What was sent shortly before may be lost; that holds from the first such loss until a connection has caught
-// up.
+// Messages sent shortly before the loss may not have arrived. The time of the first loss is retained until a
+// new connection has caught up.
 void WorkerPoolClient::markDisconnected() {
     if (ready_ && lostAt_ == 0ns) lostAt_ = net::unixNow();
     ready_ = false;
@@ -127,8 +127,8 @@
         log_.warn(kLogComponent, std::string(ready_ ? "worker pool connection lost: reason="
                                                     : "worker pool connection failed: reason=") +
                                      net::nameOf(end));
-    // A connection that served is opened again at once: runs that end meanwhile delay those that wait for
-    // their cores.
+    // A connection that was in use is reopened at once: until then no end of a run is reported, which delays
+    // the runs that wait for its core.
     const bool reconnectAtOnce = ready_;
     markDisconnected();
     lossLogged_ = true;
@@ -168,7 +168,7 @@
 void WorkerPoolClient::handle(const PoolMessage& message) {
     unansweredPollAt_ = 0ns;
     if (message.sequenceNumber != 0) {
-        if (message.sequenceNumber <= lastSequenceNumber_) return;  // was read on an earlier connection
+        if (message.sequenceNumber <= lastSequenceNumber_) return;  // already read on an earlier connection
         lastSequenceNumber_ = message.sequenceNumber;
     }
     std::visit([this](const auto& content) { handle(content); }, message.content);
@@ -203,16 +203,16 @@
 }
 
 void WorkerPoolClient::handle(const WorkVerified& message) {
-    // An answer to an earlier check, which has timed out, proves nothing about this one.
+    // The answer to an earlier check that has timed out says nothing about the current one.
     if (message.reference == std::to_string(verificationCount_)) completeVerification(message.succeeded);
 }
 
-// A refused start tells that nothing of the request runs, which says something about its client and nothing
-// about the health of runs. Other messages that were refused leave a run as it is.
+// A rejected start means that nothing runs for the request. That is a fault of its client, not a sign that
+// runs fail. Other rejected messages do not affect the run.
 void WorkerPoolClient::handle(const MessageRejected& message) {
     counters_.add(Count::WorkerPoolUnknownRequests);
     log_.warn(kLogComponent,
-              "message refused by the worker pool: type=" + message.messageType + " request=" + message.job);
+              "message rejected by the worker pool: type=" + message.messageType + " request=" + message.job);
     const std::optional<RequestId> id = request::parseRequestId(message.job);
     if (id && message.isStart) requests_.runUnknownToExecutor(*id);
 }
--- a/src/worker_pool/worker_pool_client.h
+++ b/src/worker_pool/worker_pool_client.h
@@ -1,9 +1,10 @@
 /// @file
 /// The client of the worker pool, which runs the requests of this server.
 ///
-/// Holds one connection open: start, cancel and continue messages go out, reports of runs come in. When the
-/// connection is lost it is opened again after a short jittered delay. The pool then receives the number of
-/// the last report that was read, repeats the later ones, and is sent again what it may have missed.
+/// Keeps one connection open: it sends start, cancel and continue messages and receives reports about runs. A
+/// lost connection is reopened at once; if that fails, further attempts follow after short random delays. On
+/// the new connection the client sends the sequence number of the last report it read, the pool repeats the
+/// later ones, and messages that the pool may have missed are resent.
 #pragma once
 
 #include <functional>
@@ -19,13 +20,13 @@
 
 namespace cottonwing::worker_pool {
 
-/// Runs requests in the worker pool. While there is no connection, messages are dropped rather than queued:
-/// RequestManager::resumeRuns restores what matters once a connection is back. Not thread-safe.
+/// Runs requests in the worker pool. Without a connection, messages are dropped instead of queued:
+/// RequestManager::resumeRuns resends what is needed once the connection is restored. Not thread-safe.
 class WorkerPoolClient : public request::Executor, private net::ConnectionHandler {
 public:
-    /// Begins to connect.
-    /// @param limits of which the share for the worker pool bounds both buffers of the connection.
-    /// @param requestClasses names by index, as the pool knows them.
+    /// Starts connecting.
+    /// @param limits workerPoolBytes is the limit for both buffers of the connection together.
+    /// @param requestClasses names by index, as used by the pool.
     /// @param gaugeNames in the order in which the pool reports gauges.
     /// @param seed of the jitter.
     /// @param requests receives the reports; must outlive the client, as must loop, log and counters.
@@ -38,11 +39,11 @@
     void cancel(const std::string& externalId) override;
     void supplyReply(const std::string& externalId, std::string_view reply) override;
     void skipDependencyCall(const std::string& externalId) override;
-    /// Also treats the connection as lost when earlier requests have gone unanswered for too long.
+    /// Also treats the connection as lost if an earlier poll has gone unanswered for too long.
     void requestGauges() override;
-    /// One check at a time serves all that ask for it meanwhile.
+    /// Calls made while a check is in progress share its result.
     void verifyWork(std::function<void(std::optional<bool>)> onVerified) override;
-    /// Connects to another address at once. Runs go on, and what was missed is repeated.
+    /// Reconnects to another address immediately. Runs continue, and missed messages are repeated.
     void changeAddress(net::Address address);
 
 private:
@@ -76,12 +77,12 @@
     net::Timer reconnectTimer_;
     net::Timer verificationTimer_;
     std::unique_ptr<net::Connection> connection_;
-    std::vector<std::function<void(std::optional<bool>)>> verifications_;  // emptied by result or timeout
-    std::uint64_t verificationCount_ = 0;   // sent so far; the last one's reference
+    std::vector<std::function<void(std::optional<bool>)>> verifications_;  // cleared by result or timeout
+    std::uint64_t verificationCount_ = 0;   // sent so far; also the reference of the last one
     std::uint64_t lastSequenceNumber_ = 0;  // of the last numbered message that was read
-    std::size_t scannedBytes_ = 0;          // of the input, in which there is no end of line
-    Timestamp unansweredPollAt_{0};  // when the first poll was sent that no message has followed; 0: none was
-    Timestamp lostAt_{0};            // when the connection was lost that is not caught up with; 0: none was
+    std::size_t scannedBytes_ = 0;          // prefix of the input without an end of line
+    Timestamp unansweredPollAt_{0};  // when the first poll after the last received message was sent; 0: none
+    Timestamp lostAt_{0};            // of the connection, until a new one has caught up; 0: not lost
     bool ready_ = false;             // the pool has accepted the connection
     bool wasEverReady_ = false;
     bool lossLogged_ = false;  // a loss has been logged since the pool last accepted a connection
