--- a/src/config/config_error.h
+++ b/src/config/config_error.h
@@ -1,5 +1,5 @@
 /// @file
-/// The one error type of the configuration readers.
+/// The error type of all configuration readers.
 #pragma once
 
 #include <stdexcept>
@@ -7,13 +7,13 @@
 
 namespace cottonwing::config {
 
-/// A part of the configuration that can't be used. The program ends with exit code 2 when this comes up at
-/// its start, and keeps its present configuration when it comes up at a reload.
+/// An invalid part of the configuration. At startup, the program exits with code 2; on a reload, it keeps its
+/// current configuration.
 class ConfigError : public std::runtime_error {
 public:
-    /// @param path      where it stands: a variable (`GW_LOG`) or the path of a key (`limits.sockets`)
-    /// @param expected  what should stand there, as a noun phrase
-    /// @param found     what stands there; empty when that says nothing more
+    /// @param path      the environment variable (`GW_LOG`) or the path of the key (`limits.sockets`)
+    /// @param expected  what is expected there, as a noun phrase
+    /// @param found     the value found there; empty if it adds no information
     ConfigError(const std::string& path, const std::string& expected, const std::string& found = {});
 
     const std::string& path() const { return path_; }
--- a/src/config/controller_config.cpp
+++ b/src/config/controller_config.cpp
@@ -69,7 +69,7 @@
 
 void readRequestClasses(const JsonReader& settings, ControllerConfig& controller, NameTables& names) {
     const JsonReader instance = settings.objectOrEmpty(keys::kInstance);
-    // Both lists go along the classes by place; one that is too short leaves the rest at the default.
+    // Both lists run parallel to the list of classes; classes beyond the end of a list keep the default.
     const auto degraded = instance.valueOr<std::vector<double>>(keys::kDegradedValueFractions, {});
     const auto callDependency = instance.valueOr<std::vector<bool>>(keys::kClassesCallDependency, {});
     for (const JsonReader& entry : settings.listOrEmpty(keys::kRequestClasses)) {
--- a/src/config/controller_config.h
+++ b/src/config/controller_config.h
@@ -1,6 +1,6 @@
 /// @file
-/// Reads the `settings` object that operators give an instance into the configuration of the overload
-/// controller. The simulator's adapter and the server program share this reader.
+/// Reads the `settings` object of an instance into the configuration of the overload controller. Used by the
+/// server program and by the simulator adapter.
 #pragma once
 
 #include <map>
@@ -12,18 +12,18 @@
 
 namespace cottonwing::config {
 
-/// The names of request classes and tenants, each with its index in ControllerConfig.
+/// Maps the names of request classes and tenants to their indices in ControllerConfig.
 struct NameTables {
     std::map<std::string, int, std::less<>> requestClasses;
     std::map<std::string, int, std::less<>> tenants;
 };
 
-/// Reads the settings. Keys that are unknown are ignored, as platforms add new ones; keys that are missing
-/// take the default of the field.
-/// @param settings  the object; it is not kept
-/// @param seed      of the controller's random numbers
+/// Reads the settings. Unknown keys are ignored, because platforms add new ones; missing keys take the
+/// default of their field.
+/// @param settings  the object; not referenced after the call
+/// @param seed      of the controller's random generator
 /// @param names     receives the names of request classes and tenants
-/// @throws ConfigError on a value of a wrong type, an unknown word or a list without classes
+/// @throws ConfigError on a value of the wrong type, an unknown enumeration value or an empty list of classes
 ControllerConfig readControllerConfig(const nlohmann::json& settings, std::uint64_t seed, NameTables& names);
 
 }  // namespace cottonwing::config
--- a/src/config/json_reader.cpp
+++ b/src/config/json_reader.cpp
@@ -33,7 +33,7 @@
 std::string JsonReader::requiredString(const char* key) const {
     const Json& value = required(key);
     if (!value.is_string() || value.get_ref<const std::string&>().empty())
-        throw ConfigError(pathOf(key), "a text", describe(value));
+        throw ConfigError(pathOf(key), "a non-empty string", describe(value));
     return value.get<std::string>();
 }
 
--- a/src/config/json_reader.h
+++ b/src/config/json_reader.h
@@ -12,8 +12,8 @@
 
 namespace cottonwing::config {
 
-/// A JSON object together with the path at which it stands. It refers to the document, which has to outlive
-/// it. A value that is no object reads as an object without fields.
+/// A JSON object with its path in the document. Refers to the document, which must outlive it. A value that
+/// is not an object is read as an empty object.
 class JsonReader {
 public:
     /// @param path  of the object, such as `settings.family_info`; empty for the document itself
@@ -23,28 +23,28 @@
     std::string pathOf(const char* key) const;
     bool has(const char* key) const;
 
-    /// The field; throws when it is missing. `null` is a value here.
+    /// The field; throws if it is missing. `null` counts as a value.
     const nlohmann::json& required(const char* key) const;
-    /// The field, or null when it is missing. `null` is a value here.
+    /// The field, or a null pointer if it is missing. JSON `null` counts as a value.
     const nlohmann::json* find(const char* key) const;
 
-    /// A text of at least one byte; throws when it is missing.
+    /// A non-empty string; throws if it is missing.
     std::string requiredString(const char* key) const;
-    /// A number above 0; throws when it is missing.
+    /// A number above 0; throws if it is missing.
     double requiredPositive(const char* key) const;
-    /// An object; throws when it is missing.
+    /// An object; throws if it is missing.
     JsonReader requiredObject(const char* key) const;
 
-    /// An object; one without fields when it is missing or is no object.
+    /// An object; empty if the field is missing or not an object.
     JsonReader objectOrEmpty(const char* key) const;
-    /// The entries of a list; none when it is missing. Throws when it is no list.
+    /// The entries of a list; empty if it is missing. Throws if it is not a list.
     std::vector<JsonReader> listOrEmpty(const char* key) const;
-    /// `true` or `false`; throws on everything else, `null` included.
+    /// `true` or `false`; throws on any other value, including `null`.
     bool flagOr(const char* key, bool fallback) const;
-    /// A list of texts; throws on everything else, `null` included.
+    /// A list of strings, empty if it is missing; throws on any other value, including `null`.
     std::vector<std::string> stringsOrEmpty(const char* key) const;
 
-    /// A value of the type T; the fallback when it is missing or `null`.
+    /// A value of type T; the fallback if it is missing or `null`.
     template <typename T>
     T valueOr(const char* key, T fallback) const {
         const nlohmann::json* const value = find(key);
@@ -52,14 +52,14 @@
         try {
             return value->get<T>();
         } catch (const nlohmann::json::exception&) {
-            throw ConfigError(pathOf(key), "a value of another type", describe(*value));
+            throw ConfigError(pathOf(key), "a value of a different type", describe(*value));
         }
     }
 
-    /// A time that stands in whole microseconds.
+    /// A duration given in whole microseconds.
     Duration microsecondsOr(const char* key, Duration fallback) const;
 
-    /// One of the words in the table; the fallback when it is missing, `null` or empty.
+    /// The enumerator for one of the words in the table; the fallback if it is missing, `null` or empty.
     template <typename T>
     T choiceOr(const char* key, const std::map<std::string, T>& words, T fallback) const {
         const auto word = valueOr<std::string>(key, "");
@@ -72,7 +72,7 @@
     }
 
 private:
-    /// The value as JSON, cut to a length that fits a message.
+    /// The value as JSON, truncated to fit into an error message.
     static std::string describe(const nlohmann::json& value);
 
     const nlohmann::json* object_;
--- a/src/config/keys.h
+++ b/src/config/keys.h
@@ -1,12 +1,12 @@
 /// @file
-/// Every name of the configuration's format, mapped once to the term that the code uses: the variables of
-/// the environment, the keys of the JSON file, and the keys and words of its `settings` object. The platform
-/// sets these names; they are not ours to change.
+/// All names of the configuration format, each mapped once to the term used in the code: environment
+/// variables, keys of the JSON file, and keys and values of its `settings` object. The platform defines these
+/// names, so they cannot be changed here.
 #pragma once
 
 namespace cottonwing::config::keys {
 
-// Variables of the environment.
+// Environment variables.
 inline constexpr char kNameVariable[] = "GW_NAME";
 inline constexpr char kListenVariable[] = "GW_LISTEN";
 inline constexpr char kFileVariable[] = "GW_CONFIG";
@@ -23,7 +23,7 @@
 inline constexpr char kSettings[] = "settings";
 inline constexpr char kSeed[] = "seed";
 
-// `limits`: what the operating system gives the process.
+// `limits`: the resource limits that the operating system sets for the process.
 inline constexpr char kLimitCores[] = "cores";
 inline constexpr char kLimitMemoryMb[] = "memory_mb";
 inline constexpr char kLimitSockets[] = "sockets";
@@ -88,7 +88,7 @@
 inline constexpr char kGoalTotalValue[] = "whole";
 inline constexpr char kGoalWorstClass[] = "worst_class";
 
-// Words that stand as values.
+// Enumeration values.
 inline constexpr char kIdempotent[] = "free";
 inline constexpr char kIdempotentWithKey[] = "guarded";
 inline constexpr char kNotIdempotent[] = "single_shot";
--- a/src/config/parse.h
+++ b/src/config/parse.h
@@ -1,5 +1,5 @@
 /// @file
-/// Parsers of the texts that stand in the configuration. Pure: no name is resolved.
+/// Parsers for string values of the configuration. Pure functions.
 #pragma once
 
 #include <cstdint>
@@ -8,7 +8,7 @@
 
 namespace cottonwing::config {
 
-/// Reads a 64-bit number in hex digits; nothing when it is another text or too large.
+/// Parses a 64-bit number in hexadecimal; nullopt if the text has another form or the number is too large.
 std::optional<std::uint64_t> parseSeed(const std::string& text);
 
 }  // namespace cottonwing::config
--- a/src/config/process_config.cpp
+++ b/src/config/process_config.cpp
@@ -19,8 +19,8 @@
 constexpr double kMinMemoryMb = 16;
 constexpr double kMinSockets = 64;
 
-// Clients open connections up to half of the descriptors, and others come beside them; a sixteenth of the
-// descriptors is left for the other links and what the system opens.
+// Clients may open connections for up to half of the descriptors, and other peers connect as well. A
+// sixteenth of the descriptors is left for all other connections and for what the system opens.
 constexpr double kThriftConnectionsFraction = 11.0 / 16;
 constexpr double kDependencyConnectionsFraction = 1.0 / 4;
 
@@ -35,7 +35,7 @@
 
 std::string readVariable(const Environment& environment, const char* name) {
     const char* const value = environment(name);
-    if (value == nullptr || *value == '\0') throw ConfigError(name, "a variable that is set");
+    if (value == nullptr || *value == '\0') throw ConfigError(name, "a non-empty value");
     return value;
 }
 
@@ -71,7 +71,7 @@
     return document;
 }
 
-// The file repeats what the environment says: a file that is meant for another instance is refused.
+// The file repeats these values of the environment, so that a file for another instance is rejected.
 void validateMatchesVariable(const JsonReader& file, const char* key, const std::string& value,
                              const char* variable) {
     const std::string text = file.requiredString(key);
@@ -91,7 +91,7 @@
     return Duration(static_cast<std::int64_t>(milliseconds * kNanosecondsPerMillisecond));
 }
 
-// What the operating system gives the process.
+// The resource limits that the operating system sets for the process.
 struct ProcessLimits {
     double memoryMb = 0;
     double sockets = 0;
@@ -134,19 +134,21 @@
     return *seed;
 }
 
-// The controller's configuration as the server needs it: the simulator lets a class without a time limit or
-// calls without a dependency pass, but here both would leave requests without an end.
+// Checks that apply to the server only: the simulator accepts a class without a timeout and calls without a
+// dependency, but here either would leave requests that never end.
 void validateRequestClasses(const ControllerConfig& controller) {
     const std::string entry = std::string(keys::kSettings) + "." + keys::kRequestClasses + "[].";
     const std::string instance = std::string(keys::kSettings) + "." + keys::kInstance + ".";
     for (const RequestClass& requestClass : controller.requestClasses) {
         if (requestClass.idempotency == Idempotency::WithKey && requestClass.idempotencyWindow <= 0ns)
-            throw ConfigError(entry + keys::kIdempotencyWindowUs, "a time above 0 as the class is guarded");
+            throw ConfigError(entry + keys::kIdempotencyWindowUs,
+                              "a time above 0, as the class is 'guarded'");
         if (requestClass.timeout <= 0ns) throw ConfigError(entry + keys::kTimeoutUs, "a time above 0");
         if (requestClass.latencyObjective <= 0ns)
             throw ConfigError(entry + keys::kLatencyObjectiveUs, "a time above 0");
         if (requestClass.callsDependency && controller.dependency == DependencyKind::None)
-            throw ConfigError(instance + keys::kDependencyKind, "'shared' or 'tier' as a class calls below");
+            throw ConfigError(instance + keys::kDependencyKind,
+                              "'shared' or 'tier', as a class calls the dependency");
     }
 }
 
@@ -154,13 +156,13 @@
     const JsonReader settings = file.requiredObject(keys::kSettings);
     ControllerConfig controller = readControllerConfig(file.required(keys::kSettings), readSeed(file), names);
     validateRequestClasses(controller);
-    // The simulator books idempotency keys in the memory of requests; here they lie in memory of our own,
-    // under a limit of its own.
+    // The simulator accounts idempotency keys to the memory of requests; the server stores them separately,
+    // under a limit of their own.
     controller.idempotencyKeyKb = 0;
     return controller;
 }
 
-// An instance of the last tier calls nothing, and is given no address for it.
+// An instance of the last tier has no dependency and needs no address for one.
 std::optional<net::Address> readDependency(const JsonReader& file, DependencyKind kind) {
     if (kind == DependencyKind::None && !file.has(keys::kDependencyAddress)) return std::nullopt;
     return readAddress(file, keys::kDependencyAddress);
--- a/src/config/process_config.h
+++ b/src/config/process_config.h
@@ -1,6 +1,6 @@
 /// @file
-/// Reads the configuration of the server program: the one place where its environment and its JSON file are
-/// read, checked and given defaults.
+/// Reads the configuration of the server program. Its environment and its JSON file are read, validated and
+/// completed with defaults only here.
 #pragma once
 
 #include <functional>
@@ -15,8 +15,9 @@
 
 namespace cottonwing::config {
 
-/// How the limits of the process are divided: the one place that every bound comes from. Connections in use,
-/// all rings and all bodies together stay below the limits by what the program needs besides.
+/// How the resource limits of the process are divided. All connection and memory limits in the program come
+/// from here. Their sum stays below the limits of the process, which leaves a reserve for everything else
+/// that the program needs.
 struct ResourceLimits {
     std::size_t thriftConnections = 0;
     std::size_t dependencyConnections = 0;
@@ -34,23 +35,23 @@
     net::Address listen;
     net::Address workerPool;
     net::Address registry;
-    std::optional<net::Address> dependency;  ///< Where calls go; none where the settings have no dependency.
+    std::optional<net::Address> dependency;  ///< Absent if the settings have no dependency.
     Duration shutdownTimeout{0};             ///< From the shutdown notice to the end of the process.
     ResourceLimits limits;
     telemetry::Level level = telemetry::Level::Info;
     ControllerConfig controller;
     NameTables nameTables;
     std::vector<std::string> gaugeNames;   ///< In the order in which the worker pool sends the gauges.
-    bool deregisterWhenUnhealthy = false;  ///< The registry's list follows the health of this instance.
-    bool clientsSendTimeout = false;  ///< Each request says how long its client waits; else the class does.
-    std::map<std::string, std::string> restartOnlyKeys;  ///< The file's JSON under keys that need a restart.
+    bool deregisterWhenUnhealthy = false;  ///< Report this instance as draining while it is unhealthy.
+    bool clientsSendTimeout = false;       ///< Each request carries its timeout; otherwise the class sets it.
+    std::map<std::string, std::string> restartOnlyKeys;  ///< JSON of the keys whose change needs a restart.
 };
 
-/// A variable of the environment by its name, or null, as std::getenv has it.
+/// Looks up an environment variable by name; returns null if it is not set, like std::getenv.
 using Environment = std::function<const char*(const char*)>;
 
-/// Reads the environment and the file that it names. Called again, by the same rules, at each reload.
-/// @throws ConfigError with the variable or key that is missing, malformed or contradicts another
+/// Reads the environment and the file that it names. Called again, with the same rules, on each reload.
+/// @throws ConfigError naming the variable or key that is missing, malformed or contradicts another
 ProcessConfig readProcessConfig(const Environment& environment);
 
 }  // namespace cottonwing::config
--- a/src/telemetry/counters.h
+++ b/src/telemetry/counters.h
@@ -1,6 +1,6 @@
 /// @file
-/// Counters of what the program has read, started and answered since its start. They are printed as one line
-/// at exit and on SIGUSR1; docs/oncall.md says what to conclude from them.
+/// Counters of events since the start of the program. They are printed as one line at exit and on SIGUSR1;
+/// docs/oncall.md explains how to interpret them.
 #pragma once
 
 #include <array>
@@ -20,49 +20,49 @@
     COUNTER(EventBatches, "event-batches", "batches of events that the overload controller decided on")       \
     COUNTER(ConnectionsOpened, "connections-opened", "connections accepted by the Thrift server")             \
     COUNTER(RequestsRead, "requests-read", "requests that were read and are well-formed")                     \
-    COUNTER(ConnectionsEvicted, "connections-evicted", "connections closed because their place was needed")   \
+    COUNTER(ConnectionsEvicted, "connections-evicted", "connections closed to make room for new ones")        \
     COUNTER(MalformedRequests, "requests-malformed",                                                          \
             "messages answered with an application exception; not among requests-read")                       \
-    COUNTER(MalformedFrames, "frames-malformed", "connections closed over bytes that are no frame")           \
-    COUNTER(CancelMessages, "cancel-messages", "messages by which a client withdraws a request")              \
+    COUNTER(MalformedFrames, "frames-malformed", "connections closed because of a malformed frame")           \
+    COUNTER(CancelMessages, "cancel-messages", "messages by which clients cancel requests")                   \
     COUNTER(HealthChecks, "health-checks", "health checks answered")                                          \
     COUNTER(Completed, "requests-completed", "requests answered with a result")                               \
-    COUNTER(Rejected, "requests-rejected", "requests refused without having run: safe to send elsewhere")     \
+    COUNTER(Rejected, "requests-rejected", "requests rejected before they ran: safe to retry elsewhere")      \
     COUNTER(Failed, "requests-failed", "requests that failed, and may have run")                              \
     COUNTER(RejectedForMemory, "requests-without-memory",                                                     \
-            "of the rejected and failed: because our own limit on memory was reached")                        \
+            "of the rejected and failed: because the memory limit of this server was reached")                \
     COUNTER(DuplicateRequests, "requests-duplicate",                                                          \
-            "of the read: another attempt has their idempotency key")                                         \
+            "of the read: another attempt holds their idempotency key")                                       \
     COUNTER(KeyConflicts, "idempotency-key-conflicts",                                                        \
-            "of the failed: a request with another body has their idempotency key")                           \
+            "of the failed: a request with a different body holds their idempotency key")                     \
     COUNTER(ClientCancellations, "requests-cancelled-by-client",                                              \
-            "requests that were read and got no answer, because the client no longer waited")                 \
+            "requests that were read but not answered, because the client cancelled them")                    \
     COUNTER(RunsStarted, "runs-started", "runs that the worker pool was told to start")                       \
-    COUNTER(RunsCancelled, "runs-cancelled", "runs that the worker pool was told to stop")                    \
+    COUNTER(RunsCancelled, "runs-cancelled", "runs that the worker pool was told to cancel")                  \
     COUNTER(RunsCompleted, "runs-completed", "runs that the worker pool reported as ended")                   \
     COUNTER(CallsStarted, "calls-started", "calls to the dependency")                                         \
     COUNTER(CallsOk, "calls-ok", "calls that succeeded")                                                      \
     COUNTER(CallsError, "calls-error", "calls that the dependency answered with an error")                    \
     COUNTER(CallsResourceExhausted, "calls-resource-exhausted",                                               \
-            "calls that the dependency refused unbegun for lack of capacity")                                 \
-    COUNTER(CallsTimedOut, "calls-timed-out", "calls without an answer in time, ours or the dependency's")    \
-    COUNTER(CallsUnreachable, "calls-unreachable", "calls without a connection: nothing ran")                 \
+            "calls that the dependency rejected for lack of capacity, without beginning them")                \
+    COUNTER(CallsTimedOut, "calls-timed-out", "calls that timed out here or at the dependency")               \
+    COUNTER(CallsUnreachable, "calls-unreachable", "calls that got no connection: nothing ran")               \
     COUNTER(CallsConnectionLost, "calls-connection-lost",                                                     \
-            "calls whose connection broke: they may have had their effect")                                   \
-    COUNTER(CallsMalformedResponse, "calls-malformed-response", "calls whose response can't be read")         \
+            "calls whose connection was lost: they may have had their effect")                                \
+    COUNTER(CallsMalformedResponse, "calls-malformed-response", "calls whose response cannot be parsed")      \
     COUNTER(CallsSuperseded, "calls-superseded", "calls for runs that had ended")                             \
-    COUNTER(CallsAbandoned, "calls-abandoned", "calls given up because their request had ended")              \
+    COUNTER(CallsAbandoned, "calls-abandoned", "calls abandoned because their request had ended")             \
     COUNTER(CallsLocalLimit, "calls-local-limit",                                                             \
-            "calls put back for lack of connections or memory of our own")                                    \
-    COUNTER(WorkerPoolConnections, "worker-pool-connections", "connections that the worker pool confirmed")   \
+            "calls not sent because a connection or memory limit of this server was reached")                 \
+    COUNTER(WorkerPoolConnections, "worker-pool-connections", "connections that the worker pool accepted")    \
     COUNTER(WorkerPoolUnknownRequests, "worker-pool-unknown-requests",                                        \
-            "orders to the worker pool about a run that it did not know")                                     \
+            "messages to the worker pool about a request that it did not know")                               \
     COUNTER(WorkerPoolMalformedMessages, "worker-pool-malformed-messages",                                    \
-            "lines of the worker pool that can't be read")                                                    \
-    COUNTER(RegistryReportsSent, "registry-reports-sent", "load reports sent to the registry")                \
-    COUNTER(RegistryReportsFailed, "registry-reports-failed", "load reports without an answer")               \
-    COUNTER(Reloads, "reloads", "configuration files read again and taken")                                   \
-    COUNTER(ReloadsRejected, "reloads-rejected", "configuration files read again and refused")
+            "messages from the worker pool that cannot be parsed")                                            \
+    COUNTER(RegistryReportsSent, "registry-reports-sent", "state reports sent to the registry")               \
+    COUNTER(RegistryReportsFailed, "registry-reports-failed", "state reports without a reply")                \
+    COUNTER(Reloads, "reloads", "configuration reloads that were applied")                                    \
+    COUNTER(ReloadsRejected, "reloads-rejected", "configuration reloads that were rejected")
 // clang-format on
 
 namespace cottonwing::telemetry {
@@ -80,10 +80,10 @@
 /// The name in the printed line, such as "requests-read".
 const char* nameOf(Count count);
 
-/// What it counts, as a phrase in English.
+/// A description of what the counter counts.
 const char* meaningOf(Count count);
 
-/// The counters of one process, all from 0 and only ever counted up.
+/// The counters of one process. They start at 0 and only increase.
 class Counters {
 public:
     void add(Count count) { ++counts_[static_cast<std::size_t>(count)]; }
--- a/src/telemetry/log.cpp
+++ b/src/telemetry/log.cpp
@@ -41,8 +41,8 @@
     return spdlog::level::debug;
 }
 
-// A JSON string. Bytes that are not UTF-8 (a peer's words may stand in a line) are replaced, so that each
-// line is valid JSON.
+// Formats a JSON string. Bytes that are not UTF-8 are replaced, because a line may contain data from a peer
+// and must be valid JSON.
 std::string quoted(std::string_view text) {
     return nlohmann::json(text).dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
@@ -52,7 +52,7 @@
 Log::Log(std::ostream& out, Level level, LogFormat format) : level_(level), format_(format) {
     auto sink = std::make_shared<spdlog::sinks::ostream_sink_st>(out, /*force_flush=*/true);
     logger_ = std::make_unique<spdlog::logger>("cottonwing", std::move(sink));
-    logger_->set_level(spdlog::level::trace);  // isEnabled() has filtered before
+    logger_->set_level(spdlog::level::trace);  // already filtered by isEnabled()
     logger_->set_pattern(format == LogFormat::Text ? "%E.%e %v" : R"({"time":%E.%e,%v})",
                          spdlog::pattern_time_type::utc);
 }
@@ -68,7 +68,7 @@
     Interval& interval = intervals_[component];
     if (now - interval.begin >= kSuppressionInterval) {
         if (interval.suppressed > 0)
-            write(Level::Info, component, std::to_string(interval.suppressed) + " more lines left out");
+            write(Level::Info, component, std::to_string(interval.suppressed) + " more lines suppressed");
         interval = {now, 0, 0};
     }
     ++interval.lines;
--- a/src/telemetry/log.h
+++ b/src/telemetry/log.h
@@ -1,6 +1,6 @@
 /// @file
-/// The log: lines on a stream, as text or JSON, filtered by level. A flood of lines of one kind is suppressed
-/// and counted. Written through spdlog.
+/// The log: lines on a stream, as text or JSON, filtered by level. Lines of one component beyond a rate limit
+/// are suppressed and counted. Written through spdlog.
 #pragma once
 
 #include <chrono>
@@ -16,28 +16,28 @@
 
 namespace cottonwing::telemetry {
 
-/// From the most to the least urgent. A log of one level writes the levels above it too.
+/// From the most to the least severe. A log with one of these levels also writes the levels above it.
 enum class Level {
-    Error,  ///< something has failed that should not
-    Warn,   ///< a peer or a file does what it should not; the program goes on
-    Info,   ///< a change of state that an operator wants to see
-    Debug   ///< events of single connections and requests
+    Error,  ///< a failure that should not happen
+    Warn,   ///< unexpected behavior of a peer or a file; the program continues
+    Info,   ///< a change of state that concerns operators
+    Debug   ///< events of individual connections and requests
 };
 
-/// How a line is written. Times are seconds since the Unix epoch with milliseconds.
+/// How a line is written. Times are seconds since the Unix epoch, with three decimals.
 enum class LogFormat {
-    Text,  ///< "1764755000.123 warn registry: answered 500 to a report"
-    Json   ///< {"time":1764755000.123,"level":"warn","kind":"registry","text":"answered 500 to a report"}
+    Text,  ///< "1764755000.123 warn registry: registry rejected a report: status=500"
+    Json   ///< {"time":1764755000.123,"level":"warn","kind":"registry","text":"..."}
 };
 
-/// Writes lines to a stream and flushes each. Not for use from several threads.
+/// Writes lines to a stream and flushes each. Not thread-safe.
 ///
-/// Of each kind at most 10 lines a second are written; the rest of that second is suppressed. The first line
-/// of the kind after it is preceded by one of level info that says how many were.
+/// At most 10 lines per second are written for each component; further lines in that second are suppressed.
+/// The component's next line is preceded by a line of level info with the number of suppressed lines.
 class Log {
 public:
-    /// @param out has to outlive the log.
-    /// @param level lines that are less urgent are not written.
+    /// @param out must outlive the log.
+    /// @param level less severe lines are not written.
     Log(std::ostream& out, Level level, LogFormat format = LogFormat::Text);
     ~Log();
     Log(const Log&) = delete;
@@ -46,10 +46,9 @@
     /// Whether lines of this level are written.
     bool isEnabled(Level level) const { return level <= level_; }
 
-    /// Writes a line, unless its level is not enabled or its kind is suppressed.
-    /// @param component the part of the program that writes: a string literal, so that the table of kinds
-    /// stays
-    ///        small and its keys valid.
+    /// Writes a line, unless its level is not enabled or its component is suppressed.
+    /// @param component the part of the program that writes the line. Must be a string literal, so that the
+    /// table of components stays small and its keys stay valid.
     /// @param text may hold any bytes; in JSON, those that are not UTF-8 are replaced.
     void line(Level level, const char* component, std::string_view text);
 
@@ -59,7 +58,7 @@
     void debug(const char* component, std::string_view text) { line(Level::Debug, component, text); }
 
 private:
-    /// The lines of one kind in the present interval.
+    /// The lines of one component in the current interval.
     struct Interval {
         std::chrono::steady_clock::time_point begin{};
         int lines = 0;
@@ -72,7 +71,7 @@
     Level level_;
     LogFormat format_;
     std::unique_ptr<spdlog::logger> logger_;
-    std::unordered_map<std::string_view, Interval> intervals_;  // by kind; never emptied, as kinds are few
+    std::unordered_map<std::string_view, Interval> intervals_;  // by component; few, never cleared
 };
 
 }  // namespace cottonwing::telemetry
--- a/tests/config/config_test.cpp
+++ b/tests/config/config_test.cpp
@@ -1,4 +1,6 @@
-// The configuration readers: what each takes, and the whole text of what each refuses.
+/// @file
+/// The configuration readers: the values that each accepts, and the complete error message for those that it
+/// rejects.
 #include <gtest/gtest.h>
 
 #include "config/json_reader.h"
@@ -27,7 +29,7 @@
     EXPECT_EQ(error.path(), "limits.sockets");
     EXPECT_EQ(error.expected(), "at least 64");
     EXPECT_EQ(error.found(), "8");
-    EXPECT_STREQ(ConfigError("pool", "a text").what(), "pool: expected a text");
+    EXPECT_STREQ(ConfigError("pool", "a non-empty string").what(), "pool: expected a non-empty string");
 }
 
 TEST(JsonReader, ReadsFieldsByType) {
@@ -61,7 +63,8 @@
         Json::parse(R"({"a": {"number": -1, "word": "x", "list": [{"x": "y"}], "null": null}})");
     const JsonReader reader = JsonReader(document, "").requiredObject("a");
     EXPECT_EQ(errorOf([&] { reader.requiredString("b"); }), "a.b: expected a value, found nothing");
-    EXPECT_EQ(errorOf([&] { reader.requiredString("number"); }), "a.number: expected a text, found -1");
+    EXPECT_EQ(errorOf([&] { reader.requiredString("number"); }),
+              "a.number: expected a non-empty string, found -1");
     EXPECT_EQ(errorOf([&] { reader.requiredPositive("number"); }),
               "a.number: expected a number above 0, found -1");
     EXPECT_EQ(errorOf([&] { reader.requiredObject("word"); }), "a.word: expected an object, found \"x\"");
@@ -70,7 +73,7 @@
     EXPECT_EQ(errorOf([&] { reader.stringsOrEmpty("number"); }),
               "a.number: expected a list of names, found -1");
     EXPECT_EQ(errorOf([&] { reader.listOrEmpty("list")[0].valueOr("x", 0); }),
-              "a.list[0].x: expected a value of another type, found \"y\"");
+              "a.list[0].x: expected a value of a different type, found \"y\"");
     EXPECT_EQ(errorOf([&] {
                   reader.choiceOr<int>("word", {{"one", 1}, {"two", 2}}, 0);
               }),
--- a/tests/config/deployment_variants_test.cpp
+++ b/tests/config/deployment_variants_test.cpp
@@ -1,5 +1,6 @@
-// Settings that differ between deployments: nothing is refused at start, and nothing is required of a
-// request, that only one deployment has.
+/// @file
+/// Settings that differ between deployments: the server starts without settings that only some deployments
+/// have, and does not require of requests what only some deployments send.
 #include "helpers.h"
 
 namespace cottonwing {
@@ -21,12 +22,13 @@
     return file;
 }
 
-// The last tier is given no dependency address; requiring one once refused the start of every such instance.
+// Regression: instances of the last tier have no dependency address; requiring one kept every such instance
+// from starting.
 TEST(DeploymentVariants, AnInstanceWithoutDependencyNeedsNoAddressForIt) {
     EXPECT_FALSE(testing::processConfigFrom(lastTierConfig()).dependency.has_value());
     Json file = testing::plainConfigFile();
     file.erase("records");
-    EXPECT_THROW(testing::processConfigFrom(file), config::ConfigError);  // with a dependency, it does
+    EXPECT_THROW(testing::processConfigFrom(file), config::ConfigError);  // required with a dependency
     file = lastTierConfig();
     file["records"] = "nowhere";
     EXPECT_THROW(testing::processConfigFrom(file), config::ConfigError);
@@ -61,7 +63,7 @@
     EXPECT_EQ(fixture.pool.supplied.at(ThriftTestClient::trace(1)), "re:call");
 }
 
-// Where the settings do not say that clients send how long they wait, the field is absent.
+// Unless the settings say that clients send their timeout, the field is absent.
 TEST(DeploymentVariants, ATimeoutIsRequiredOnlyWhereClientsSendIt) {
     testing::FieldMap fields = ThriftTestClient::fields(1);
     fields.erase("patience");
@@ -81,7 +83,7 @@
         fixture.pool.finish(ThriftTestClient::trace(1), "ok", "done");
         fixture.wait([&] { return client.answers.contains(1); });
         EXPECT_EQ(client.answers[1].body, "done");
-        // A value that is there is read all the same.
+        // A value that is present is still validated.
         testing::FieldMap bad = ThriftTestClient::fields(2);
         bad["patience"] = "-4";
         client.say(frames::serve(2, bad, "body"));
--- a/tests/config/process_config_test.cpp
+++ b/tests/config/process_config_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// What the configuration of a process is read from, which errors are found, and how limits are divided.
+/// The sources of the process configuration, its validation, and the division of the resource limits.
 #include "config/process_config.h"
 
 #include <gtest/gtest.h>
@@ -18,14 +18,14 @@
 using namespace std::chrono_literals;
 using testing::Json;
 
-// Whatever the limits of the process are, all that has a limit of its own stays below them in total.
+// For any resource limits of the process, the sum of the limits derived from them stays below them.
 RC_GTEST_PROP(ResourceLimits, SumsStayBelowTheLimitsOfTheProcess, ()) {
     const int sockets = *rc::gen::inRange(64, 4096);
     const int megabytes = *rc::gen::inRange(16, 1024);
     Json file = testing::plainConfigFile();
     file["limits"] = {{"cores", 0.5}, {"memory_mb", megabytes}, {"sockets", sockets}};
     const config::ResourceLimits limits = testing::processConfigFrom(file).limits;
-    RC_ASSERT(limits.thriftConnections * 2 > static_cast<std::size_t>(sockets));  // theirs by right, and some
+    RC_ASSERT(limits.thriftConnections * 2 > static_cast<std::size_t>(sockets));  // above the clients' half
     RC_ASSERT(limits.thriftConnections + limits.dependencyConnections + 4 <=
               static_cast<std::size_t>(sockets));
     const std::size_t bytes = static_cast<std::size_t>(megabytes) << 20;
@@ -76,7 +76,7 @@
         change(file);
         try {
             testing::processConfigFrom(file);
-            ADD_FAILURE() << "accepted in spite of " << key;
+            ADD_FAILURE() << "accepted an invalid value of " << key;
         } catch (const config::ConfigError& error) {
             EXPECT_NE(std::string(error.what()).find(key + ": "), std::string::npos) << error.what();
         }
@@ -84,7 +84,7 @@
     const auto isRejected = [](const std::string& key, const testing::FieldMap& variables) {
         try {
             testing::processConfigFrom(testing::plainConfigFile(), variables);
-            ADD_FAILURE() << "accepted in spite of " << key;
+            ADD_FAILURE() << "accepted an invalid value of " << key;
         } catch (const config::ConfigError& error) {
             EXPECT_EQ(std::string(error.what()).substr(0, key.size()), key);
         }
