--- a/tests/dependency/call_format_test.cpp
+++ b/tests/dependency/call_format_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Dependency calls as they are sent, and what replies say about them.
+/// Formatting of dependency calls, and the outcomes that replies stand for.
 #include "dependency/call_format.h"
 
 #include <gtest/gtest.h>
--- a/tests/request/idempotent_requests_test.cpp
+++ b/tests/request/idempotent_requests_test.cpp
@@ -34,7 +34,7 @@
         bound();
         client = std::make_unique<ThriftTestClient>(loop, port());
     }
-    // An attempt with the key, under a request id of its own.
+    // Sends an attempt with the key and with its own request id.
     std::int32_t sendAttempt(int number, const std::string& key, const std::string& body = "body") {
         testing::FieldMap fields = ThriftTestClient::fields(number);
         if (!key.empty()) fields["nonce"] = key;
@@ -61,7 +61,7 @@
     EXPECT_EQ(fixture.awaitAnswer(first).body, "result");
     EXPECT_EQ(fixture.awaitAnswer(second).kind, "answer");
     EXPECT_EQ(fixture.awaitAnswer(second).body, "result");
-    const auto third = fixture.sendAttempt(3, "k1");  // after the end
+    const auto third = fixture.sendAttempt(3, "k1");  // after the run ended
     EXPECT_EQ(fixture.awaitAnswer(third).body, "result");
     EXPECT_EQ(fixture.pool.starts, 1);
     fixture.expectBooksClosed();
@@ -87,8 +87,8 @@
     fixture.awaitRun(1);
     fixture.pool.finish(ThriftTestClient::trace(1), "failed");
     EXPECT_EQ(fixture.awaitAnswer(first).kind, "failed");
-    EXPECT_EQ(fixture.awaitAnswer(fixture.sendAttempt(2, "k1")).kind,
-              "failed");  // a rejection would mean that it never ran
+    // A rejection would mean that it never ran.
+    EXPECT_EQ(fixture.awaitAnswer(fixture.sendAttempt(2, "k1")).kind, "failed");
     EXPECT_EQ(fixture.pool.starts, 1);
 }
 
@@ -102,7 +102,8 @@
     EXPECT_EQ(fixture.awaitAnswer(again).body, "result");
 }
 
-// A client that used another's key with a body of its own was once answered with the other's result.
+// Regression: a client that sent another client's key with a different body received the other client's
+// result.
 TEST(IdempotentRequestsTest, AKeyWithAnotherBodyFails) {
     IdempotentRequests fixture;
     const auto first = fixture.sendAttempt(1, "k1", "mine");
@@ -137,7 +138,8 @@
     fixture.expectBooksClosed();
 }
 
-// After the grace nothing may start, and a duplicate of a request that ran may not be rejected either.
+// After the drain grace no run may start, but a duplicate of a request that ran must not be rejected either:
+// it gets the stored result.
 TEST(IdempotentRequestsTest, ADuplicateAfterTheDrainGraceGetsTheStoredResult) {
     Json config = configWithKeyedClass();
     config["settings"]["obligations"]["drain_grace_us"] = 0;
@@ -150,7 +152,8 @@
     fixture.pool.finish(ThriftTestClient::trace(1), "ok", "result");
     fixture.program->beginShutdown();
     fixture.wait([&] { return fixture.client->goaways > 0; });
-    // Requests tell their arrival in whole milliseconds: one of this millisecond may predate the notice.
+    // Arrival times are sent in whole milliseconds, so a request of this millisecond may appear to predate
+    // the shutdown notice.
     const auto noticedIn = net::unixNow() / 1ms;
     fixture.wait([&] { return net::unixNow() / 1ms > noticedIn; });
     const auto duplicate = fixture.sendAttempt(2, "k1");
@@ -175,9 +178,9 @@
     EXPECT_EQ(fixture.awaitAnswer(sequence).body, "poorer");
 }
 
-// A start that was lost with the connection: nothing tells whether the request ran, so it is not started
-// again while its client waits. Once it is over it is: the executor then reports that nothing ran, and the
-// request leaves the table.
+// A start is lost with the connection. It is unknown whether the request ran, so it is not started again
+// while its client waits. It is started again after its client was answered: the executor then reports that
+// nothing ran, and the request is removed from the table.
 TEST(IdempotentRequestsTest, AnUnconfirmedStartIsCheckedOnceItsClientHasBeenAnswered) {
     IdempotentRequests fixture;
     testing::FieldMap fields = ThriftTestClient::fields(1, "pay", 1500);
--- a/tests/request/request_id_test.cpp
+++ b/tests/request/request_id_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Request ids as text.
+/// Parsing of request ids.
 #include "request/request_id.h"
 
 #include <gtest/gtest.h>
--- a/tests/request/request_manager_test.cpp
+++ b/tests/request/request_manager_test.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// The request manager between a protocol server, an executor and a dependency client that only record what
-/// they are asked for. The overload controller is the real one, with capacity to spare.
+/// The request manager with a protocol server, an executor and a dependency client that only record calls.
+/// The overload controller is the real one and has spare capacity.
 #include "request/request_manager.h"
 
 #include <gtest/gtest.h>
--- a/tests/request/request_state_test.cpp
+++ b/tests/request/request_state_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// When a request is over, and what its run is started with.
+/// When a request is finished, and the parameters of its run.
 #include "request/request_state.h"
 
 #include <gtest/gtest.h>
--- a/tests/state/idempotency_keys_test.cpp
+++ b/tests/state/idempotency_keys_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The table of idempotency keys: single histories, and a property over random ones.
+/// The table of idempotency keys: fixed sequences of calls, and a property over random ones.
 #include "state/idempotency_keys.h"
 
 #include <gtest/gtest.h>
@@ -67,7 +67,7 @@
         ++next;
     EXPECT_LE(keys.bytes(), 4000U);
     EXPECT_GT(next, 5U);
-    // Its result was evicted: it can't be given again, and the request may not run again.
+    // Its result was evicted: it cannot be returned again, and the request must not run again.
     EXPECT_EQ(keys.claim("a", {99, 7, 11s, 11s}, kRetention), KeyClaim::Duplicate);
     EXPECT_EQ(keys.join("a", 99).outcome, KeyOutcome::Failed);
     EXPECT_EQ(keys.claim("z", {100, 7, 11s, 11s}, kRetention), KeyClaim::NoCapacity);
@@ -77,8 +77,8 @@
     EXPECT_EQ(keys.holder("k2"), 2U);
 }
 
-// Over random histories: within its window no key is granted twice unless the holder is known not to have
-// run, each duplicate that waits is returned once, and the booked memory stays within its bound.
+// For random sequences of calls: within its window no key is granted twice unless the holder is known not to
+// have run, each waiting duplicate is returned exactly once, and the accounted memory stays within its limit.
 RC_GTEST_PROP(IdempotencyKeys, AtMostOneAttemptWithAKeyRuns, ()) {
     const std::size_t maxBytes = *rc::gen::inRange<std::size_t>(0, 20000);
     IdempotencyKeys keys(maxBytes);
--- a/tests/telemetry/counters_test.cpp
+++ b/tests/telemetry/counters_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The counters and the line that they are printed as.
+/// The counters and the line in which they are printed.
 #include "telemetry/counters.h"
 
 #include <gtest/gtest.h>
--- a/tests/telemetry/log_test.cpp
+++ b/tests/telemetry/log_test.cpp
@@ -15,13 +15,13 @@
 TEST(Log, FiltersByLevelAndSuppressesFloods) {
     std::ostringstream lines;
     Log log(lines, Level::Warn);
-    log.info("kind", "not taken");
+    log.info("kind", "below the level");
     EXPECT_EQ(lines.str(), "");
-    for (int i = 0; i < 100; ++i) log.warn("kind", "storm");
-    log.warn("other", "heard");
+    for (int i = 0; i < 100; ++i) log.warn("kind", "flood");
+    log.warn("other", "not suppressed");
     const std::string text = lines.str();
     EXPECT_LE(std::count(text.begin(), text.end(), '\n'), 20);
-    EXPECT_NE(text.find("warn other: heard"), text.npos);
+    EXPECT_NE(text.find("warn other: not suppressed"), text.npos);
 }
 
 TEST(Log, SuppressesEachKindOnItsOwn) {
--- a/tests/worker_pool/protocol_test.cpp
+++ b/tests/worker_pool/protocol_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Messages of the worker pool protocol, read and written.
+/// Parsing and formatting of worker pool protocol messages.
 #include "worker_pool/protocol.h"
 
 #include <gtest/gtest.h>
@@ -18,7 +18,7 @@
 Content contentOf(std::string_view line) {
     const std::optional<PoolMessage> message = parsePoolMessage(line);
     if (!message || !std::holds_alternative<Content>(message->content)) {
-        ADD_FAILURE() << "read as another kind: " << line;
+        ADD_FAILURE() << "parsed as another type: " << line;
         return {};
     }
     return std::get<Content>(message->content);
