--- a/src/kdl/document.cpp
+++ b/src/kdl/document.cpp
@@ -147,11 +147,12 @@
 template <>
 inline constexpr auto kExpected<DocumentEnd> = "the name of a node was expected";
 
+// The names of the members are those that PEGTL's must_if looks for.
 struct ExpectationMessages {
     template <typename Rule>
-    static constexpr auto message = kExpected<Rule>;
+    static constexpr auto message = kExpected<Rule>;  // NOLINT(readability-identifier-naming)
     template <typename Rule>
-    static constexpr bool raise_on_failure = false;
+    static constexpr bool raise_on_failure = false;  // NOLINT(readability-identifier-naming)
 };
 template <typename Rule>
 using Control = typename p::must_if<ExpectationMessages>::template control<Rule>;
@@ -213,7 +214,8 @@
             continue;
         }
         const char code = inner.front();
-        static constexpr std::string_view kCodes = "nrt\\\"bfs", kDecoded = "\n\r\t\\\"\b\f ";
+        static constexpr std::string_view kCodes = "nrt\\\"bfs";
+        static constexpr std::string_view kDecoded = "\n\r\t\\\"\b\f ";
         if (code == 'u') {
             const std::size_t close = inner.find('}');
             appendUtf8(content, std::strtoul(std::string(inner.substr(2, close - 2)).c_str(), nullptr, 16));
--- a/src/kdl/node_reader.cpp
+++ b/src/kdl/node_reader.cpp
@@ -68,12 +68,12 @@
     return Duration(static_cast<std::int64_t>(std::llround(nanos)));
 }
 
-double fraction(const Value& given) {
-    const Value value = parseQuotedNumber(given);
-    if (value.kind != Value::Kind::Number || !std::isfinite(value.number) || value.number < 0 ||
-        (!value.unit.empty() && value.unit != "%"))
-        throwUnexpected(given, "a fraction such as 35% or 0.35");
-    return value.unit == "%" ? value.number / 100 : value.number;
+double fraction(const Value& value) {
+    const Value parsed = parseQuotedNumber(value);
+    if (parsed.kind != Value::Kind::Number || !std::isfinite(parsed.number) || parsed.number < 0 ||
+        (!parsed.unit.empty() && parsed.unit != "%"))
+        throwUnexpected(value, "a fraction such as 35% or 0.35");
+    return parsed.unit == "%" ? parsed.number / 100 : parsed.number;
 }
 
 double rate(const Value& value) { return convertUnit(value, kRateUnits, "a rate such as 120/s"); }
@@ -167,11 +167,12 @@
         for (const std::string& name : names) all += (all.empty() ? "" : ", ") + name;
         return all.empty() ? std::string("no ") + what + " was expected" : "one of " + all + " was expected";
     };
-    for (std::size_t index = 0; index < node_.arguments.size(); ++index)
-        if (!readArguments_.contains(index))
-            throw DocumentError(node_.arguments[index].location,
-                                "'" + node_.arguments[index].text + "' was found",
-                                "no further value was expected after '" + node_.name + "'");
+    for (std::size_t index = 0; index < node_.arguments.size(); ++index) {
+        if (readArguments_.contains(index)) continue;
+        throw DocumentError(node_.arguments[index].location,
+                            "'" + node_.arguments[index].text + "' was found",
+                            "no further value was expected after '" + node_.name + "'");
+    }
     for (const auto& [name, value] : node_.properties)
         if (!readProperties_.contains(name))
             throw DocumentError(value.location, "'" + name + "=' was found",
