--- a/src/overload/admission_queue.cpp
+++ b/src/overload/admission_queue.cpp
@@ -36,7 +36,7 @@
     struct Wait {
         double coreSeconds = 0;
         double callSeconds = 0;
-        bool callsBind() const { return callSeconds > coreSeconds; }
+        bool dependencyIsBottleneck() const { return callSeconds > coreSeconds; }
         double seconds() const { return std::max(coreSeconds, callSeconds); }
     };
 
@@ -44,7 +44,7 @@
     std::optional<Target> targetOf(const QueuedRequest& request) const;
     void schedule(const QueuedRequest& request, double value);
     Wait waitOf(const QueuedRequest& request) const;
-    void shedLeastValuable(bool onlyThatCall);
+    void shedLeastValuable(bool onlyThoseWithCalls);
 
     const QueueLoad& load_;
     double coreBacklogSeconds_;
@@ -99,17 +99,18 @@
     return wait;
 }
 
-void SheddingSchedule::shedLeastValuable(bool onlyThatCall) {
-    auto least = scheduled_.end();
+void SheddingSchedule::shedLeastValuable(bool onlyThoseWithCalls) {
+    auto leastValuable = scheduled_.end();
     for (auto entry = scheduled_.begin(); entry != scheduled_.end(); ++entry) {
-        if (onlyThatCall && entry->callSeconds <= 0) continue;
-        if (least == scheduled_.end() || entry->valueDensity < least->valueDensity) least = entry;
+        if (onlyThoseWithCalls && entry->callSeconds <= 0) continue;
+        if (leastValuable == scheduled_.end() || entry->valueDensity < leastValuable->valueDensity)
+            leastValuable = entry;
     }
-    if (least == scheduled_.end()) least = scheduled_.end() - 1;
-    coreBacklogSeconds_ -= least->coreSeconds;
-    callBacklogSeconds_ -= least->callSeconds;
-    shed_.push_back(least->id);
-    scheduled_.erase(least);
+    if (leastValuable == scheduled_.end()) leastValuable = scheduled_.end() - 1;
+    coreBacklogSeconds_ -= leastValuable->coreSeconds;
+    callBacklogSeconds_ -= leastValuable->callSeconds;
+    shed_.push_back(leastValuable->id);
+    scheduled_.erase(leastValuable);
 }
 
 void SheddingSchedule::add(const QueuedRequest& request) {
@@ -123,7 +124,7 @@
     const Wait wait = waitOf(request);
     const double neededSeconds = wait.seconds() + kRequiredTimeFraction * request.totalSeconds;
     if (load_.now + fromSeconds(neededSeconds) <= target->latestEnd) return;
-    shedLeastValuable(wait.callsBind());
+    shedLeastValuable(wait.dependencyIsBottleneck());
 }
 
 }  // namespace
--- a/src/overload/arrival_handling.cpp
+++ b/src/overload/arrival_handling.cpp
@@ -24,7 +24,7 @@
     request.tenant = arrival.tenant;
     request.isRetry = arrival.isRetry;
     request.arrivedAt = context_.now - arrival.queuedBeforeRead;
-    request.completeBy = arrival.completeBy.value_or(request.arrivedAt);
+    request.fullyReceivedBy = arrival.fullyReceivedBy.value_or(request.arrivedAt);
     request.deadline = arrival.deadline.value_or(request.arrivedAt + context_.classOf(request).timeout);
     request.memoryKb = arrival.memoryKb;
     request.work = arrival.expectedWork.value_or(Duration::zero());
@@ -63,7 +63,7 @@
     const RequestClass& requestClass = context_.classOf(request);
     const bool needsKey = requestClass.idempotency == Idempotency::WithKey;
     // Without room for its idempotency key a request cannot be run.
-    if (context_.shutdown.refuses(request.completeBy) ||
+    if (context_.shutdown.rejectsArrival(request.fullyReceivedBy) ||
         !context_.memory.admitsArrival(context_.now, needsKey)) {
         closing_.rejectOrFail(request);
         return;
--- a/src/overload/attempt_timeout.cpp
+++ b/src/overload/attempt_timeout.cpp
@@ -8,26 +8,26 @@
 
 namespace {
 
-constexpr double kLeastObjectiveFraction = 0.05;
-constexpr double kMostObjectiveFraction = 0.5;
+constexpr double kMinObjectiveFraction = 0.05;
+constexpr double kMaxObjectiveFraction = 0.5;
 constexpr double kMeanSuccessMultiple = 7.0;
-constexpr double kLeastMeanWeight = 0.005;
-constexpr int kLeastSuccesses = 20;
+constexpr double kMinMeanWeight = 0.005;
+constexpr int kMinSuccesses = 20;
 
 }  // namespace
 
 AttemptTimeout::AttemptTimeout(Duration shortestObjective)
     : shortestObjectiveSeconds_(toSeconds(shortestObjective)),
-      timeout_(fromSeconds(shortestObjectiveSeconds_ * kMostObjectiveFraction)) {}
+      timeout_(fromSeconds(shortestObjectiveSeconds_ * kMaxObjectiveFraction)) {}
 
 void AttemptTimeout::recordSuccess(Duration elapsed) {
     ++successes_;
-    const double weight = std::max(kLeastMeanWeight, 1.0 / successes_);
+    const double weight = std::max(kMinMeanWeight, 1.0 / successes_);
     meanSuccessSeconds_ += (toSeconds(elapsed) - meanSuccessSeconds_) * weight;
-    if (successes_ < kLeastSuccesses) return;
+    if (successes_ < kMinSuccesses) return;
     timeout_ = fromSeconds(std::clamp(kMeanSuccessMultiple * meanSuccessSeconds_,
-                                      kLeastObjectiveFraction * shortestObjectiveSeconds_,
-                                      kMostObjectiveFraction * shortestObjectiveSeconds_));
+                                      kMinObjectiveFraction * shortestObjectiveSeconds_,
+                                      kMaxObjectiveFraction * shortestObjectiveSeconds_));
 }
 
 Duration AttemptTimeout::valueFor(Duration remaining) const { return std::min(timeout_, remaining / 2); }
--- a/src/overload/call_time_model.cpp
+++ b/src/overload/call_time_model.cpp
@@ -10,8 +10,8 @@
 
 constexpr double kOverloadMultiple = 3.0;  // of the usual time
 constexpr double kRecentWeight = 0.1;
-constexpr double kUsualWeightFaster = 0.1;   // the usual time follows quick calls at once
-constexpr double kUsualWeightSlower = 0.01;  // and slow ones late, so that a slowdown stands out
+constexpr double kBaselineWeightFaster = 0.1;   // the usual time follows quick calls at once
+constexpr double kBaselineWeightSlower = 0.01;  // and slow ones late, so that a slowdown stands out
 
 }  // namespace
 
@@ -22,25 +22,25 @@
 void CallTimeModel::recordSuccess(Duration elapsed) {
     const double seconds = toSeconds(elapsed);
     recordRecent(seconds);
-    if (usualSeconds_ == 0) {
-        usualSeconds_ = seconds;
+    if (baselineSeconds_ == 0) {
+        baselineSeconds_ = seconds;
         return;
     }
-    const double weight = seconds < usualSeconds_ ? kUsualWeightFaster : kUsualWeightSlower;
-    usualSeconds_ += (seconds - usualSeconds_) * weight;
+    const double weight = seconds < baselineSeconds_ ? kBaselineWeightFaster : kBaselineWeightSlower;
+    baselineSeconds_ += (seconds - baselineSeconds_) * weight;
 }
 
 void CallTimeModel::recordTimeout(Duration elapsed) {
-    recordRecent(std::min(toSeconds(elapsed), 2 * kOverloadMultiple * usualSeconds_));
+    recordRecent(std::min(toSeconds(elapsed), 2 * kOverloadMultiple * baselineSeconds_));
 }
 
 void CallTimeModel::update(const CallsInFlight& calls) {
-    const double withInFlight = (calls.totalAgeSeconds + recentSeconds_) / (calls.count + 1);
-    presentSeconds_ = std::max(recentSeconds_, withInFlight);
+    const double meanWithInFlight = (calls.totalAgeSeconds + recentSeconds_) / (calls.count + 1);
+    currentSeconds_ = std::max(recentSeconds_, meanWithInFlight);
 }
 
 bool CallTimeModel::dependencyOverloaded() const {
-    return presentSeconds_ > kOverloadMultiple * usualSeconds_;
+    return currentSeconds_ > kOverloadMultiple * baselineSeconds_;
 }
 
 }  // namespace cottonwing::overload
--- a/src/overload/call_time_model.h
+++ b/src/overload/call_time_model.h
@@ -31,7 +31,7 @@
     double recentSeconds() const { return recentSeconds_; }
 
     /// @return what a call takes at present, calls in flight included, in seconds.
-    double presentSeconds() const { return presentSeconds_; }
+    double currentSeconds() const { return currentSeconds_; }
 
     /// @return whether calls take so much longer than usual that the dependency must be overloaded.
     bool dependencyOverloaded() const;
@@ -40,8 +40,8 @@
     void recordRecent(double seconds);
 
     double recentSeconds_ = 0;
-    double usualSeconds_ = 0;
-    double presentSeconds_ = 0;
+    double baselineSeconds_ = 0;
+    double currentSeconds_ = 0;
 };
 
 }  // namespace cottonwing::overload
--- a/src/overload/circuit_breaker.cpp
+++ b/src/overload/circuit_breaker.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr int kConsecutiveFailuresToOpen = 5;
-constexpr double kLeastOpenTimeFactor = 0.8;
+constexpr double kMinOpenTimeFactor = 0.8;
 constexpr double kOpenTimeFactorRange = 0.4;
 
 }  // namespace
@@ -37,9 +37,9 @@
 }
 
 void CircuitBreaker::recordInWindow(bool failed) {
-    failedInWindow_[recorded_ % kWindowSize] = failed;
-    ++recorded_;
-    if (recorded_ < kWindowSize) return;
+    failedInWindow_[recordedOutcomes_ % kWindowSize] = failed;
+    ++recordedOutcomes_;
+    if (recordedOutcomes_ < kWindowSize) return;
     windowFailures_ = static_cast<int>(std::count(failedInWindow_.begin(), failedInWindow_.end(), true));
 }
 
@@ -58,7 +58,7 @@
 }
 
 Duration jitteredOpenTime(Duration openTime, double random) {
-    return fromSeconds(toSeconds(openTime) * (kLeastOpenTimeFactor + kOpenTimeFactorRange * random));
+    return fromSeconds(toSeconds(openTime) * (kMinOpenTimeFactor + kOpenTimeFactorRange * random));
 }
 
 }  // namespace cottonwing::overload
--- a/src/overload/circuit_breaker.h
+++ b/src/overload/circuit_breaker.h
@@ -57,7 +57,7 @@
     int consecutiveFailures_ = 0;
     int successfulProbes_ = 0;
     std::array<bool, kWindowSize> failedInWindow_{};
-    std::size_t recorded_ = 0;
+    std::size_t recordedOutcomes_ = 0;
     int windowFailures_ = 0;
 };
 
--- a/src/overload/client_pushback.cpp
+++ b/src/overload/client_pushback.cpp
@@ -13,7 +13,7 @@
 constexpr double kRetryAfterPerQueueingDelay = 4.0;   // of the longest Retry-After
 constexpr double kToleratedRetryAfterFraction = 0.2;  // that short queueing delays would cause
 constexpr double kJitterFraction = 0.5;
-constexpr double kStayAwayPerShedFraction = 4.0;  // chance that a first attempt is to stay away
+constexpr double kDiscourageRetryPerShedFraction = 4.0;  // chance that a first attempt is to stay away
 
 }  // namespace
 
@@ -22,9 +22,9 @@
 }
 
 Duration ClientPushback::retryAfterForLoad(double shedFraction, RandomSource& random) const {
-    const double forDelay =
+    const double delayFraction =
         std::max(0.0, kRetryAfterPerQueueingDelay * queueingDelay_ - kToleratedRetryAfterFraction);
-    const double fraction = std::min(1.0, kRetryAfterPerShedFraction * shedFraction + forDelay);
+    const double fraction = std::min(1.0, kRetryAfterPerShedFraction * shedFraction + delayFraction);
     const double jitter = (1 - kJitterFraction) + kJitterFraction * random.uniform();
     return fromSeconds(toSeconds(config_.maxRetryAfter) * fraction * jitter);
 }
@@ -36,10 +36,10 @@
         advice.retryAfter = retryAfterForLoad(rejection.shedFraction, random);
     advice.retryAfter =
         config_.retryAfterAllowed ? std::min(advice.retryAfter, config_.maxRetryAfter) : Duration::zero();
-    const bool staysAway =
-        rejection.runsSucceed &&
-        (rejection.isRetry || random.uniform() < kStayAwayPerShedFraction * rejection.shedFraction);
-    advice.retryElsewhere = !staysAway;
+    const bool discouragesRetry =
+        rejection.runsBreakerClosed &&
+        (rejection.isRetry || random.uniform() < kDiscourageRetryPerShedFraction * rejection.shedFraction);
+    advice.retryElsewhere = !discouragesRetry;
     return advice;
 }
 
--- a/src/overload/client_pushback.h
+++ b/src/overload/client_pushback.h
@@ -10,10 +10,10 @@
 
 /// One rejection and the state of the server at the time.
 struct Rejection {
-    Duration retryAfter{0};   ///< Known time until the cause is over; 0: derived from the load.
-    bool isRetry = false;     ///< Whether the rejected request is a retry or hedged request.
-    double shedFraction = 0;  ///< Of the requests, from 0 to 1.
-    bool runsSucceed = true;  ///< Whether the circuit breaker of the server's own runs is closed.
+    Duration retryAfter{0};         ///< Known time until the cause is over; 0: derived from the load.
+    bool isRetry = false;           ///< Whether the rejected request is a retry or hedged request.
+    double shedFraction = 0;        ///< Of the requests, from 0 to 1.
+    bool runsBreakerClosed = true;  ///< Whether the circuit breaker of the server's own runs is closed.
 };
 
 /// Chooses the advice for rejected requests.
--- a/src/overload/control_tick.cpp
+++ b/src/overload/control_tick.cpp
@@ -63,7 +63,7 @@
     for (const auto& [id, request] : context_.requests) {
         if (request.phase != RequestPhase::OnCores) continue;
         runs.ageSeconds += coreSecondsSoFar(request, context_.now);
-        runs.expectedSeconds += context_.serviceTimes.usualCoreSeconds(request.requestClass);
+        runs.expectedSeconds += context_.serviceTimes.baselineCoreSeconds(request.requestClass);
     }
     context_.serviceTimes.updateSlowdown(runs);
 }
--- a/src/overload/dependency_calls.h
+++ b/src/overload/dependency_calls.h
@@ -51,7 +51,7 @@
     bool dependencyOverloaded() const { return callTimes_.dependencyOverloaded(); }
     bool hasCapacity() const { return limiter_.hasCapacity(dependencyOverloaded()); }
     /// @return what a call takes at present, in seconds.
-    double callSeconds() const { return callTimes_.presentSeconds(); }
+    double callSeconds() const { return callTimes_.currentSeconds(); }
     /// @return interval at which calls are sent, in seconds; 0: not limited.
     double secondsBetweenCalls() const { return limiter_.secondsBetweenCalls(callSeconds()); }
 
--- a/src/overload/dependency_limiter.cpp
+++ b/src/overload/dependency_limiter.cpp
@@ -8,18 +8,18 @@
 
 namespace {
 
-constexpr double kLeastQuotaFraction = 0.4;
-constexpr double kMostQuotaFraction = 0.8;
-constexpr double kBurstMultiple = 2.0;           // of the concurrency limit
-constexpr double kBurstAccrualFraction = 0.5;    // of the quota: accrued each second, and kept at most
-constexpr double kOverloadedLimitFactor = 0.9;   // a reduction of the limit
-constexpr double kLimitGrowthFraction = 0.05;    // of the quota: an increase of the limit
-constexpr double kLeastLimitForInterval = 0.01;  // avoids a division by zero without a quota
+constexpr double kMinQuotaFraction = 0.4;
+constexpr double kMaxQuotaFraction = 0.8;
+constexpr double kBurstMultiple = 2.0;          // of the concurrency limit
+constexpr double kBurstAccrualFraction = 0.5;   // of the quota: accrued each second, and kept at most
+constexpr double kOverloadedLimitFactor = 0.9;  // a reduction of the limit
+constexpr double kLimitGrowthFraction = 0.05;   // of the quota: an increase of the limit
+constexpr double kMinLimitForInterval = 0.01;   // avoids a division by zero without a quota
 
 }  // namespace
 
 DependencyLimiter::DependencyLimiter(const Config& config)
-    : config_(config), concurrencyLimit_(config.quota * kLeastQuotaFraction) {}
+    : config_(config), concurrencyLimit_(config.quota * kMinQuotaFraction) {}
 
 void DependencyLimiter::callEnded(bool mayStillRun, Timestamp now) {
     --inFlight_;
@@ -42,20 +42,19 @@
     } else {
         concurrencyLimit_ += kLimitGrowthFraction * config_.quota;
     }
-    concurrencyLimit_ = std::clamp(concurrencyLimit_, config_.quota * kLeastQuotaFraction,
-                                   config_.quota * kMostQuotaFraction);
+    concurrencyLimit_ =
+        std::clamp(concurrencyLimit_, config_.quota * kMinQuotaFraction, config_.quota * kMaxQuotaFraction);
 }
 
-double DependencyLimiter::quotaToAccrue() const {
+double DependencyLimiter::quotaAccrual() const {
     // What was borrowed is paid back at half of the quota, so that a call that hung is soon followed by the
     // next.
-    const double most = kBurstAccrualFraction * config_.quota;
-    return unusedQuota_ < 0 ? most : std::min(concurrencyLimit_, most);
+    const double maxAccrual = kBurstAccrualFraction * config_.quota;
+    return unusedQuota_ < 0 ? maxAccrual : std::min(concurrencyLimit_, maxAccrual);
 }
 
 void DependencyLimiter::accrueUnusedQuota(double elapsedSeconds) {
-    unusedQuota_ =
-        std::min(quotaToAccrue(), unusedQuota_ + (quotaToAccrue() - inProgress()) * elapsedSeconds);
+    unusedQuota_ = std::min(quotaAccrual(), unusedQuota_ + (quotaAccrual() - inProgress()) * elapsedSeconds);
 }
 
 double DependencyLimiter::inProgress() const {
@@ -72,7 +71,7 @@
 
 double DependencyLimiter::secondsBetweenCalls(double callSeconds) const {
     if (config_.kind != DependencyKind::Shared) return 0;
-    return callSeconds / std::max(concurrencyLimit_, kLeastLimitForInterval);
+    return callSeconds / std::max(concurrencyLimit_, kMinLimitForInterval);
 }
 
 }  // namespace cottonwing::overload
--- a/src/overload/dependency_limiter.h
+++ b/src/overload/dependency_limiter.h
@@ -62,7 +62,7 @@
 private:
     /// @return calls at the dependency, abandoned ones included.
     double inProgress() const;
-    double quotaToAccrue() const;
+    double quotaAccrual() const;
 
     Config config_;
     int inFlight_ = 0;
--- a/src/overload/dependency_queue.cpp
+++ b/src/overload/dependency_queue.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr double kCoreTimeAfterCall = 0.5;  // part of a run's core time that follows its call
+constexpr double kCoreFractionAfterCall = 0.5;  // part of a run's core time that follows its call
 
 struct ScheduledCall {
     double value = 0;
@@ -28,15 +28,15 @@
     if (rate.secondsBetweenCalls <= 0) return skipped;
     std::vector<ScheduledCall> scheduled;
     for (const WaitingCall& call : byDeadline) {
-        const Duration remaining = fromSeconds(rate.callSeconds + kCoreTimeAfterCall * call.coreSeconds);
+        const Duration remaining = fromSeconds(rate.callSeconds + kCoreFractionAfterCall * call.coreSeconds);
         const bool late = rate.now + remaining > call.objectiveEnd;
         scheduled.push_back({call.value * (late ? call.lateValueFraction : 1), call.id});
         const auto callsBefore = static_cast<double>(scheduled.size() - 1);
         const Duration wait = fromSeconds(rate.secondsBetweenCalls * callsBefore);
         if (rate.now + wait + remaining <= (late ? call.answerBy : call.objectiveEnd)) continue;
-        const auto least = std::min_element(scheduled.begin(), scheduled.end(), hasLessValue);
-        skipped.push_back(least->id);
-        scheduled.erase(least);
+        const auto leastValuable = std::min_element(scheduled.begin(), scheduled.end(), hasLessValue);
+        skipped.push_back(leastValuable->id);
+        scheduled.erase(leastValuable);
     }
     return skipped;
 }
--- a/src/overload/graceful_shutdown.cpp
+++ b/src/overload/graceful_shutdown.cpp
@@ -19,8 +19,8 @@
     return true;
 }
 
-bool GracefulShutdown::refuses(Timestamp completeBy) const {
-    return draining() && completeBy > noticeAt_ + drainGrace_;
+bool GracefulShutdown::rejectsArrival(Timestamp fullyReceivedBy) const {
+    return draining() && fullyReceivedBy > noticeAt_ + drainGrace_;
 }
 
 Timestamp GracefulShutdown::answerBy(Timestamp deadline) const {
--- a/src/overload/graceful_shutdown.h
+++ b/src/overload/graceful_shutdown.h
@@ -22,9 +22,10 @@
 
     bool draining() const { return processEndsAt_.has_value(); }
 
-    /// @param completeBy the latest time at which the last byte of a request may have reached the machine.
+    /// @param fullyReceivedBy the latest time at which the last byte of a request may have reached the
+    /// machine.
     /// @return whether that request must not be run any more.
-    bool refuses(Timestamp completeBy) const;
+    bool rejectsArrival(Timestamp fullyReceivedBy) const;
 
     /// @param deadline when the client stops waiting.
     /// @return when its request must be answered: somewhat before the deadline and before the process ends.
--- a/src/overload/latency_objective.cpp
+++ b/src/overload/latency_objective.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-constexpr double kFirstAttemptDecay = 0.999;  // per first attempt
-constexpr double kCutFraction = 0.97;         // a retry with less than this part of the time was cut
+constexpr double kFirstAttemptDecay = 0.999;      // per first attempt
+constexpr double kShortenedRetryFraction = 0.97;  // a retry with less than this part of the time was cut
 
 }  // namespace
 
@@ -19,15 +19,18 @@
 }
 
 Timestamp LatencyObjective::endFor(int requestClass, const RequestTimes& times) {
-    ClassTimes& known = classes_[static_cast<std::size_t>(requestClass)];
+    ClassTimes& classTimes = classes_[static_cast<std::size_t>(requestClass)];
     const double remaining = toSeconds(times.deadline - times.arrivedAt);
     if (!times.isRetry)
-        known.firstAttemptSeconds = std::max(remaining, known.firstAttemptSeconds * kFirstAttemptDecay);
-    const bool cut = times.isRetry && remaining < kCutFraction * known.firstAttemptSeconds;
-    const Timestamp firstAttemptAt = cut ? times.deadline - known.requestClass.timeout : times.arrivedAt;
+        classTimes.maxFirstAttemptSeconds =
+            std::max(remaining, classTimes.maxFirstAttemptSeconds * kFirstAttemptDecay);
+    const bool shortenedByTimeout =
+        times.isRetry && remaining < kShortenedRetryFraction * classTimes.maxFirstAttemptSeconds;
+    const Timestamp firstAttemptAt =
+        shortenedByTimeout ? times.deadline - classTimes.requestClass.timeout : times.arrivedAt;
     const Duration objective =
-        known.requestClass.latencyObjective +
-        fromSeconds(known.requestClass.latencyObjectiveWorkFactor * toSeconds(times.work));
+        classTimes.requestClass.latencyObjective +
+        fromSeconds(classTimes.requestClass.latencyObjectiveWorkFactor * toSeconds(times.work));
     return std::min(firstAttemptAt + objective, times.deadline) - kControlTick;
 }
 
--- a/src/overload/latency_objective.h
+++ b/src/overload/latency_objective.h
@@ -30,7 +30,7 @@
 private:
     struct ClassTimes {
         RequestClass requestClass;
-        double firstAttemptSeconds = 0;  ///< Most time that first attempts had left of late.
+        double maxFirstAttemptSeconds = 0;  ///< Most time that first attempts had left of late.
     };
 
     std::vector<ClassTimes> classes_;
--- a/src/overload/memory_admission.cpp
+++ b/src/overload/memory_admission.cpp
@@ -17,7 +17,7 @@
     runningKb_ += memoryKb;
 }
 
-double MemoryAdmission::bookedKb(Timestamp now) {
+double MemoryAdmission::reservedKb(Timestamp now) {
     while (!keys_.empty() && keys_.begin()->first <= now) keys_.erase(keys_.begin());
     return queuedKb_ + runningKb_ * config_.runMemoryFactor +
            static_cast<double>(keys_.size()) * config_.idempotencyKeyKb;
@@ -25,12 +25,12 @@
 
 bool MemoryAdmission::admitsArrival(Timestamp now, bool needsKey) {
     const double keyKb = needsKey ? config_.idempotencyKeyKb : 0;
-    return bookedKb(now) + keyKb <= kArrivalLimitFraction * config_.limitKb;
+    return reservedKb(now) + keyKb <= kArrivalLimitFraction * config_.limitKb;
 }
 
 bool MemoryAdmission::admitsRun(Timestamp now, double memoryKb) {
     const double additionalKb = memoryKb * (config_.runMemoryFactor - 1);
-    return bookedKb(now) + additionalKb <= kRunLimitFraction * config_.limitKb;
+    return reservedKb(now) + additionalKb <= kRunLimitFraction * config_.limitKb;
 }
 
 Timestamp MemoryAdmission::retainKey(RequestId id, Duration idempotencyWindow, Timestamp now) {
--- a/src/overload/memory_admission.h
+++ b/src/overload/memory_admission.h
@@ -44,7 +44,7 @@
     void releaseKey(RequestId id);
 
     /// @return memory booked, in KB.
-    double bookedKb(Timestamp now);
+    double reservedKb(Timestamp now);
 
 private:
     Config config_;
--- a/src/overload/overload_controller.cpp
+++ b/src/overload/overload_controller.cpp
@@ -33,7 +33,7 @@
     RunScheduling runs_;
     CallScheduling calls_;
     ControlTick tick_;
-    bool begun_ = false;
+    bool started_ = false;
 };
 
 Controller::Controller(const ControllerConfig& config)
@@ -54,8 +54,8 @@
 void Controller::beginBatch(const EventBatch& batch, DecisionSink& sink) {
     context_.sink = &sink;
     context_.now = batch.now;
-    if (!begun_) {
-        begun_ = true;
+    if (!started_) {
+        started_ = true;
         tick_.begin();
         context_.slowStart.begin(batch.now);
         sink.setHealth(true);
--- a/src/overload/request_closing.cpp
+++ b/src/overload/request_closing.cpp
@@ -15,7 +15,7 @@
             break;
         default:
             context_.sink->fail(request.id);
-            endAnswer(request);
+            abandonRun(request);
     }
 }
 
@@ -24,7 +24,7 @@
     rejection.retryAfter = retryAfter;
     rejection.isRetry = request.isRetry;
     rejection.shedFraction = context_.shedRate.fraction();
-    rejection.runsSucceed = context_.runsBreaker.state() == CircuitBreaker::State::Closed;
+    rejection.runsBreakerClosed = context_.runsBreaker.state() == CircuitBreaker::State::Closed;
     context_.sink->reject(request.id, context_.pushback.adviceFor(rejection, context_.random));
     if (request.key == KeyState::Retained) {
         context_.sink->releaseKey(request.id);
@@ -33,7 +33,7 @@
     remove(request);
 }
 
-void RequestClosing::endAnswer(RequestState& request) {
+void RequestClosing::abandonRun(RequestState& request) {
     if (request.phase == RequestPhase::OnCores) {
         RunTimes soFar;
         soFar.coreSeconds = coreSecondsSoFar(request, context_.now);
@@ -49,7 +49,7 @@
     RequestState* request = context_.requests.find(id);
     if (request == nullptr || !request->answerPending()) return;
     if (request->hasStarted()) {
-        endAnswer(*request);
+        abandonRun(*request);
     } else {
         remove(*request);
     }
--- a/src/overload/request_closing.h
+++ b/src/overload/request_closing.h
@@ -32,7 +32,7 @@
 private:
     void reject(RequestState& request, Duration retryAfter);
     /// Nobody waits for the run any more; its end still has to come.
-    void endAnswer(RequestState& request);
+    void abandonRun(RequestState& request);
 
     ControllerContext& context_;
 };
--- a/src/overload/request_state.h
+++ b/src/overload/request_state.h
@@ -43,10 +43,10 @@
     int tenant = -1;  ///< -1: none.
     bool isRetry = false;
     Timestamp arrivedAt{0};
-    Timestamp completeBy{0};    ///< Its last byte had reached the machine by then.
-    Timestamp deadline{0};      ///< When the client stops waiting.
-    Timestamp answerBy{0};      ///< When it must be answered, somewhat earlier.
-    Timestamp objectiveEnd{0};  ///< End of the latency objective.
+    Timestamp fullyReceivedBy{0};  ///< Its last byte had reached the machine by then.
+    Timestamp deadline{0};         ///< When the client stops waiting.
+    Timestamp answerBy{0};         ///< When it must be answered, somewhat earlier.
+    Timestamp objectiveEnd{0};     ///< End of the latency objective.
     double memoryKb = 0;
     Duration work{0};  ///< Expected; 0: unknown.
 
--- a/src/overload/request_value.cpp
+++ b/src/overload/request_value.cpp
@@ -52,10 +52,12 @@
         arrivingValue += counts.arrivals * config_.requestClasses[index].priorityWeight;
         if (counts.arrivals > 1) worstRatio = std::min(worstRatio, counts.succeeded / counts.arrivals);
     }
-    const ClassCounts& own = classes_[indexOf(requestClass)];
-    const double behind =
-        own.arrivals > 1 ? std::exp(-kFairnessSteepness * (own.succeeded / own.arrivals - worstRatio)) : 1;
-    return config_.goalWorstClass * behind * arrivingValue / std::max(1.0, own.arrivals);
+    const ClassCounts& ownCounts = classes_[indexOf(requestClass)];
+    const double fairnessFactor =
+        ownCounts.arrivals > 1
+            ? std::exp(-kFairnessSteepness * (ownCounts.succeeded / ownCounts.arrivals - worstRatio))
+            : 1;
+    return config_.goalWorstClass * fairnessFactor * arrivingValue / std::max(1.0, ownCounts.arrivals);
 }
 
 double RequestValue::tenantFactor(int tenant) const {
--- a/src/overload/retry_policy.cpp
+++ b/src/overload/retry_policy.cpp
@@ -45,9 +45,9 @@
 
 Duration retryBackoff(int attempts, Duration attemptTimeout, double random) {
     const double growth = std::pow(kBackoffMultiplier, attempts - 1);
-    const double longest =
+    const double maxBackoffSeconds =
         toSeconds(attemptTimeout) * std::min(kBackoffMaxFraction, kBackoffBaseFraction * growth);
-    return fromSeconds(longest * random);
+    return fromSeconds(maxBackoffSeconds * random);
 }
 
 }  // namespace cottonwing::overload
--- a/src/overload/run_scheduling.cpp
+++ b/src/overload/run_scheduling.cpp
@@ -28,14 +28,14 @@
 }
 
 QueueLoad RunScheduling::queueLoad() const {
-    const double freePlaces =
+    const double freeRunSlots =
         std::max(0.0, context_.concurrencyLimiter.limit() - context_.requests.runsOnCores());
     const DependencyLimiter& limiter = context_.dependency.limiter();
     QueueLoad load;
     load.now = context_.now;
     load.concurrencyLimit = context_.concurrencyLimiter.limit();
     load.freeCoreSeconds =
-        freePlaces * context_.serviceTimes.meanUsualCoreSeconds() * context_.serviceTimes.slowdown();
+        freeRunSlots * context_.serviceTimes.meanBaselineCoreSeconds() * context_.serviceTimes.slowdown();
     load.coresIdle = context_.requests.runsOnCores() == 0;
     load.secondsBetweenCalls = context_.dependency.secondsBetweenCalls();
     load.dependencyIdle = limiter.hasUnusedQuota() && limiter.inFlight() == 0 &&
--- a/src/overload/service_time_model.cpp
+++ b/src/overload/service_time_model.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr double kInitialObjectiveDivisor = 6;
-constexpr double kLeastRunWeight = 0.05;
+constexpr double kMinRunWeight = 0.05;
 constexpr double kExpectedWorkWeight = 0.05;
 constexpr double kUnfinishedRunWeight = 0.1;
 constexpr double kMaxSlowdown = 10.0;
@@ -45,7 +45,7 @@
 void ServiceTimeModel::recordSuccess(int requestClass, const RunTimes& run) {
     ClassMeans& means = meansOf(requestClass);
     ++means.runs;
-    const double weight = std::max(kLeastRunWeight, 1.0 / means.runs);
+    const double weight = std::max(kMinRunWeight, 1.0 / means.runs);
     moveTowards(means.coreSeconds, run.coreSeconds, weight);
     moveTowards(means.totalSeconds, run.totalSeconds, weight);
     moveTowards(means.calls, run.dependencyCalls, weight);
@@ -60,7 +60,7 @@
 }
 
 void ServiceTimeModel::updateSlowdown(const RunsOnCores& runs) {
-    const double prior = runs.cores * meanUsualCoreSeconds();
+    const double prior = runs.cores * meanBaselineCoreSeconds();
     slowdown_ = std::clamp((runs.ageSeconds + prior) / (runs.expectedSeconds + prior), 1.0, kMaxSlowdown);
 }
 
@@ -79,11 +79,11 @@
 
 double ServiceTimeModel::expectedCalls(int requestClass) const { return meansOf(requestClass).calls; }
 
-double ServiceTimeModel::usualCoreSeconds(int requestClass) const {
+double ServiceTimeModel::baselineCoreSeconds(int requestClass) const {
     return meansOf(requestClass).coreSeconds;
 }
 
-double ServiceTimeModel::meanUsualCoreSeconds() const {
+double ServiceTimeModel::meanBaselineCoreSeconds() const {
     double sum = 0;
     for (const ClassMeans& means : classes_) sum += means.coreSeconds;
     return sum / static_cast<double>(classes_.size());
--- a/src/overload/service_time_model.h
+++ b/src/overload/service_time_model.h
@@ -52,9 +52,9 @@
     /// @return mean number of dependency calls of a run.
     double expectedCalls(int requestClass) const;
     /// @return mean core time of the class at usual speed, in seconds.
-    double usualCoreSeconds(int requestClass) const;
-    /// @return unweighted mean of usualCoreSeconds over all classes.
-    double meanUsualCoreSeconds() const;
+    double baselineCoreSeconds(int requestClass) const;
+    /// @return unweighted mean of baselineCoreSeconds over all classes.
+    double meanBaselineCoreSeconds() const;
     /// @return how many times longer than usual runs take at present, from 1 to 10.
     double slowdown() const { return slowdown_; }
 
--- a/src/overload/types.h
+++ b/src/overload/types.h
@@ -137,7 +137,7 @@
     Duration queuedBeforeRead{0};          ///< Time from its arrival at the machine until it was read.
     /// The latest time at which its last byte may have reached the machine. It may lie far behind the
     /// arrival, which the client names and at which it may only have begun to write. Default: the arrival.
-    std::optional<Timestamp> completeBy;
+    std::optional<Timestamp> fullyReceivedBy;
     RequestId duplicateOf = 0;  ///< The earlier attempt with the same idempotency key; 0: none known.
 };
 
--- a/src/thrift/request_decoder.cpp
+++ b/src/thrift/request_decoder.cpp
@@ -94,7 +94,7 @@
             return RequestError::ArrivalTimeOutOfRange;
         incoming_.request.deadline = deadline;
         incoming_.request.queuedBeforeRead = std::max(Duration(0ns), now_ - arrivedAt_);
-        incoming_.request.completeBy = now_;
+        incoming_.request.fullyReceivedBy = now_;
         return std::nullopt;
     }
 
--- a/tests/overload/client_pushback_test.cpp
+++ b/tests/overload/client_pushback_test.cpp
@@ -55,7 +55,7 @@
     Rejection rejection;
     rejection.isRetry = true;
     EXPECT_FALSE(upToOneSecond().adviceFor(rejection, random).retryElsewhere);
-    rejection.runsSucceed = false;
+    rejection.runsBreakerClosed = false;
     EXPECT_TRUE(upToOneSecond().adviceFor(rejection, random).retryElsewhere);
 }
 
--- a/tests/overload/graceful_shutdown_test.cpp
+++ b/tests/overload/graceful_shutdown_test.cpp
@@ -15,11 +15,11 @@
 TEST(GracefulShutdown, RefusesArrivalsAfterTheGrace) {
     GracefulShutdown shutdown(1s);
     EXPECT_FALSE(shutdown.begin(10s, std::nullopt));
-    EXPECT_FALSE(shutdown.refuses(99s));
+    EXPECT_FALSE(shutdown.rejectsArrival(99s));
     EXPECT_TRUE(shutdown.begin(10s, 20s));
     EXPECT_TRUE(shutdown.draining());
-    EXPECT_FALSE(shutdown.refuses(11s));
-    EXPECT_TRUE(shutdown.refuses(11001ms));
+    EXPECT_FALSE(shutdown.rejectsArrival(11s));
+    EXPECT_TRUE(shutdown.rejectsArrival(11001ms));
 }
 
 TEST(GracefulShutdown, AnswersBeforeTheDeadlineAndBeforeTheProcessEnds) {
--- a/tests/overload/service_time_model_test.cpp
+++ b/tests/overload/service_time_model_test.cpp
@@ -42,9 +42,9 @@
 TEST(ServiceTimeModel, UnfinishedRunsOnlyLengthenTheMean) {
     ServiceTimeModel model = modelOfOneClass();
     model.recordUnfinished(0, {0.05, 0, 0});
-    EXPECT_DOUBLE_EQ(model.usualCoreSeconds(0), 0.1);
+    EXPECT_DOUBLE_EQ(model.baselineCoreSeconds(0), 0.1);
     model.recordUnfinished(0, {1.1, 0, 0});
-    EXPECT_DOUBLE_EQ(model.usualCoreSeconds(0), 0.2);
+    EXPECT_DOUBLE_EQ(model.baselineCoreSeconds(0), 0.2);
 }
 
 TEST(ServiceTimeModel, RunsOlderThanUsualRaiseTheSlowdown) {
