--- a/src/simulator/decision_writer.cpp
+++ b/src/simulator/decision_writer.cpp
@@ -26,62 +26,64 @@
 DecisionWriter::DecisionWriter(int instance, std::string& out)
     : instance_(std::to_string(instance)), out_(out) {}
 
-void DecisionWriter::put(std::string_view text) { out_.append(" ").append(text); }
+void DecisionWriter::appendField(std::string_view text) { out_.append(" ").append(text); }
 
-void DecisionWriter::put(std::uint64_t number) { put(std::string_view(std::to_string(number))); }
+void DecisionWriter::appendField(std::uint64_t number) {
+    appendField(std::string_view(std::to_string(number)));
+}
 
-template <typename... Parts>
-void DecisionWriter::write(std::string_view name, Parts... parts) {
+template <typename... Fields>
+void DecisionWriter::writeLine(std::string_view name, Fields... fields) {
     out_.append(name).append(" ").append(instance_);
-    (put(parts), ...);
+    (appendField(fields), ...);
     out_.append("\n");
 }
 
-void DecisionWriter::startRun(RequestId id) { write(wire::kStartRun, id); }
+void DecisionWriter::startRun(RequestId id) { writeLine(wire::kStartRun, id); }
 
 void DecisionWriter::reject(RequestId id, const Pushback& pushback) {
-    write(wire::kReject, id, microseconds(pushback.retryAfter), flag(!pushback.retryElsewhere));
+    writeLine(wire::kReject, id, microseconds(pushback.retryAfter), flag(!pushback.retryElsewhere));
 }
 
-void DecisionWriter::fail(RequestId id) { write(wire::kFail, id); }
+void DecisionWriter::fail(RequestId id) { writeLine(wire::kFail, id); }
 
-void DecisionWriter::cancelRun(RequestId id) { write(wire::kCancelRun, id); }
+void DecisionWriter::cancelRun(RequestId id) { writeLine(wire::kCancelRun, id); }
 
 // On the wire, 0 would mean the whole timeout of the request class.
 void DecisionWriter::callDependency(RequestId id, Duration timeout) {
-    write(wire::kCallDependency, id, microseconds(std::max(timeout, Duration(1us))));
+    writeLine(wire::kCallDependency, id, microseconds(std::max(timeout, Duration(1us))));
 }
 
-void DecisionWriter::skipDependencyCall(RequestId id) { write(wire::kSkipDependencyCall, id); }
+void DecisionWriter::skipDependencyCall(RequestId id) { writeLine(wire::kSkipDependencyCall, id); }
 
 void DecisionWriter::retainKey(RequestId id, Duration lifetime) {
-    write(wire::kRetainKey, id, microseconds(lifetime));
+    writeLine(wire::kRetainKey, id, microseconds(lifetime));
 }
 
-void DecisionWriter::releaseKey(RequestId id) { write(wire::kReleaseKey, id); }
+void DecisionWriter::releaseKey(RequestId id) { writeLine(wire::kReleaseKey, id); }
 
-void DecisionWriter::joinDuplicate(RequestId id) { write(wire::kJoinDuplicate, id); }
+void DecisionWriter::joinDuplicate(RequestId id) { writeLine(wire::kJoinDuplicate, id); }
 
 // The first flag: checks are answered from this setting, without work of their own.
-void DecisionWriter::setHealth(bool good) { write(wire::kSetHealth, kTrue, flag(good)); }
+void DecisionWriter::setHealth(bool healthy) { writeLine(wire::kSetHealth, kTrue, flag(healthy)); }
 
-void DecisionWriter::advertiseLoadShare(double value) {
+void DecisionWriter::advertiseLoadShare(double share) {
     char text[32];
     const auto end =
-        std::to_chars(text, text + sizeof text, value, std::chars_format::fixed, kLoadShareDecimals).ptr;
-    write(wire::kAdvertiseLoadShare, std::string_view(text, static_cast<std::size_t>(end - text)));
+        std::to_chars(text, text + sizeof text, share, std::chars_format::fixed, kLoadShareDecimals).ptr;
+    writeLine(wire::kAdvertiseLoadShare, std::string_view(text, static_cast<std::size_t>(end - text)));
 }
 
 void DecisionWriter::setIdleTimeout(Duration idleTimeout) {
-    write(wire::kCloseIdleConnections, microseconds(idleTimeout));
+    writeLine(wire::kCloseIdleConnections, microseconds(idleTimeout));
 }
 
-void DecisionWriter::scheduleTick(Duration wait) {
-    write(wire::kScheduleTick, microseconds(wait), std::string_view(wire::kTickTag));
+void DecisionWriter::scheduleTick(Duration delay) {
+    writeLine(wire::kScheduleTick, microseconds(delay), std::string_view(wire::kTickTag));
 }
 
-void DecisionWriter::log(std::string_view line) { write(wire::kLog, line); }
+void DecisionWriter::log(std::string_view message) { writeLine(wire::kLog, message); }
 
-void DecisionWriter::bug(std::string_view what) { write(wire::kBug, what); }
+void DecisionWriter::reportBug(std::string_view what) { writeLine(wire::kBug, what); }
 
 }  // namespace cottonwing::simulator
--- a/src/simulator/decision_writer.h
+++ b/src/simulator/decision_writer.h
@@ -25,20 +25,20 @@
     void retainKey(RequestId id, Duration lifetime) override;
     void releaseKey(RequestId id) override;
     void joinDuplicate(RequestId id) override;
-    void setHealth(bool good) override;
-    void advertiseLoadShare(double value) override;
+    void setHealth(bool healthy) override;
+    void advertiseLoadShare(double share) override;
     void setIdleTimeout(Duration idleTimeout) override;
-    void scheduleTick(Duration wait) override;
-    void log(std::string_view line) override;
+    void scheduleTick(Duration delay) override;
+    void log(std::string_view message) override;
 
     /// Tells the simulator of a fault of the controller.
-    void bug(std::string_view what);
+    void reportBug(std::string_view what);
 
 private:
-    void put(std::string_view text);
-    void put(std::uint64_t number);
-    template <typename... Parts>
-    void write(std::string_view name, Parts... parts);
+    void appendField(std::string_view text);
+    void appendField(std::uint64_t number);
+    template <typename... Fields>
+    void writeLine(std::string_view name, Fields... fields);
 
     std::string instance_;
     std::string& out_;
--- a/src/simulator/event_reader.cpp
+++ b/src/simulator/event_reader.cpp
@@ -62,21 +62,22 @@
 }
 
 // Read for its form alone.
-void checkId(const WireLine& line, const wire::Field& field) {
+void checkOptionalId(const WireLine& line, const wire::Field& field) {
     if (!line.isAbsent(field)) line.id(field);
 }
 
 // A gauge as `name:value`.
-void readGauge(const WireLine& line, std::string_view pair, Gauges& gauges) {
-    constexpr char kProblem[] = "not a list of name:number";
+void parseGauge(const WireLine& line, std::string_view pair, Gauges& gauges) {
+    constexpr char kMalformedGauges[] = "not a list of name:number";
     const std::size_t colon = pair.find(':');
-    if (colon == std::string_view::npos) line.fail(wire::kGauges, kProblem);
+    if (colon == std::string_view::npos) line.fail(wire::kGauges, kMalformedGauges);
     const std::string_view name = pair.substr(0, colon);
     const std::string_view digits = pair.substr(colon + 1);
     const char* const last = digits.data() + digits.size();
     double value = 0;
     const auto [end, error] = std::from_chars(digits.data(), last, value);
-    if (error != std::errc() || end != last || !std::isfinite(value)) line.fail(wire::kGauges, kProblem);
+    if (error != std::errc() || end != last || !std::isfinite(value))
+        line.fail(wire::kGauges, kMalformedGauges);
     if (name == wire::kCoreUtilization) gauges.coreUtilization = value;
     if (name == wire::kCoreDemand) gauges.coreDemand = value;
     if (name == wire::kMemoryUtilization) gauges.memoryUtilization = value;
@@ -91,14 +92,14 @@
     request.id = line.id(wire::kRequestId);
     request.requestClass = readRequestClass(line, names);
     request.tenant = readTenant(line, names);
-    checkId(line, wire::kRoutingKey);
+    checkOptionalId(line, wire::kRoutingKey);
     request.deadline = readDeadline(line);
     const auto flags = line.number<unsigned>(wire::kFlags);
     request.expectedWork = readExpectedWork(line, flags);
     request.memoryKb = readMemoryKb(line);
     if (!line.isAbsent(wire::kRank)) request.rank = line.number<double>(wire::kRank);
     request.isRetry = (flags & wire::kFlagRetry) != 0;
-    checkId(line, wire::kClient);
+    checkOptionalId(line, wire::kClient);
     if (!line.isAbsent(wire::kQueuedBeforeReadUs))
         request.queuedBeforeRead = line.microseconds(wire::kQueuedBeforeReadUs);
     if (!line.isAbsent(wire::kDuplicateOf)) request.duplicateOf = line.id(wire::kDuplicateOf);
@@ -120,7 +121,7 @@
     std::string_view rest = line.text(wire::kGauges);
     while (!rest.empty()) {
         const std::string_view pair = rest.substr(0, rest.find(','));
-        readGauge(line, pair, gauges);
+        parseGauge(line, pair, gauges);
         rest.remove_prefix(std::min(rest.size(), pair.size() + 1));
     }
     return gauges;
--- a/src/simulator/instance_host.cpp
+++ b/src/simulator/instance_host.cpp
@@ -24,10 +24,11 @@
 
 bool InstanceHost::serve(std::istream& in, std::string& reply) {
     if (!readLine(in)) return false;
-    const WireLine begin(text_, linesRead_);
-    if (begin.name() != wire::kBatchBegin) begin.fail(wire::kMessageName, "a batch begins with CLOCK");
-    begin.expectFields(wire::kBatchBeginFields);
-    const Timestamp now = begin.microseconds(wire::kClockUs);
+    const WireLine batchBegin(lineText_, linesRead_);
+    if (batchBegin.messageName() != wire::kBatchBegin)
+        batchBegin.fail(wire::kMessageName, "a batch begins with CLOCK");
+    batchBegin.expectFields(wire::kBatchBeginFields);
+    const Timestamp now = batchBegin.microseconds(wire::kClockUs);
     readEvents(in);
     decide(now, reply);
     reply.append(wire::kReplyEnd).append("\n");
@@ -35,7 +36,7 @@
 }
 
 bool InstanceHost::readLine(std::istream& in) {
-    if (!std::getline(in, text_)) return false;
+    if (!std::getline(in, lineText_)) return false;
     ++linesRead_;
     return true;
 }
@@ -43,14 +44,14 @@
 void InstanceHost::readEvents(std::istream& in) {
     instancesWithEvents_.clear();
     while (readLine(in)) {
-        const WireLine line(text_, linesRead_);
-        if (line.name() == wire::kBatchEnd) return line.expectFields(0);
-        (this->*handlerOf(line))(line);
+        const WireLine line(lineText_, linesRead_);
+        if (line.messageName() == wire::kBatchEnd) return line.expectFields(0);
+        (this->*handlerFor(line))(line);
     }
-    throw MalformedBatch::cutShort(linesRead_);
+    throw MalformedBatch::truncated(linesRead_);
 }
 
-InstanceHost::EventHandler InstanceHost::handlerOf(const WireLine& line) {
+InstanceHost::EventHandler InstanceHost::handlerFor(const WireLine& line) {
     static const std::map<std::string_view, EventHandler> kHandlers = {
         {wire::kInstanceStarted, &InstanceHost::onInstanceStarted},
         {wire::kInstanceStopped, &InstanceHost::onInstanceStopped},
@@ -62,7 +63,7 @@
         {wire::kTick, &InstanceHost::onTick},
         {wire::kShutdownNotice, &InstanceHost::onShutdownNotice},
     };
-    const auto found = kHandlers.find(line.name());
+    const auto found = kHandlers.find(line.messageName());
     if (found == kHandlers.end()) line.fail(wire::kMessageName, "unknown message");
     return found->second;
 }
@@ -77,7 +78,7 @@
         try {
             instance.controller->decide(instance.events, decisions);
         } catch (const std::exception& error) {
-            decisions.bug(error.what());
+            decisions.reportBug(error.what());
         }
         instance.events = EventBatch{};
     }
--- a/src/simulator/instance_host.h
+++ b/src/simulator/instance_host.h
@@ -30,7 +30,7 @@
     struct Instance;
     using EventHandler = void (InstanceHost::*)(const WireLine& line);
 
-    static EventHandler handlerOf(const WireLine& line);
+    static EventHandler handlerFor(const WireLine& line);
     bool readLine(std::istream& in);
     void readEvents(std::istream& in);
     void decide(Timestamp now, std::string& reply);
@@ -48,7 +48,7 @@
 
     std::map<int, std::unique_ptr<Instance>> instances_;  // by number
     std::set<int> instancesWithEvents_;                   // of the present batch: only they may act
-    std::string text_;                                    // the present line
+    std::string lineText_;                                // the present line
     std::size_t linesRead_ = 0;
 };
 
--- a/src/simulator/wire_line.cpp
+++ b/src/simulator/wire_line.cpp
@@ -22,7 +22,7 @@
 MalformedBatch::MalformedBatch(std::size_t line, const std::string& problem)
     : std::runtime_error(prefix(line) + problem), line_(line), problem_(problem) {}
 
-MalformedBatch MalformedBatch::cutShort(std::size_t line) { return {line, "batch cut short"}; }
+MalformedBatch MalformedBatch::truncated(std::size_t line) { return {line, "batch cut short"}; }
 
 WireLine::WireLine(std::string_view text, std::size_t number) : text_(text), number_(number) {
     std::size_t begin = 0;
@@ -36,7 +36,7 @@
 }
 
 void WireLine::fail(std::string_view field, std::string_view problem) const {
-    throw MalformedBatch(number_, name(), field, problem);
+    throw MalformedBatch(number_, messageName(), field, problem);
 }
 
 void WireLine::fail(const wire::Field& field, std::string_view problem) const { fail(field.name, problem); }
--- a/src/simulator/wire_line.h
+++ b/src/simulator/wire_line.h
@@ -25,7 +25,7 @@
     MalformedBatch(std::size_t line, std::string_view message, std::string_view field,
                    std::string_view problem);
     /// The input ended within a batch, behind this line.
-    static MalformedBatch cutShort(std::size_t line);
+    static MalformedBatch truncated(std::size_t line);
 
     std::size_t line() const { return line_; }
     const std::string& message() const { return message_; }
@@ -51,7 +51,7 @@
     [[noreturn]] void fail(const wire::Field& field, std::string_view problem) const;
 
     /// The name of the message.
-    std::string_view name() const { return parts_.front(); }
+    std::string_view messageName() const { return parts_.front(); }
     /// Fails unless the line has exactly so many fields.
     void expectFields(std::size_t count) const;
     bool isAbsent(const wire::Field& field) const { return parts_[field.position] == wire::kAbsent; }
--- a/tests/simulator/event_reader_test.cpp
+++ b/tests/simulator/event_reader_test.cpp
@@ -10,14 +10,14 @@
 
 using namespace std::chrono_literals;
 
-config::NameTables names() {
-    config::NameTables names;
-    names.requestClasses = {{"read", 0}, {"write", 1}};
-    names.tenants = {{"acme", 0}, {"other", 1}};
-    return names;
+config::NameTables nameTables() {
+    config::NameTables nameTables;
+    nameTables.requestClasses = {{"read", 0}, {"write", 1}};
+    nameTables.tenants = {{"acme", 0}, {"other", 1}};
+    return nameTables;
 }
 
-Request request(const std::string& text) { return readRequest(WireLine(text, 1), names()); }
+Request request(const std::string& text) { return readRequest(WireLine(text, 1), nameTables()); }
 
 template <typename Read>
 MalformedBatch errorOf(Read&& read) {
@@ -26,17 +26,17 @@
     } catch (const MalformedBatch& error) {
         return error;
     }
-    return MalformedBatch::cutShort(0);
+    return MalformedBatch::truncated(0);
 }
 
 TEST(WireLine, SplitsAtEachSpace) {
     const std::string text = "HELLO 3 77 {\"a\": 1, \"b\": 2}";
     const WireLine line(text, 1);
-    EXPECT_EQ(line.name(), "HELLO");
+    EXPECT_EQ(line.messageName(), "HELLO");
     EXPECT_EQ(line.instance(), 3);
     EXPECT_EQ(line.textToEnd(wire::kSettings), "{\"a\": 1, \"b\": 2}");
     EXPECT_THROW(WireLine("HELLO 3 77", 1).textToEnd(wire::kSettings), MalformedBatch);
-    EXPECT_EQ(WireLine("", 1).name(), "");
+    EXPECT_EQ(WireLine("", 1).messageName(), "");
 }
 
 TEST(WireLine, ErrorsNameLineMessageFieldAndProblem) {
@@ -54,7 +54,7 @@
                  "line 2: CLOCK: field 'clock': out of range");
     EXPECT_STREQ(errorOf([] { WireLine("CLOCK", 2).microseconds(wire::kClockUs); }).what(),
                  "line 2: CLOCK: field 'clock': missing");
-    EXPECT_STREQ(MalformedBatch::cutShort(4).what(), "line 4: batch cut short");
+    EXPECT_STREQ(MalformedBatch::truncated(4).what(), "line 4: batch cut short");
 }
 
 TEST(EventReader, MapsEachFieldOfARequest) {
@@ -83,20 +83,22 @@
     EXPECT_FALSE(request("INBOUND 3 55 read - - - 12000 12 - 2 - - -").expectedWork);  // the flag is not set
 }
 
-TEST(EventReader, RefusesARequestByItsField) {
-    const auto fieldOf = [](const std::string& text) { return errorOf([&] { request(text); }).field(); };
-    EXPECT_EQ(fieldOf("INBOUND 3 55 read - - - - 12 - 0 - -"), "count");
-    EXPECT_EQ(fieldOf("INBOUND 3 55 news - - - - 12 - 0 - - -"), "service");
-    EXPECT_EQ(fieldOf("INBOUND 3 55 read nobody - - - 12 - 0 - - -"), "realm");
-    EXPECT_EQ(fieldOf("INBOUND 3 55 read - x - - 12 - 0 - - -"), "object");
-    EXPECT_EQ(fieldOf("INBOUND 3 55 read - - x - 12 - 0 - - -"), "give_up_at_us");
-    EXPECT_EQ(fieldOf("INBOUND 3 55 read - - - x 12 - 0 - - -"), "work_us");
-    EXPECT_EQ(fieldOf("INBOUND 3 55 read - - - - -1 - 0 - - -"), "held_kb");
-    EXPECT_EQ(fieldOf("INBOUND 3 55 read - - - - 12 nan 0 - - -"), "precedence");
-    EXPECT_EQ(fieldOf("INBOUND 3 55 read - - - - 12 - - - - -"), "bitmap");
-    EXPECT_EQ(fieldOf("INBOUND 3 55 read - - - - 12 - 0 x - -"), "author");
-    EXPECT_EQ(fieldOf("INBOUND 3 55 read - - - - 12 - 0 - x -"), "backlog_time_us");
-    EXPECT_EQ(fieldOf("INBOUND 3 55 read - - - - 12 - 0 - - x"), "repeats");
+TEST(EventReader, RejectsAMalformedRequestAndNamesItsField) {
+    const auto malformedFieldOf = [](const std::string& text) {
+        return errorOf([&] { request(text); }).field();
+    };
+    EXPECT_EQ(malformedFieldOf("INBOUND 3 55 read - - - - 12 - 0 - -"), "count");
+    EXPECT_EQ(malformedFieldOf("INBOUND 3 55 news - - - - 12 - 0 - - -"), "service");
+    EXPECT_EQ(malformedFieldOf("INBOUND 3 55 read nobody - - - 12 - 0 - - -"), "realm");
+    EXPECT_EQ(malformedFieldOf("INBOUND 3 55 read - x - - 12 - 0 - - -"), "object");
+    EXPECT_EQ(malformedFieldOf("INBOUND 3 55 read - - x - 12 - 0 - - -"), "give_up_at_us");
+    EXPECT_EQ(malformedFieldOf("INBOUND 3 55 read - - - x 12 - 0 - - -"), "work_us");
+    EXPECT_EQ(malformedFieldOf("INBOUND 3 55 read - - - - -1 - 0 - - -"), "held_kb");
+    EXPECT_EQ(malformedFieldOf("INBOUND 3 55 read - - - - 12 nan 0 - - -"), "precedence");
+    EXPECT_EQ(malformedFieldOf("INBOUND 3 55 read - - - - 12 - - - - -"), "bitmap");
+    EXPECT_EQ(malformedFieldOf("INBOUND 3 55 read - - - - 12 - 0 x - -"), "author");
+    EXPECT_EQ(malformedFieldOf("INBOUND 3 55 read - - - - 12 - 0 - x -"), "backlog_time_us");
+    EXPECT_EQ(malformedFieldOf("INBOUND 3 55 read - - - - 12 - 0 - - x"), "repeats");
 }
 
 TEST(EventReader, ReadsCompletions) {
@@ -139,7 +141,7 @@
     writer.setIdleTimeout(2s);
     writer.scheduleTick(500ms);
     writer.log("two servers known");
-    writer.bug("fault");
+    writer.reportBug("fault");
     EXPECT_EQ(out,
               "START 3 55\nDENY 3 55 2500 0\nDENY 3 55 0 1\nFAIL 3 55\nSUSPEND 3 55\nREACH_OUT 3 55 1\n"
               "REACH_OUT 3 55 1\nGO_ON 3 55\nRETAIN 3 55 1000000\nDROP_KEY 3 55\nECHO 3 55\n"
--- a/tests/simulator/instance_host_test.cpp
+++ b/tests/simulator/instance_host_test.cpp
@@ -22,16 +22,16 @@
     return reply;
 }
 
-void complains(const std::string& events, const std::string& about) {
+void expectMalformed(const std::string& events, const std::string& expectedText) {
     try {
         serve("CLOCK 10\n" + events + "YOUR_TURN\n");
         FAIL() << "taken: " << events;
     } catch (const MalformedBatch& error) {
-        EXPECT_NE(std::string(error.what()).find(about), std::string::npos) << error.what();
+        EXPECT_NE(std::string(error.what()).find(expectedText), std::string::npos) << error.what();
     }
 }
 
-TEST(Wire, ServesABatch) {
+TEST(InstanceHost, ServesABatch) {
     EXPECT_EQ(serve("CLOCK 10\nYOUR_TURN\n"), "READY\n");
     const std::string reply = serve(std::string("CLOCK 10\n") + kHello +
                                     "INBOUND 3 55 read - - 4000010 - 12 0.5 0 1 0 -\nYOUR_TURN\n");
@@ -40,22 +40,22 @@
     EXPECT_EQ(reply.substr(reply.size() - 6), "READY\n");
 }
 
-TEST(Wire, ComplainsOfWhatIsMalformed) {
+TEST(InstanceHost, RejectsMalformedInput) {
     const std::string hello = kHello;
-    complains("NEWS 3\n", "line 2: NEWS");
-    complains("GONE 3 5\n", "unknown instance");
-    complains(hello + "GONE 3\n", "expected 2 fields");
-    complains(hello + "GONE 3 x5\n", "field 'req': not a number");
-    complains(hello + "INBOUND 3 55 write - - 4000010 - 12 0.5 0 1 0 -\n", "unknown profile");
-    complains(hello + "INBOUND 3 55 read - - 4000010 - 12kb 0.5 0 1 0 -\n", "held_kb");
-    complains(hello + "ENDED 3 55 fine 10\n", "unknown outcome");
-    complains(hello + "BELL 3 wake on_cores\n", "health_info");
-    complains("HELLO 3 77 {\"classes\": 1\n", "settings");
+    expectMalformed("NEWS 3\n", "line 2: NEWS");
+    expectMalformed("GONE 3 5\n", "unknown instance");
+    expectMalformed(hello + "GONE 3\n", "expected 2 fields");
+    expectMalformed(hello + "GONE 3 x5\n", "field 'req': not a number");
+    expectMalformed(hello + "INBOUND 3 55 write - - 4000010 - 12 0.5 0 1 0 -\n", "unknown profile");
+    expectMalformed(hello + "INBOUND 3 55 read - - 4000010 - 12kb 0.5 0 1 0 -\n", "held_kb");
+    expectMalformed(hello + "ENDED 3 55 fine 10\n", "unknown outcome");
+    expectMalformed(hello + "BELL 3 wake on_cores\n", "health_info");
+    expectMalformed("HELLO 3 77 {\"classes\": 1\n", "settings");
     EXPECT_THROW(serve("CLOCK 10\nGONE 3"), MalformedBatch);
     EXPECT_THROW(serve("YOUR_TURN\n"), MalformedBatch);
 }
 
-TEST(Wire, ANumberCanBeginAnewInOneBatch) {
+TEST(InstanceHost, AnInstanceNumberCanBeReusedWithinABatch) {
     const std::string reply = serve(std::string("CLOCK 10\n") + kHello + "YOUR_TURN\nCLOCK 20\nRETIRE 3\n" +
                                     kHello + "YOUR_TURN\n");
     EXPECT_NE(reply.rfind("REPORT_HEALTH 3 1 1\n"), reply.find("REPORT_HEALTH 3 1 1\n"));
