--- a/tests/overload/admission_queue_test.cpp
+++ b/tests/overload/admission_queue_test.cpp
@@ -25,23 +25,23 @@
     return queued;
 }
 
-TEST(AdmissionQueue, KeepsWhatCompletesInTime) {
+TEST(AdmissionQueue, KeepsRequestsThatCompleteInTime) {
     EXPECT_EQ(selectRequestsToShed({request(1, 1s), request(2, 2s), request(3, 3s)}, QueueLoad()), Ids{});
 }
 
-TEST(AdmissionQueue, ShedsTheLeastValuableUpToTheFirstLateOne) {
+TEST(AdmissionQueue, ShedsTheLeastValuableRequestUpToTheFirstLateOne) {
     const std::vector<QueuedRequest> queue = {request(1, 1s, 5), request(2, 1500ms, 2), request(3, 2s, 3)};
     EXPECT_EQ(selectRequestsToShed(queue, QueueLoad()), Ids{2});
 }
 
-TEST(AdmissionQueue, MeasuresValueByWork) {
+TEST(AdmissionQueue, ComparesValuePerCoreSecond) {
     std::vector<QueuedRequest> queue = {request(1, 2s, 2), request(2, 2s, 3)};
     queue[1].coreSeconds = 2;
     queue[1].totalSeconds = 2;
     EXPECT_EQ(selectRequestsToShed(queue, QueueLoad()), Ids{2});
 }
 
-TEST(AdmissionQueue, ShedsWhatIsTooLateWithoutTouchingTheOthers) {
+TEST(AdmissionQueue, ShedsARequestThatIsTooLateAndKeepsTheOthers) {
     QueuedRequest late = request(2, 500ms, 9);
     EXPECT_EQ(selectRequestsToShed({request(1, 1s), late}, QueueLoad()), Ids{2});
     late.lateValueFraction = 0.5;
@@ -49,7 +49,7 @@
         << "a late response has value until its deadline";
 }
 
-TEST(AdmissionQueue, KeepsOneOnIdleCoresAsAProbe) {
+TEST(AdmissionQueue, KeepsOneRequestAsAProbeWhileCoresAreIdle) {
     QueueLoad load;
     const std::vector<QueuedRequest> queue = {request(1, 500ms)};
     EXPECT_EQ(selectRequestsToShed(queue, load), Ids{1});
@@ -57,7 +57,7 @@
     EXPECT_EQ(selectRequestsToShed(queue, load), Ids{});
 }
 
-TEST(AdmissionQueue, CallsWaitForThoseDueEarlier) {
+TEST(AdmissionQueue, CallsWaitForCallsWithEarlierDeadlines) {
     const UpcomingCalls upcoming[] = {{1s, 4}};
     QueueLoad load;
     load.secondsBetweenCalls = 0.5;
--- a/tests/overload/client_pushback_test.cpp
+++ b/tests/overload/client_pushback_test.cpp
@@ -13,11 +13,11 @@
 
 using namespace std::chrono_literals;
 
-ClientPushback upToOneSecond() { return ClientPushback({true, 1s}); }
+ClientPushback pushbackUpToOneSecond() { return ClientPushback({true, 1s}); }
 
-TEST(ClientPushback, AnIdleServerAsksForNoDelayAndAllowsOthers) {
+TEST(ClientPushback, AnIdleServerSendsNoRetryAfterAndAllowsOtherServers) {
     RandomSource random(7);
-    const Pushback advice = upToOneSecond().adviceFor({}, random);
+    const Pushback advice = pushbackUpToOneSecond().adviceFor({}, random);
     EXPECT_EQ(advice.retryAfter, 0ms);
     EXPECT_TRUE(advice.retryElsewhere);
 }
@@ -27,46 +27,46 @@
     Rejection rejection;
     rejection.shedFraction = 0.8;
     for (int draw = 0; draw < 100; ++draw) {
-        const Duration retryAfter = upToOneSecond().adviceFor(rejection, random).retryAfter;
+        const Duration retryAfter = pushbackUpToOneSecond().adviceFor(rejection, random).retryAfter;
         EXPECT_GE(retryAfter, 200ms);
         EXPECT_LT(retryAfter, 400ms);
     }
 }
 
 TEST(ClientPushback, RetryAfterGrowsWithTheQueueingDelay) {
-    ClientPushback pushback = upToOneSecond();
+    ClientPushback pushback = pushbackUpToOneSecond();
     for (int arrival = 0; arrival < 100; ++arrival) pushback.recordQueueingDelay(1);
     RandomSource random(7);
     EXPECT_GE(pushback.adviceFor({}, random).retryAfter, 500ms);
 }
 
-TEST(ClientPushback, AKnownRetryAfterIsCutToWhatIsAllowed) {
+TEST(ClientPushback, AKnownRetryAfterIsLimitedToTheMaximum) {
     RandomSource random(7);
     Rejection rejection;
     rejection.retryAfter = 700ms;
-    EXPECT_EQ(upToOneSecond().adviceFor(rejection, random).retryAfter, 700ms);
+    EXPECT_EQ(pushbackUpToOneSecond().adviceFor(rejection, random).retryAfter, 700ms);
     rejection.retryAfter = 5s;
-    EXPECT_EQ(upToOneSecond().adviceFor(rejection, random).retryAfter, 1s);
+    EXPECT_EQ(pushbackUpToOneSecond().adviceFor(rejection, random).retryAfter, 1s);
     EXPECT_EQ(ClientPushback({false, 1s}).adviceFor(rejection, random).retryAfter, 0ms);
 }
 
-TEST(ClientPushback, ARetryStaysAwayUnlessThisServersOwnRunsFail) {
+TEST(ClientPushback, ARetryIsDiscouragedUnlessThisServersOwnRunsFail) {
     RandomSource random(7);
     Rejection rejection;
     rejection.isRetry = true;
-    EXPECT_FALSE(upToOneSecond().adviceFor(rejection, random).retryElsewhere);
+    EXPECT_FALSE(pushbackUpToOneSecond().adviceFor(rejection, random).retryElsewhere);
     rejection.runsBreakerClosed = false;
-    EXPECT_TRUE(upToOneSecond().adviceFor(rejection, random).retryElsewhere);
+    EXPECT_TRUE(pushbackUpToOneSecond().adviceFor(rejection, random).retryElsewhere);
 }
 
-TEST(ClientPushback, FirstAttemptsStayAwayWhenAQuarterIsShed) {
+TEST(ClientPushback, FirstAttemptsAreDiscouragedWhenAQuarterIsShed) {
     RandomSource random(7);
     Rejection rejection;
     rejection.shedFraction = 0.25;
-    EXPECT_FALSE(upToOneSecond().adviceFor(rejection, random).retryElsewhere);
+    EXPECT_FALSE(pushbackUpToOneSecond().adviceFor(rejection, random).retryElsewhere);
 }
 
-TEST(ShedRate, TellsAnOverloadFromFifteenPercentUntilUnderTwo) {
+TEST(ShedRate, AnOverloadBeginsAboveFifteenPercentAndEndsBelowTwo) {
     ShedRate rate;
     EXPECT_FALSE(rate.updateOverloaded());
     for (int tick = 0; tick < 10; ++tick) {
@@ -90,12 +90,12 @@
     EXPECT_DOUBLE_EQ(advertiser.update(0).value(), 0.42);
 }
 
-TEST(LoadAdvertiser, SendsNoOtherSignal) {
+TEST(LoadAdvertiser, AdvertisesNoOtherSignal) {
     for (const LoadSignal signal : {LoadSignal::None, LoadSignal::Threshold, LoadSignal::Window})
         EXPECT_FALSE(LoadAdvertiser(signal).update(0.9).has_value());
 }
 
-TEST(IdleConnections, AreClosedEarlyWhereClientsComeBackSeldom) {
+TEST(IdleConnections, AreClosedEarlyWhenClientsRarelyReturn) {
     IdleConnections connections({30s, 1000});
     EXPECT_EQ(connections.update({5, 0, false}), 27s);
     for (int advice = 0; advice < 100; ++advice) connections.update({5, 0, false});
@@ -104,7 +104,7 @@
     EXPECT_EQ(connections.update({5, 0.6, true}), 1s) << "unless the dependency is the bottleneck";
 }
 
-TEST(IdleConnections, AreKeptWhereClientsComeBackOften) {
+TEST(IdleConnections, AreKeptWhenClientsReturnOften) {
     IdleConnections connections({30s, 100});
     EXPECT_FALSE(connections.update({5, 0, false}).has_value());
 }
--- a/tests/overload/concurrency_limiter_test.cpp
+++ b/tests/overload/concurrency_limiter_test.cpp
@@ -11,38 +11,38 @@
 
 using namespace std::chrono_literals;
 
-void adaptOften(ConcurrencyLimiter& limiter, const CoreLoad& load) {
+void adaptRepeatedly(ConcurrencyLimiter& limiter, const CoreLoad& load) {
     for (int tick = 0; tick < 5000; ++tick) limiter.adapt(load);
 }
 
 TEST(ConcurrencyLimiter, GrowsWhileCoresAreIdleAndRequestsWait) {
     ConcurrencyLimiter limiter({2, 4});
     EXPECT_DOUBLE_EQ(limiter.limit(), 2);
-    adaptOften(limiter, {1.0, 6, true});
+    adaptRepeatedly(limiter, {1.0, 6, true});
     EXPECT_DOUBLE_EQ(limiter.limit(), 6);
 }
 
-TEST(ConcurrencyLimiter, ShrinksWhileTooManyAskForACore) {
+TEST(ConcurrencyLimiter, ShrinksWhileCoreDemandIsTooHigh) {
     ConcurrencyLimiter limiter({2, 4});
-    adaptOften(limiter, {100.0, 2, true});
+    adaptRepeatedly(limiter, {100.0, 2, true});
     EXPECT_DOUBLE_EQ(limiter.limit(), 1);
 }
 
 TEST(ConcurrencyLimiter, ReturnsToOneRunPerCoreWhileItDoesNotLimit) {
     ConcurrencyLimiter limiter({2, 4});
-    adaptOften(limiter, {1.0, 6, true});
-    adaptOften(limiter, {1.0, 6, false});
+    adaptRepeatedly(limiter, {1.0, 6, true});
+    adaptRepeatedly(limiter, {1.0, 6, false});
     EXPECT_NEAR(limiter.limit(), 2, 1e-6);
 }
 
-TEST(ConcurrencyLimiter, KeepsRunsWellBelowTheCollapse) {
+TEST(ConcurrencyLimiter, KeepsRunsBelowTheSafeFraction) {
     const ConcurrencyLimiter limiter({2, 4});  // collapses beyond 8 runs, 6.4 are safe
     EXPECT_TRUE(limiter.admitsRun({1, 6}, 1));
     EXPECT_FALSE(limiter.admitsRun({1, 7}, 1));
     EXPECT_FALSE(limiter.admitsRun({2, 2}, 1)) << "the cores are taken";
 }
 
-TEST(ConcurrencyLimiter, AColdServerOfOneCoreTakesOneRun) {
+TEST(ConcurrencyLimiter, AColdServerWithOneCoreStartsOneRun) {
     const ConcurrencyLimiter limiter({1, 4});  // at a fifth of its capacity it survives 1.6 runs
     EXPECT_TRUE(limiter.admitsRun({0, 0}, 0.2));
     EXPECT_FALSE(limiter.admitsRun({0, 1}, 0.2)) << "1 is below the safe 1.28, but 2 are over 1.6";
--- a/tests/overload/controller_rules_test.cpp
+++ b/tests/overload/controller_rules_test.cpp
@@ -11,80 +11,81 @@
 namespace cottonwing::testing {
 namespace {
 
-int upTo(int most) { return *rc::gen::resize(1000, rc::gen::inRange(0, most + 1)); }
-bool oneIn(int n) { return upTo(n - 1) == 0; }
+int randomUpTo(int max) { return *rc::gen::resize(1000, rc::gen::inRange(0, max + 1)); }
+bool oneIn(int n) { return randomUpTo(n - 1) == 0; }
 
-ControllerConfig anyConfig() {
+ControllerConfig randomConfig() {
     ControllerConfig config = plainControllerConfig();
-    config.seed = static_cast<std::uint64_t>(upTo(1000000));
+    config.seed = static_cast<std::uint64_t>(randomUpTo(1000000));
     config.startsCold = oneIn(2);
-    config.cores = 1 + upTo(5);
-    config.memoryLimitKb = 400 + 400 * upTo(10);
-    config.runCancellation = static_cast<RunCancellation>(upTo(2));
-    config.loadSignal = static_cast<LoadSignal>(upTo(3));
-    config.dependency = static_cast<DependencyKind>(1 + upTo(1));
-    config.dependencyQuota = 0.4 + 0.6 * upTo(5);
-    config.clientCount = upTo(2) * 500;
+    config.cores = 1 + randomUpTo(5);
+    config.memoryLimitKb = 400 + 400 * randomUpTo(10);
+    config.runCancellation = static_cast<RunCancellation>(randomUpTo(2));
+    config.loadSignal = static_cast<LoadSignal>(randomUpTo(3));
+    config.dependency = static_cast<DependencyKind>(1 + randomUpTo(1));
+    config.dependencyQuota = 0.4 + 0.6 * randomUpTo(5);
+    config.clientCount = randomUpTo(2) * 500;
     if (oneIn(3)) config.tenants = {{5}, {10}};
     return config;
 }
 
 RC_GTEST_PROP(ControllerRules, HoldAfterEveryBatch, ()) {
-    ControllerHarness machine(anyConfig());
-    const int batches = 150 + upTo(250), rush = upTo(4), fails = 1 + upTo(9), speed = 1 + upTo(19),
-              lag = 1 + upTo(99);
-    const int leaveAt = oneIn(2) ? upTo(batches) : -1;
-    RequestId next = 1;
-    for (int i = 0; i < batches && machine.broken.empty(); ++i) {
+    ControllerHarness harness(randomConfig());
+    const int batches = 150 + randomUpTo(250), maxArrivals = randomUpTo(4), failureOneIn = 1 + randomUpTo(9),
+              runStepOneIn = 1 + randomUpTo(19), earlyResultOneIn = 1 + randomUpTo(99);
+    const int shutdownBatch = oneIn(2) ? randomUpTo(batches) : -1;
+    RequestId nextId = 1;
+    for (int i = 0; i < batches && harness.broken.empty(); ++i) {
         EventBatch batch;
-        const bool stopped = machine.stopAt >= 0ns && machine.now + 700ms > machine.stopAt;
-        for (int n = stopped ? 0 : upTo(rush); n > 0; --n) {
-            Request c = machine.command(next++, upTo(2), 10ms * upTo(500));
-            c.memoryKb = 1 + upTo(40);
-            c.queuedBeforeRead = 1ms * upTo(30);
-            c.isRetry = oneIn(5);
-            if (!machine.terms.tenants.empty()) c.tenant = upTo(1);
-            if (oneIn(4)) c.deadline.reset();
-            if (oneIn(3)) c.expectedWork = 1ms * (1 + upTo(500));
+        const bool shutdownIsNear = harness.stopAt >= 0ns && harness.now + 700ms > harness.stopAt;
+        for (int n = shutdownIsNear ? 0 : randomUpTo(maxArrivals); n > 0; --n) {
+            Request request = harness.command(nextId++, randomUpTo(2), 10ms * randomUpTo(500));
+            request.memoryKb = 1 + randomUpTo(40);
+            request.queuedBeforeRead = 1ms * randomUpTo(30);
+            request.isRetry = oneIn(5);
+            if (!harness.terms.tenants.empty()) request.tenant = randomUpTo(1);
+            if (oneIn(4)) request.deadline.reset();
+            if (oneIn(3)) request.expectedWork = 1ms * (1 + randomUpTo(500));
             // a duplicate is known by the retained key of the earlier attempt
-            if (c.requestClass == 1 && !machine.kept.empty() && oneIn(2)) {
-                auto of = machine.kept.begin();
-                std::advance(of, upTo(static_cast<int>(machine.kept.size()) - 1));
-                if (of->second > machine.now + 700ms) c.duplicateOf = of->first;
+            if (request.requestClass == 1 && !harness.kept.empty() && oneIn(2)) {
+                auto original = harness.kept.begin();
+                std::advance(original, randomUpTo(static_cast<int>(harness.kept.size()) - 1));
+                if (original->second > harness.now + 700ms) request.duplicateOf = original->first;
             }
-            batch.arrivals.push_back(c);
+            batch.arrivals.push_back(request);
         }
         std::vector<RequestId> ids;
-        for (const auto& [id, w] : machine.work) ids.push_back(id);
+        for (const auto& [id, tracked] : harness.work) ids.push_back(id);
         for (const RequestId id : ids) {
-            const ControllerHarness::Work& w = machine.work.at(id);
-            if (w.at == ControllerHarness::At::Below && (machine.now >= w.callEnds || oneIn(lag))) {
-                const auto outcome = machine.now >= w.callEnds ? Outcome::TimedOut
-                                     : oneIn(fails)            ? static_cast<Outcome>(1 + upTo(4))
-                                                               : Outcome::Ok;
-                if (w.answered || w.left)
+            const ControllerHarness::Work& tracked = harness.work.at(id);
+            if (tracked.at == ControllerHarness::At::Below &&
+                (harness.now >= tracked.callEnds || oneIn(earlyResultOneIn))) {
+                const auto outcome = harness.now >= tracked.callEnds ? Outcome::TimedOut
+                                     : oneIn(failureOneIn)           ? static_cast<Outcome>(1 + randomUpTo(4))
+                                                                     : Outcome::Ok;
+                if (tracked.answered || tracked.left)
                     batch.runResults.push_back({id, Outcome::Cancelled, 100ms});
                 else
                     batch.dependencyResults.push_back({id, outcome, 50ms});
-            } else if (w.at == ControllerHarness::At::Call && (w.answered || w.left)) {
+            } else if (tracked.at == ControllerHarness::At::Call && (tracked.answered || tracked.left)) {
                 batch.runResults.push_back({id, Outcome::Cancelled, 100ms});
-            } else if (w.at == ControllerHarness::At::Cores && oneIn(speed)) {
-                if (oneIn(2) && !w.answered && !w.left)
+            } else if (tracked.at == ControllerHarness::At::Cores && oneIn(runStepOneIn)) {
+                if (oneIn(2) && !tracked.answered && !tracked.left)
                     batch.waitingForDependency.push_back(id);
                 else
                     batch.runResults.push_back({id, oneIn(9) ? Outcome::Error : Outcome::Ok, 100ms});
-            } else if (w.at == ControllerHarness::At::Joined && oneIn(20)) {
+            } else if (tracked.at == ControllerHarness::At::Joined && oneIn(20)) {
                 batch.runResults.push_back({id, Outcome::Ok, 100ms});
-            } else if (!w.left && !w.answered && oneIn(60)) {
+            } else if (!tracked.left && !tracked.answered && oneIn(60)) {
                 batch.clientCancellations.push_back(id);
             }
         }
-        if (i == leaveAt) batch.processEndsAt = machine.now + 2s + 10ms * upTo(300);
-        if (machine.stopAt >= 0ns && machine.now + 60ms > machine.stopAt) break;
-        machine.step(batch, oneIn(40) && machine.stopAt < 0ns ? 60ms : 20ms);
+        if (i == shutdownBatch) batch.processEndsAt = harness.now + 2s + 10ms * randomUpTo(300);
+        if (harness.stopAt >= 0ns && harness.now + 60ms > harness.stopAt) break;
+        harness.step(batch, oneIn(40) && harness.stopAt < 0ns ? 60ms : 20ms);
     }
-    const std::vector<std::string> broken = std::exchange(machine.broken, {});
-    RC_ASSERT(broken == std::vector<std::string>{});
+    const std::vector<std::string> violations = std::exchange(harness.broken, {});
+    RC_ASSERT(violations == std::vector<std::string>{});
 }
 
 }  // namespace
--- a/tests/overload/controller_test.cpp
+++ b/tests/overload/controller_test.cpp
@@ -5,160 +5,161 @@
 namespace {
 
 // Brings one request to its first dependency call.
-void toCall(ControllerHarness& m, RequestId id, int profile = 0) {
+void reachDependencyCall(ControllerHarness& harness, RequestId id, int requestClass = 0) {
     EventBatch batch;
-    batch.arrivals = {m.command(id, profile)};
-    m.step(batch);
+    batch.arrivals = {harness.command(id, requestClass)};
+    harness.step(batch);
     batch = {};
     batch.waitingForDependency = {id};
-    m.step(batch);
+    harness.step(batch);
 }
-void back(ControllerHarness& m, RequestId id, Outcome outcome, Duration passed = 20ms, Duration took = 50ms) {
+void completeCall(ControllerHarness& harness, RequestId id, Outcome outcome, Duration sinceLastBatch = 20ms,
+                  Duration callDuration = 50ms) {
     EventBatch batch;
-    batch.dependencyResults = {{id, outcome, took}};
-    m.step(batch, passed);
+    batch.dependencyResults = {{id, outcome, callDuration}};
+    harness.step(batch, sinceLastBatch);
 }
-void end(ControllerHarness& m, RequestId id, Outcome outcome = Outcome::Ok) {
+void completeRun(ControllerHarness& harness, RequestId id, Outcome outcome = Outcome::Ok) {
     EventBatch batch;
     batch.runResults = {{id, outcome, 100ms}};
-    m.step(batch);
+    harness.step(batch);
 }
 
 TEST(ControllerCalls, AnIdempotentRequestMakesAtMostThreeAttempts) {
-    ControllerHarness m(plainControllerConfig());
-    toCall(m, 1);
+    ControllerHarness harness(plainControllerConfig());
+    reachDependencyCall(harness, 1);
     for (int i = 0; i < 3; ++i) {
-        back(m, 1, Outcome::ResourceExhausted);
-        for (int n = 0; n < 40; ++n) m.step();
+        completeCall(harness, 1, Outcome::ResourceExhausted);
+        for (int n = 0; n < 40; ++n) harness.step();
     }
-    EXPECT_EQ(m.calls, 3);
-    EXPECT_EQ(m.scraps, 1);
+    EXPECT_EQ(harness.calls, 3);
+    EXPECT_EQ(harness.scraps, 1);
 }
 
 TEST(ControllerCalls, AnErrorIsNotRetried) {
-    ControllerHarness m(plainControllerConfig());
-    toCall(m, 1);
-    back(m, 1, Outcome::Error);
-    EXPECT_EQ(m.calls, 1);
-    EXPECT_EQ(m.scraps, 1);
+    ControllerHarness harness(plainControllerConfig());
+    reachDependencyCall(harness, 1);
+    completeCall(harness, 1, Outcome::Error);
+    EXPECT_EQ(harness.calls, 1);
+    EXPECT_EQ(harness.scraps, 1);
 }
 
 TEST(ControllerCalls, WithoutIdempotencyOnlyCallsThatNeverRanAreRetriedAndOthersSkippedWhereAllowed) {
-    ControllerHarness m(plainControllerConfig());
-    toCall(m, 1, 2);
-    back(m, 1, Outcome::Unreachable);
-    for (int n = 0; n < 40; ++n) m.step();
-    EXPECT_EQ(m.calls, 2);
-    back(m, 1, Outcome::ConnectionLost);
-    EXPECT_EQ(m.calls, 2);
-    EXPECT_EQ(m.leftOut, 1);
+    ControllerHarness harness(plainControllerConfig());
+    reachDependencyCall(harness, 1, 2);
+    completeCall(harness, 1, Outcome::Unreachable);
+    for (int n = 0; n < 40; ++n) harness.step();
+    EXPECT_EQ(harness.calls, 2);
+    completeCall(harness, 1, Outcome::ConnectionLost);
+    EXPECT_EQ(harness.calls, 2);
+    EXPECT_EQ(harness.leftOut, 1);
 }
 
 TEST(ControllerCalls, AnAttemptGetsTheAttemptTimeoutOrHalfOfTheRemainingTime) {
-    ControllerHarness m(plainControllerConfig());
-    toCall(m, 1);
-    EXPECT_EQ(m.patience, 1s);
+    ControllerHarness harness(plainControllerConfig());
+    reachDependencyCall(harness, 1);
+    EXPECT_EQ(harness.patience, 1s);
     EventBatch batch;
-    batch.arrivals = {m.command(2, 0, 1040ms)};
-    m.step(batch);
+    batch.arrivals = {harness.command(2, 0, 1040ms)};
+    harness.step(batch);
     batch = {};
     batch.waitingForDependency = {2};
-    m.step(batch);
-    EXPECT_NEAR(m.patience.count(), Duration(500ms).count(), Duration(40ms).count());
+    harness.step(batch);
+    EXPECT_NEAR(harness.patience.count(), Duration(500ms).count(), Duration(40ms).count());
 }
 
 // A shared database that gets slow must not keep requests for the time that a tier's long calls need.
 TEST(ControllerCalls, TheAttemptTimeoutFollowsSuccessfulCalls) {
-    ControllerHarness m(plainControllerConfig());
+    ControllerHarness harness(plainControllerConfig());
     for (RequestId id = 1; id <= 20; ++id) {
-        toCall(m, id);
-        back(m, id, Outcome::Ok);
-        end(m, id);
+        reachDependencyCall(harness, id);
+        completeCall(harness, id, Outcome::Ok);
+        completeRun(harness, id);
     }
-    toCall(m, 21);
-    EXPECT_EQ(m.patience, 350ms);  // seven times what these took
+    reachDependencyCall(harness, 21);
+    EXPECT_EQ(harness.patience, 350ms);  // seven times what these took
 }
 
 TEST(ControllerCalls, TheRetryBudgetStopsRetriesAtHalfItsTokens) {
-    ControllerHarness m(plainControllerConfig());
+    ControllerHarness harness(plainControllerConfig());
     int calls = 0;
     // single failures with successes between them, which never earn back what a failure takes
     for (RequestId id = 1; id <= 40; ++id) {
-        toCall(m, id);
+        reachDependencyCall(harness, id);
         if (id % 3 != 0) {
-            back(m, id, Outcome::Ok);
-            end(m, id);
+            completeCall(harness, id, Outcome::Ok);
+            completeRun(harness, id);
             continue;
         }
-        const int before = m.calls;
-        back(m, id, Outcome::ResourceExhausted);
-        for (int n = 0; n < 10; ++n) m.step();
-        calls = m.calls - before;
-        if (calls > 0) back(m, id, Outcome::Ok);
-        end(m, id);
+        const int before = harness.calls;
+        completeCall(harness, id, Outcome::ResourceExhausted);
+        for (int n = 0; n < 10; ++n) harness.step();
+        calls = harness.calls - before;
+        if (calls > 0) completeCall(harness, id, Outcome::Ok);
+        completeRun(harness, id);
     }
     EXPECT_EQ(calls, 0);
 }
 
 TEST(ControllerCalls, FiveConsecutiveFailuresOpenTheCircuitBreakerAndThreeSuccessfulProbesCloseIt) {
-    ControllerHarness m(plainControllerConfig());
+    ControllerHarness harness(plainControllerConfig());
     for (RequestId id = 1; id <= 5; ++id) {
-        EXPECT_FALSE(m.logged("circuit breaker opened"));
-        toCall(m, id);
-        back(m, id, Outcome::Error);
-        end(m, id, Outcome::Cancelled);
+        EXPECT_FALSE(harness.logged("circuit breaker opened"));
+        reachDependencyCall(harness, id);
+        completeCall(harness, id, Outcome::Error);
+        completeRun(harness, id, Outcome::Cancelled);
     }
-    EXPECT_TRUE(m.logged("circuit breaker opened: target=dependency consecutive_failures=5 "));
-    const int calls = m.calls, bounces = m.bounces;
+    EXPECT_TRUE(harness.logged("circuit breaker opened: target=dependency consecutive_failures=5 "));
+    const int calls = harness.calls, bounces = harness.bounces;
     EventBatch batch;
-    batch.arrivals = {m.command(9)};
-    m.step(batch);  // would meet the open breaker: rejected before it costs work, with a Retry-After
-    EXPECT_EQ(m.calls, calls);
-    EXPECT_EQ(m.bounces, bounces + 1);
-    EXPECT_GT(m.retryAfter, 500ms);
-    for (int n = 0; n < 120; ++n) m.step();
+    batch.arrivals = {harness.command(9)};
+    harness.step(batch);  // would meet the open breaker: rejected before it costs work, with a Retry-After
+    EXPECT_EQ(harness.calls, calls);
+    EXPECT_EQ(harness.bounces, bounces + 1);
+    EXPECT_GT(harness.retryAfter, 500ms);
+    for (int n = 0; n < 120; ++n) harness.step();
     for (RequestId id = 11; id <= 13; ++id) {
-        EXPECT_FALSE(m.logged("circuit breaker closed"));
-        toCall(m, id);
-        EXPECT_EQ(m.calls, calls + static_cast<int>(id) - 10);
-        back(m, id, Outcome::Ok);
-        end(m, id);
+        EXPECT_FALSE(harness.logged("circuit breaker closed"));
+        reachDependencyCall(harness, id);
+        EXPECT_EQ(harness.calls, calls + static_cast<int>(id) - 10);
+        completeCall(harness, id, Outcome::Ok);
+        completeRun(harness, id);
     }
-    EXPECT_TRUE(m.logged("circuit breaker closed: target=dependency successful_probes=3"));
+    EXPECT_TRUE(harness.logged("circuit breaker closed: target=dependency successful_probes=3"));
 }
 
 // What a limit of this server held back, and runs that were never started, are no failures.
 TEST(ControllerCalls, LocalLimitsAndSupersededRunsOpenNoCircuitBreaker) {
-    ControllerHarness m(plainControllerConfig());
+    ControllerHarness harness(plainControllerConfig());
     for (RequestId id = 1; id <= 30; ++id) {
-        toCall(m, id);
-        back(m, id, Outcome::LocalLimit);
-        for (int n = 0; n < 10; ++n) m.step();
-        EXPECT_EQ(m.work.at(id).at, ControllerHarness::At::Below)
+        reachDependencyCall(harness, id);
+        completeCall(harness, id, Outcome::LocalLimit);
+        for (int n = 0; n < 10; ++n) harness.step();
+        EXPECT_EQ(harness.work.at(id).at, ControllerHarness::At::Below)
             << "it was never sent, so it may be retried";
-        back(m, id, Outcome::Ok);
-        end(m, id, Outcome::Superseded);
+        completeCall(harness, id, Outcome::Ok);
+        completeRun(harness, id, Outcome::Superseded);
     }
-    EXPECT_FALSE(m.logged("circuit breaker opened"));
+    EXPECT_FALSE(harness.logged("circuit breaker opened"));
 }
 
 // A call whose response cannot be parsed has run: the dependency works, and nothing is left running there.
 TEST(ControllerCalls, AMalformedResponseIsRetriedAndOpensNoCircuitBreaker) {
-    ControllerHarness m(plainControllerConfig());
+    ControllerHarness harness(plainControllerConfig());
     for (RequestId id = 1; id <= 30; ++id) {
-        toCall(m, id);
+        reachDependencyCall(harness, id);
         if (id % 2 == 0) {
-            back(m, id, Outcome::MalformedResponse);
-            for (int n = 0; n < 10; ++n) m.step();
+            completeCall(harness, id, Outcome::MalformedResponse);
+            for (int n = 0; n < 10; ++n) harness.step();
         }
-        if (m.work.at(id).at == ControllerHarness::At::Below) back(m, id, Outcome::Ok);
-        end(m, id);
+        if (harness.work.at(id).at == ControllerHarness::At::Below) completeCall(harness, id, Outcome::Ok);
+        completeRun(harness, id);
     }
-    EXPECT_GT(m.calls, 33);
-    EXPECT_FALSE(m.logged("circuit breaker opened"));
-    toCall(m, 99, 2);
-    back(m, 99, Outcome::MalformedResponse);  // it may have had its effect
-    EXPECT_EQ(m.leftOut, 1);
+    EXPECT_GT(harness.calls, 33);
+    EXPECT_FALSE(harness.logged("circuit breaker opened"));
+    reachDependencyCall(harness, 99, 2);
+    completeCall(harness, 99, Outcome::MalformedResponse);  // it may have had its effect
+    EXPECT_EQ(harness.leftOut, 1);
 }
 
 // A call that hangs now and then took a quarter of a latency objective and passed for an overload.
@@ -166,23 +167,23 @@
     ControllerConfig config = plainControllerConfig();
     config.dependency = DependencyKind::Shared;
     config.dependencyQuota = 10;
-    ControllerHarness m(config);
+    ControllerHarness harness(config);
     for (RequestId id = 1; id <= 200; ++id) {
         const bool hangs = id % 20 == 0;
-        toCall(m, id);
-        back(m, id, hangs ? Outcome::TimedOut : Outcome::Ok, 20ms, hangs ? 1s : 10ms);
-        end(m, id, hangs ? Outcome::Cancelled : Outcome::Ok);
+        reachDependencyCall(harness, id);
+        completeCall(harness, id, hangs ? Outcome::TimedOut : Outcome::Ok, 20ms, hangs ? 1s : 10ms);
+        completeRun(harness, id, hangs ? Outcome::Cancelled : Outcome::Ok);
     }
-    EXPECT_EQ(m.patience, 100ms);  // a twentieth of the latency objective at least
-    EventBatch batch;              // as many as the quota allows are sent at once
-    for (RequestId id = 300; id < 310; ++id) batch.arrivals.push_back(m.command(id));
-    for (m.step(batch); m.on(ControllerHarness::At::Cores) > 0;) {
+    EXPECT_EQ(harness.patience, 100ms);  // a twentieth of the latency objective at least
+    EventBatch batch;                    // as many as the quota allows are sent at once
+    for (RequestId id = 300; id < 310; ++id) batch.arrivals.push_back(harness.command(id));
+    for (harness.step(batch); harness.on(ControllerHarness::At::Cores) > 0;) {
         EventBatch calls;
-        for (const auto& [id, w] : m.work)
-            if (w.at == ControllerHarness::At::Cores) calls.waitingForDependency.push_back(id);
-        m.step(calls);
+        for (const auto& [id, tracked] : harness.work)
+            if (tracked.at == ControllerHarness::At::Cores) calls.waitingForDependency.push_back(id);
+        harness.step(calls);
     }
-    EXPECT_GE(m.out, 7) << "nothing is overloaded";
+    EXPECT_GE(harness.out, 7) << "nothing is overloaded";
 }
 
 // While calls queue, requests that make none get the cores; the others can be rejected, or start later.
@@ -195,47 +196,47 @@
     config.requestClasses[0].timeout = 100s;
     config.requestClasses[1] = config.requestClasses[0];
     config.requestClasses[1].callsDependency = false;
-    ControllerHarness m(config);
+    ControllerHarness harness(config);
     for (RequestId id = 1; id <= 5; ++id) {
-        toCall(m, id);
-        back(m, id, Outcome::Ok, 20ms, 1s);
-        end(m, id);
+        reachDependencyCall(harness, id);
+        completeCall(harness, id, Outcome::Ok, 20ms, 1s);
+        completeRun(harness, id);
     }
     EventBatch batch;
-    for (RequestId id = 10; id < 34; ++id) batch.arrivals.push_back(m.command(id, 0, 90s));
-    m.step(batch);
+    for (RequestId id = 10; id < 34; ++id) batch.arrivals.push_back(harness.command(id, 0, 90s));
+    harness.step(batch);
     batch = {};
     for (RequestId id = 10; id < 34; ++id)
         batch.waitingForDependency.push_back(id);  // some are called, the others wait
-    m.step(batch);
+    harness.step(batch);
     batch = {};
-    for (int profile = 0; profile < 2; ++profile)
-        batch.arrivals.push_back(m.command(50 + profile, profile, 90s));
-    m.step(batch);
-    EXPECT_EQ(m.work.at(50).at, ControllerHarness::At::Hold);
-    EXPECT_EQ(m.work.at(51).at, ControllerHarness::At::Cores);
+    for (int requestClass = 0; requestClass < 2; ++requestClass)
+        batch.arrivals.push_back(harness.command(50 + requestClass, requestClass, 90s));
+    harness.step(batch);
+    EXPECT_EQ(harness.work.at(50).at, ControllerHarness::At::Hold);
+    EXPECT_EQ(harness.work.at(51).at, ControllerHarness::At::Cores);
 }
 
 TEST(ControllerCalls, HalfOfTheLastTwentyOutcomesOpenTheCircuitBreaker) {
-    ControllerHarness m(plainControllerConfig());
+    ControllerHarness harness(plainControllerConfig());
     for (RequestId id = 1; id <= 20; ++id) {
-        EXPECT_FALSE(m.logged("circuit breaker opened"));
-        toCall(m, id);
-        back(m, id, id % 2 == 0 ? Outcome::Error : Outcome::Ok);
-        end(m, id);
+        EXPECT_FALSE(harness.logged("circuit breaker opened"));
+        reachDependencyCall(harness, id);
+        completeCall(harness, id, id % 2 == 0 ? Outcome::Error : Outcome::Ok);
+        completeRun(harness, id);
     }
-    EXPECT_TRUE(m.logged("window_failures=10 window_size=20"));
+    EXPECT_TRUE(harness.logged("window_failures=10 window_size=20"));
 }
 
 TEST(ControllerCalls, TimeoutsOfAStalledProcessAreNotTheDependencysFailure) {
-    ControllerHarness m(plainControllerConfig());
+    ControllerHarness harness(plainControllerConfig());
     for (RequestId id = 1; id <= 8; ++id) {
-        toCall(m, id);
-        back(m, id, Outcome::TimedOut, 400ms);
-        end(m, id, Outcome::Cancelled);
+        reachDependencyCall(harness, id);
+        completeCall(harness, id, Outcome::TimedOut, 400ms);
+        completeRun(harness, id, Outcome::Cancelled);
     }
-    EXPECT_TRUE(m.logged("process stalled"));
-    EXPECT_FALSE(m.logged("circuit breaker opened"));
+    EXPECT_TRUE(harness.logged("process stalled"));
+    EXPECT_FALSE(harness.logged("circuit breaker opened"));
 }
 
 // Where the quota is below one call, each long call must be followed by a pause: once all servers used nearly
@@ -244,52 +245,52 @@
     ControllerConfig config = plainControllerConfig();
     config.dependency = DependencyKind::Shared;
     config.dependencyQuota = 0.25;
-    std::vector<Duration> called[2];
+    std::vector<Duration> callTimes[2];
     for (int seed = 0; seed < 2; ++seed) {
         config.seed = static_cast<std::uint64_t>(seed);
-        ControllerHarness m(config);  // the model of the rules sums up what is in progress
+        ControllerHarness harness(config);  // the model of the rules sums up what is in progress
         for (RequestId id = 1; id <= 4000; ++id) {
             EventBatch batch;
-            if (id % 10 == 0) batch.arrivals = {m.command(id)};
-            for (const auto& [other, w] : m.work)
-                if (w.at == ControllerHarness::At::Cores)
+            if (id % 10 == 0) batch.arrivals = {harness.command(id)};
+            for (const auto& [other, tracked] : harness.work)
+                if (tracked.at == ControllerHarness::At::Cores)
                     batch.waitingForDependency.push_back(other);
-                else if (w.at != ControllerHarness::At::Hold && w.answered)
+                else if (tracked.at != ControllerHarness::At::Hold && tracked.answered)
                     batch.runResults.push_back({other, Outcome::Cancelled, 1s});
-                else if (w.at == ControllerHarness::At::Below && m.now >= w.callEnds)
+                else if (tracked.at == ControllerHarness::At::Below && harness.now >= tracked.callEnds)
                     batch.dependencyResults.push_back({other, Outcome::TimedOut, 1s});
-            const int before = m.calls;
-            m.step(batch);
-            if (m.calls > before) called[seed].push_back(m.now);
+            const int before = harness.calls;
+            harness.step(batch);
+            if (harness.calls > before) callTimes[seed].push_back(harness.now);
         }
-        EXPECT_GE(m.calls, 5);  // and it never stops for good
+        EXPECT_GE(harness.calls, 5);  // and it never stops for good
     }
-    EXPECT_NE(called[0], called[1]);  // and servers that met it together do not call in step
+    EXPECT_NE(callTimes[0], callTimes[1]);  // and servers that met it together do not call in step
 }
 
 // One long call in flight once stood for all of them for seconds, and requests were shed without need.
-TEST(ControllerCalls, OneLongCallIsNoSlowDependency) {
+TEST(ControllerCalls, ASingleLongCallDoesNotMakeTheDependencySlow) {
     ControllerConfig config = plainControllerConfig();
     config.dependency = DependencyKind::Shared;
     config.dependencyQuota = 0.4;
-    ControllerHarness m(config);
+    ControllerHarness harness(config);
     RequestId id = 1;
-    for (int n = 0; n < 20; ++n) m.step();
+    for (int n = 0; n < 20; ++n) harness.step();
     for (; id <= 30; ++id) {
-        toCall(m, id);
-        ASSERT_EQ(m.work.at(id).at, ControllerHarness::At::Below);
-        back(m, id, Outcome::Ok);
-        end(m, id);
-        for (int n = 0; n < 20; ++n) m.step();
+        reachDependencyCall(harness, id);
+        ASSERT_EQ(harness.work.at(id).at, ControllerHarness::At::Below);
+        completeCall(harness, id, Outcome::Ok);
+        completeRun(harness, id);
+        for (int n = 0; n < 20; ++n) harness.step();
     }
-    toCall(m, id);
-    for (int n = 0; n < 15; ++n) m.step();
-    back(m, id, Outcome::Ok);
-    end(m, id);
+    reachDependencyCall(harness, id);
+    for (int n = 0; n < 15; ++n) harness.step();
+    completeCall(harness, id, Outcome::Ok);
+    completeRun(harness, id);
     EventBatch batch;
-    for (RequestId other = 100; other < 104; ++other) batch.arrivals.push_back(m.command(other));
-    m.step(batch);
-    EXPECT_EQ(m.bounces, 0);
+    for (RequestId other = 100; other < 104; ++other) batch.arrivals.push_back(harness.command(other));
+    harness.step(batch);
+    EXPECT_EQ(harness.bounces, 0);
 }
 
 // An abandoned call that was not removed, as no run waited for a call, was charged without end.
@@ -297,148 +298,149 @@
     ControllerConfig config = plainControllerConfig();
     config.dependency = DependencyKind::Shared;
     config.dependencyQuota = 0.4;
-    ControllerHarness m(config);
-    for (int n = 0; n < 20; ++n) m.step();
-    toCall(m, 1, 2);
-    for (int n = 0; n < 50; ++n) m.step();
-    back(m, 1, Outcome::TimedOut);
-    end(m, 1);
-    for (int n = 0; n < 1000; ++n) m.step();
-    toCall(m, 2, 2);
-    EXPECT_EQ(m.calls, 2);
+    ControllerHarness harness(config);
+    for (int n = 0; n < 20; ++n) harness.step();
+    reachDependencyCall(harness, 1, 2);
+    for (int n = 0; n < 50; ++n) harness.step();
+    completeCall(harness, 1, Outcome::TimedOut);
+    completeRun(harness, 1);
+    for (int n = 0; n < 1000; ++n) harness.step();
+    reachDependencyCall(harness, 2, 2);
+    EXPECT_EQ(harness.calls, 2);
 }
 
 // A server that failed its runs in a millisecond looked quick to clients, and attracted more of them.
 TEST(ControllerRuns, ConsecutiveFailuresRejectRequestsUntilProbesSucceed) {
-    ControllerHarness m(plainControllerConfig());
+    ControllerHarness harness(plainControllerConfig());
     const auto run = [&](RequestId id, Outcome outcome) {
         EventBatch batch;
-        batch.arrivals = {m.command(id)};
-        m.step(batch);
-        if (m.work.count(id) != 0U) end(m, id, outcome);
+        batch.arrivals = {harness.command(id)};
+        harness.step(batch);
+        if (harness.work.count(id) != 0U) completeRun(harness, id, outcome);
     };
     for (RequestId id = 1; id <= 5; ++id) run(id, Outcome::Error);
-    EXPECT_TRUE(m.logged("circuit breaker opened: target=runs consecutive_failures=5 "));
-    EXPECT_FALSE(m.good);
+    EXPECT_TRUE(harness.logged("circuit breaker opened: target=runs consecutive_failures=5 "));
+    EXPECT_FALSE(harness.good);
     run(6, Outcome::Ok);
-    EXPECT_EQ(m.bounces, 1);
-    EXPECT_GT(m.retryAfter, 500ms);
-    for (int n = 0; n < 320; ++n) m.step();
-    EXPECT_TRUE(m.good);
+    EXPECT_EQ(harness.bounces, 1);
+    EXPECT_GT(harness.retryAfter, 500ms);
+    for (int n = 0; n < 320; ++n) harness.step();
+    EXPECT_TRUE(harness.good);
     EventBatch batch;
-    batch.arrivals = {m.command(11), m.command(12)};
-    m.step(batch);  // one at a time
-    EXPECT_EQ(m.bounces, 2);
-    end(m, 11);
+    batch.arrivals = {harness.command(11), harness.command(12)};
+    harness.step(batch);  // one at a time
+    EXPECT_EQ(harness.bounces, 2);
+    completeRun(harness, 11);
     run(13, Outcome::Ok);
     run(14, Outcome::Ok);
-    EXPECT_TRUE(m.logged("circuit breaker closed: target=runs"));
+    EXPECT_TRUE(harness.logged("circuit breaker closed: target=runs"));
 }
 
 // Tables full of connections that nobody used again kept clients out and took core time; when the cores are
 // overloaded they are the cheapest rejection.
-TEST(ControllerConnections, AreClosedEarlyWhereClientsComeBackSeldomAndKeptUnderOverload) {
+TEST(ControllerConnections, AreClosedEarlyWhenClientsRarelyReturnAndKeptUnderOverload) {
     ControllerConfig config = plainControllerConfig();
-    ControllerHarness few(config);
+    ControllerHarness fewClients(config);
     config.clientCount = 1000;
-    ControllerHarness many(config);
+    ControllerHarness manyClients(config);
     for (RequestId id = 1; id <= 40; ++id)
-        for (ControllerHarness* m : {&few, &many}) {
-            toCall(*m, id);
-            back(*m, id, Outcome::Ok);
-            end(*m, id);
-            for (int n = 0; n < 7; ++n) m->step();
+        for (ControllerHarness* harness : {&fewClients, &manyClients}) {
+            reachDependencyCall(*harness, id);
+            completeCall(*harness, id, Outcome::Ok);
+            completeRun(*harness, id);
+            for (int n = 0; n < 7; ++n) harness->step();
         }
-    EXPECT_LT(few.idle, 0s);  // never changed
-    EXPECT_EQ(many.idle, 1s);
+    EXPECT_LT(fewClients.idle, 0s);  // never changed
+    EXPECT_EQ(manyClients.idle, 1s);
     for (RequestId id = 1000; id < 2000; id += 5) {
         EventBatch batch;
-        for (RequestId n = 0; n < 5; ++n) batch.arrivals.push_back(many.command(id + n));
-        many.step(batch);
+        for (RequestId n = 0; n < 5; ++n) batch.arrivals.push_back(manyClients.command(id + n));
+        manyClients.step(batch);
     }
-    EXPECT_GT(many.idle, 2s);
+    EXPECT_GT(manyClients.idle, 2s);
 }
 
 // A retry storm feeds on first attempts that are rejected: they all come again.
 TEST(ControllerQueue, RetriesAreShedBeforeFirstAttempts) {
-    ControllerHarness m(plainControllerConfig());
+    ControllerHarness harness(plainControllerConfig());
     EventBatch batch;
     for (RequestId id = 1; id <= 60; ++id) {
-        batch.arrivals.push_back(m.command(id));
+        batch.arrivals.push_back(harness.command(id));
         batch.arrivals.back().isRetry = id % 2 == 0;
     }
-    m.step(batch);
-    int first = 0, further = 0;
-    for (const auto& [id, w] : m.work) ++(w.command.isRetry ? further : first);
-    EXPECT_GT(first, 2 * further);
+    harness.step(batch);
+    int firstAttempts = 0, retries = 0;
+    for (const auto& [id, tracked] : harness.work) ++(tracked.command.isRetry ? retries : firstAttempts);
+    EXPECT_GT(firstAttempts, 2 * retries);
 }
 
 // On two cores a burst of handshakes once delayed runs for a second.
 TEST(ControllerQueue, ABurstOfCoreDemandDoesNotDelayRuns) {
-    ControllerHarness m(plainControllerConfig());
+    ControllerHarness harness(plainControllerConfig());
     for (int n = 0; n < 100; ++n) {
         EventBatch batch;
-        batch.arrivals = {m.command(static_cast<RequestId>(n + 1))};
-        m.asking = n % 5 == 0 ? 12.0 : 1.0;
-        m.step(batch);
+        batch.arrivals = {harness.command(static_cast<RequestId>(n + 1))};
+        harness.asking = n % 5 == 0 ? 12.0 : 1.0;
+        harness.step(batch);
     }
-    EXPECT_GE(m.on(ControllerHarness::At::Cores), 4);
+    EXPECT_GE(harness.on(ControllerHarness::At::Cores), 4);
 }
 
 TEST(ControllerQueue, StartsByDeadline) {
-    ControllerHarness m(plainControllerConfig());
+    ControllerHarness harness(plainControllerConfig());
     EventBatch batch;
     for (RequestId id = 1; id <= 8; ++id)
-        batch.arrivals.push_back(m.command(id, 0, 5s - 100ms * static_cast<int>(id)));
-    m.step(batch);
-    EXPECT_TRUE(m.work.at(8).ran && m.work.at(7).ran);
-    EXPECT_FALSE(m.work.at(1).ran);
+        batch.arrivals.push_back(harness.command(id, 0, 5s - 100ms * static_cast<int>(id)));
+    harness.step(batch);
+    EXPECT_TRUE(harness.work.at(8).ran && harness.work.at(7).ran);
+    EXPECT_FALSE(harness.work.at(1).ran);
 }
 
 TEST(ControllerQueue, ShedsTheLeastValuableAtOnceWhenNotAllCanCompleteInTime) {
-    ControllerHarness m(plainControllerConfig());
+    ControllerHarness harness(plainControllerConfig());
     EventBatch batch;
-    for (RequestId id = 1; id <= 60; ++id) batch.arrivals.push_back(m.command(id, id % 2 == 0 ? 1 : 0));
-    m.step(batch);
-    EXPECT_GT(m.bounces, 5);
-    int cheap = 0, dear = 0;
-    for (const auto& [id, w] : m.work) ++(w.command.requestClass == 1 ? dear : cheap);
-    EXPECT_GT(dear, 2 * cheap);
+    for (RequestId id = 1; id <= 60; ++id) batch.arrivals.push_back(harness.command(id, id % 2 == 0 ? 1 : 0));
+    harness.step(batch);
+    EXPECT_GT(harness.bounces, 5);
+    int lowWeight = 0, highWeight = 0;
+    for (const auto& [id, tracked] : harness.work)
+        ++(tracked.command.requestClass == 1 ? highWeight : lowWeight);
+    EXPECT_GT(highWeight, 2 * lowWeight);
 }
 
 // A mean of expected work that grew from zero took a new server's first request for twenty times the usual.
-TEST(ControllerQueue, TheFirstExpectedWorkStandsForTheMean) {
-    ControllerHarness m(plainControllerConfig());
+TEST(ControllerQueue, TheFirstExpectedWorkInitializesTheMean) {
+    ControllerHarness harness(plainControllerConfig());
     EventBatch batch;
-    batch.arrivals = {m.command(1)};
+    batch.arrivals = {harness.command(1)};
     batch.arrivals[0].expectedWork = 300ms;
-    m.step(batch);
-    EXPECT_EQ(m.starts, 1);
+    harness.step(batch);
+    EXPECT_EQ(harness.starts, 1);
 }
 
 // Requests with little time left once made an idle server report an overload.
-TEST(ControllerQueue, ShortDeadlinesAreNoOverload) {
-    ControllerHarness m(plainControllerConfig());
+TEST(ControllerQueue, RequestsWithShortDeadlinesCauseNoOverload) {
+    ControllerHarness harness(plainControllerConfig());
     for (RequestId id = 1; id <= 100; ++id) {
         EventBatch batch;
-        batch.arrivals = {m.command(id, 0, 100ms), m.command(1000 + id, 0, 100ms)};
-        m.step(batch);
+        batch.arrivals = {harness.command(id, 0, 100ms), harness.command(1000 + id, 0, 100ms)};
+        harness.step(batch);
     }
-    EXPECT_GT(m.bounces, 50);
-    EXPECT_FALSE(m.logged("overload"));
+    EXPECT_GT(harness.bounces, 50);
+    EXPECT_FALSE(harness.logged("overload"));
 }
 
 // Only clients that stay away end a queue of requests that are read too late.
 TEST(ControllerQueue, AQueueingDelayBeforeReadingRaisesRetryAfter) {
-    ControllerHarness m(plainControllerConfig());
+    ControllerHarness harness(plainControllerConfig());
     for (RequestId id = 1; id <= 30; ++id) {
         EventBatch batch;
-        batch.arrivals = {m.command(id)};
+        batch.arrivals = {harness.command(id)};
         batch.arrivals[0].queuedBeforeRead = 1950ms;
-        m.step(batch);
+        harness.step(batch);
     }
-    EXPECT_GT(m.bounces, 10);
-    EXPECT_GT(m.retryAfter, 400ms);
+    EXPECT_GT(harness.bounces, 10);
+    EXPECT_GT(harness.retryAfter, 400ms);
 }
 
 // The fifth consecutive failure rejects all that is queued; a client that cancelled in that very batch was
@@ -447,27 +449,27 @@
     ControllerConfig config = plainControllerConfig();
     config.cores = 1;
     config.requestClasses[0].callsDependency = false;
-    ControllerHarness m(config);
+    ControllerHarness harness(config);
     RequestId next = 1;
     EventBatch batch;
-    for (int n = 0; n < 12; ++n) batch.arrivals.push_back(m.command(next++));
-    m.step(batch);
-    const auto firstAt = [&](ControllerHarness::At place) {
-        for (const auto& [id, w] : m.work)
-            if (w.at == place && !w.answered) return id;
+    for (int n = 0; n < 12; ++n) batch.arrivals.push_back(harness.command(next++));
+    harness.step(batch);
+    const auto firstUnansweredAt = [&](ControllerHarness::At stage) {
+        for (const auto& [id, tracked] : harness.work)
+            if (tracked.at == stage && !tracked.answered) return id;
         return RequestId{0};
     };
     for (int failed = 0; failed < 5; ++failed) {
-        for (int n = 0; n < 200 && firstAt(ControllerHarness::At::Cores) == 0; ++n) m.step();
+        for (int n = 0; n < 200 && firstUnansweredAt(ControllerHarness::At::Cores) == 0; ++n) harness.step();
         batch = {};
-        batch.runResults = {{firstAt(ControllerHarness::At::Cores), Outcome::Error, 5ms}};
-        if (failed == 4) batch.clientCancellations = {firstAt(ControllerHarness::At::Hold)};
+        batch.runResults = {{firstUnansweredAt(ControllerHarness::At::Cores), Outcome::Error, 5ms}};
+        if (failed == 4) batch.clientCancellations = {firstUnansweredAt(ControllerHarness::At::Hold)};
         ASSERT_NE(batch.runResults[0].id, 0U);
-        m.step(batch, 1ms);
+        harness.step(batch, 1ms);
     }
-    EXPECT_TRUE(m.logged("circuit breaker opened: target=runs"));
-    EXPECT_GT(m.bounces, 0);
-    EXPECT_EQ(m.on(ControllerHarness::At::Hold), 0);
+    EXPECT_TRUE(harness.logged("circuit breaker opened: target=runs"));
+    EXPECT_GT(harness.bounces, 0);
+    EXPECT_EQ(harness.on(ControllerHarness::At::Hold), 0);
 }
 
 // A cold server of one core survives 1.6 runs at first: two were started on it, as 1 is below 1.28.
@@ -475,19 +477,19 @@
     ControllerConfig config = plainControllerConfig();
     config.cores = 1;
     config.startsCold = true;
-    ControllerHarness m(config);
-    m.asking = 0.2;  // the gauge says that the core is idle
+    ControllerHarness harness(config);
+    harness.asking = 0.2;  // the gauge says that the core is idle
     RequestId next = 1;
     for (int n = 0; n < 150; ++n) {
         EventBatch batch;
-        if (n < 20) batch.arrivals = {m.command(next++)};
-        m.step(batch);
+        if (n < 20) batch.arrivals = {harness.command(next++)};
+        harness.step(batch);
         // Two runs are allowed once the server is at half of its capacity.
-        if (m.now - m.born < 3s) {
-            EXPECT_LE(m.on(ControllerHarness::At::Cores), 1) << n;
+        if (harness.now - harness.born < 3s) {
+            EXPECT_LE(harness.on(ControllerHarness::At::Cores), 1) << n;
         }
     }
-    EXPECT_GT(m.starts, 0);
+    EXPECT_GT(harness.starts, 0);
 }
 
 // Found by a load test (slow-records): runs cancelled during their call were never stopped; where the
@@ -496,34 +498,34 @@
 TEST(ControllerCalls, ARunThatIsCancelledDuringItsCallIsStopped) {
     ControllerConfig config = plainControllerConfig();
     config.runCancellation = RunCancellation::Suspend;
-    ControllerHarness m(config);
+    ControllerHarness harness(config);
     EventBatch batch;
-    batch.arrivals = {m.command(1)};
-    m.step(batch);
+    batch.arrivals = {harness.command(1)};
+    harness.step(batch);
     batch = {};
     batch.waitingForDependency = {1};
-    m.step(batch);
-    m.step();
-    ASSERT_EQ(m.on(ControllerHarness::At::Below), 1);
+    harness.step(batch);
+    harness.step();
+    ASSERT_EQ(harness.on(ControllerHarness::At::Below), 1);
     batch = {};
     batch.clientCancellations = {1};
-    m.step(batch);
-    EXPECT_EQ(m.halts, 1);
+    harness.step(batch);
+    EXPECT_EQ(harness.halts, 1);
 }
 
 TEST(ControllerShutdown, TheNoticeEndsHealthAndRejectsLateArrivals) {
-    ControllerHarness m(plainControllerConfig());
-    m.step();
-    EXPECT_TRUE(m.good);
+    ControllerHarness harness(plainControllerConfig());
+    harness.step();
+    EXPECT_TRUE(harness.good);
     EventBatch batch;
-    batch.processEndsAt = m.now + 5s;
-    m.step(batch);
-    EXPECT_FALSE(m.good);
-    for (int n = 0; n < 60; ++n) m.step();
+    batch.processEndsAt = harness.now + 5s;
+    harness.step(batch);
+    EXPECT_FALSE(harness.good);
+    for (int n = 0; n < 60; ++n) harness.step();
     batch = {};
-    batch.arrivals = {m.command(1)};
-    m.step(batch);
-    EXPECT_EQ(m.bounces, 1);
+    batch.arrivals = {harness.command(1)};
+    harness.step(batch);
+    EXPECT_EQ(harness.bounces, 1);
 }
 
 }  // namespace
--- a/tests/overload/graceful_shutdown_test.cpp
+++ b/tests/overload/graceful_shutdown_test.cpp
@@ -12,7 +12,7 @@
 
 using namespace std::chrono_literals;
 
-TEST(GracefulShutdown, RefusesArrivalsAfterTheGrace) {
+TEST(GracefulShutdown, RejectsArrivalsAfterTheDrainGrace) {
     GracefulShutdown shutdown(1s);
     EXPECT_FALSE(shutdown.begin(10s, std::nullopt));
     EXPECT_FALSE(shutdown.rejectsArrival(99s));
@@ -77,7 +77,7 @@
     EXPECT_EQ(objectiveOfTwoSeconds().endFor(0, times), 12980ms);
 }
 
-TEST(LatencyObjective, ARetryCutByItsClientsTimeoutCountsFromTheFirstAttempt) {
+TEST(LatencyObjective, ARetryShortenedByItsClientsTimeoutCountsFromTheFirstAttempt) {
     LatencyObjective objective = objectiveOfTwoSeconds();
     objective.endFor(0, arrivedAtTen(15s, false));
     EXPECT_EQ(objective.endFor(0, arrivedAtTen(14s, true)), 10980ms) << "the first attempt began at 9 s";
