--- a/src/overload/admission_queue.cpp
+++ b/src/overload/admission_queue.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-// Part of its expected time that a request must have: estimates lag after a sudden recovery.
+// Fraction of its expected time that a request must have left: estimates lag behind a sudden recovery.
 constexpr double kRequiredTimeFraction = 0.75;
 
 class SheddingSchedule {
@@ -29,10 +29,10 @@
     struct Scheduled {
         RequestId id = 0;
         double coreSeconds = 0;
-        double valueDensity = 0;  ///< Value for each second on the cores.
+        double valueDensity = 0;  ///< Value per core-second.
         double callSeconds = 0;   ///< Time that its calls occupy the dependency.
     };
-    /// Time until a request gets what it needs, behind those scheduled before it.
+    /// Time that a request waits for the cores and the dependency, behind those scheduled before it.
     struct Wait {
         double coreSeconds = 0;
         double callSeconds = 0;
@@ -57,8 +57,8 @@
 SheddingSchedule::SheddingSchedule(const QueueLoad& load)
     : load_(load),
       coreBacklogSeconds_(-load.freeCoreSeconds),
-      // With no call in flight or to come the first one has no wait: however slow calls seem, one must go, or
-      // nothing would ever tell that they are quick again.
+      // If no call is in flight or upcoming, the first one does not wait: however slow calls seem, one must
+      // be sent, or a recovery of the dependency would never be noticed.
       callBacklogSeconds_(load.dependencyIdle ? -load.secondsBetweenCalls : 0) {}
 
 void SheddingSchedule::addUpcomingCalls(Timestamp deadline) {
@@ -94,7 +94,7 @@
     const double limit = load_.concurrencyLimit;
     Wait wait;
     wait.coreSeconds = std::max(0.0, coreBacklogSeconds_ / limit - request.coreSeconds / limit);
-    // One that makes no call waits for none.
+    // A request that makes no call does not wait for the dependency.
     wait.callSeconds = request.dependencyCalls > 0 ? callBacklogSeconds_ : 0;
     return wait;
 }
--- a/src/overload/admission_queue.h
+++ b/src/overload/admission_queue.h
@@ -9,7 +9,7 @@
 
 namespace cottonwing::overload {
 
-/// A queued request with what it is expected to take.
+/// A queued request and its expected cost.
 struct QueuedRequest {
     RequestId id = 0;
     Timestamp deadline{0};      ///< Orders the queue.
@@ -31,24 +31,24 @@
 /// The load in front of the admission queue.
 struct QueueLoad {
     Timestamp now{0};
-    double concurrencyLimit = 1;     ///< Runs on the cores at once.
-    double freeCoreSeconds = 0;      ///< Work that the free places on the cores take at once.
+    double concurrencyLimit = 1;     ///< Maximum number of runs on the cores.
+    double freeCoreSeconds = 0;      ///< Work that the free run slots can start immediately.
     bool coresIdle = false;          ///< Whether nothing is on the cores.
-    double secondsBetweenCalls = 0;  ///< Interval at which the dependency takes calls; 0: not limited.
+    double secondsBetweenCalls = 0;  ///< Interval at which the dependency accepts calls; 0: not limited.
     bool dependencyIdle = false;     ///< Whether a first call would be sent without delay.
     std::span<const UpcomingCalls> upcomingCalls;  ///< By deadline, earliest first.
 };
 
 /// Selects the requests to shed with the Moore-Hodgson algorithm: requests are scheduled in the order of
 /// their deadlines, and when one would miss its latency objective, the scheduled request with the lowest
-/// value per core-second is shed, which need not be the late one. So requests are shed as soon as their
-/// lateness is foreseen, while their clients can still go elsewhere.
+/// value per core-second is shed, which need not be the late one. Requests are thus shed as soon as it is
+/// foreseeable that they would be late, while their clients still have time to try another server.
 ///
-/// Calls are sent in the order of deadlines too, so only those due earlier stand before a request's own call.
-/// With nothing on the cores one request is kept though it seems to be late: it serves as a probe, as
-/// only the end of a run shows that the machine has recovered.
+/// Calls are sent in the order of deadlines too, so a request's own call waits only for those with earlier
+/// deadlines. If the cores are idle, one request is kept even if it is expected to be late: it serves as a
+/// probe, because only a completed run shows that the machine has recovered.
 /// @param byDeadline the queue, earliest deadline first.
-/// @return in the order in which they are to be rejected.
+/// @return the requests to shed, in the order in which they are to be rejected.
 std::vector<RequestId> selectRequestsToShed(const std::vector<QueuedRequest>& byDeadline,
                                             const QueueLoad& load);
 
--- a/src/overload/arrival_handling.cpp
+++ b/src/overload/arrival_handling.cpp
@@ -49,8 +49,9 @@
 }
 
 void ArrivalHandling::joinDuplicate(RequestState& request) {
-    // The earlier attempt is still here or has run: only its result may be the answer, also after the drain
-    // grace. Without memory the duplicate fails; a rejection would promise that no attempt ran.
+    // The earlier attempt is in progress or has run, so only its result may be the answer, even after the
+    // drain grace. If memory is short, the duplicate fails rather than being rejected: a rejection would
+    // assert that no attempt ran.
     request.phase = RequestPhase::JoinedDuplicate;
     if (!context_.memory.admitsArrival(context_.now, false)) {
         closing_.rejectOrFail(request);
@@ -62,7 +63,7 @@
 void ArrivalHandling::admit(RequestState& request) {
     const RequestClass& requestClass = context_.classOf(request);
     const bool needsKey = requestClass.idempotency == Idempotency::WithKey;
-    // Without room for its idempotency key a request cannot be run.
+    // A request cannot be run without memory for its idempotency key.
     if (context_.shutdown.rejectsArrival(request.fullyReceivedBy) ||
         !context_.memory.admitsArrival(context_.now, needsKey)) {
         closing_.rejectOrFail(request);
@@ -73,7 +74,8 @@
         closing_.rejectOrFail(request, context_.config.maxRetryAfter);
         return;
     }
-    // A request that would meet an open breaker is rejected before it costs work.
+    // A request that needs the dependency is rejected while the circuit breaker is open, before any work is
+    // spent on it.
     const bool callRequired = requestClass.callsDependency && requestClass.degradedValueFraction <= 0;
     const CircuitBreaker& breaker = context_.dependency.breaker();
     if (breaker.isOpen() && callRequired) {
--- a/src/overload/arrival_handling.h
+++ b/src/overload/arrival_handling.h
@@ -1,5 +1,5 @@
 /// @file
-/// Steps for an arriving request: it joins a duplicate, is queued, or is given up.
+/// Steps for an arriving request: it joins an earlier attempt, is queued, or is rejected.
 #pragma once
 
 #include "overload/controller_context.h"
@@ -8,7 +8,7 @@
 
 namespace cottonwing::overload {
 
-/// Takes arriving requests into the request table and decides on their admission.
+/// Adds arriving requests to the request table and decides on their admission.
 class ArrivalHandling {
 public:
     ArrivalHandling(ControllerContext& context, RequestClosing& closing);
@@ -16,12 +16,13 @@
     void accept(const Request& arrival);
 
 private:
-    /// Books the arrival in all statistics and adds it to the request table.
+    /// Records the arrival in all statistics and adds it to the request table.
     RequestState& track(const Request& arrival);
     void joinDuplicate(RequestState& request);
     void admit(RequestState& request);
     void retainKey(RequestState& request);
-    /// While the server's own runs fail, requests are rejected; half-open, one at a time is the probe.
+    /// @return whether the circuit breaker of the server's own runs rejects the arrival: while open it
+    /// rejects all, while half-open all but one request at a time, which is the probe.
     bool runsBreakerRejects() const;
 
     ControllerContext& context_;
--- a/src/overload/attempt_timeout.h
+++ b/src/overload/attempt_timeout.h
@@ -8,25 +8,27 @@
 
 namespace cottonwing::overload {
 
-/// Seven times what successful calls take in the long run, between a twentieth and a half of the shortest
-/// latency objective among the request classes that call. Half of it until 20 successful calls were seen.
+/// Seven times the long-term mean duration of successful calls, limited to the range from a twentieth to half
+/// of the shortest latency objective among the request classes that call the dependency. Half of that
+/// objective until 20 calls have succeeded.
 class AttemptTimeout {
 public:
     /// @param shortestObjective shortest latency objective among the classes that call the dependency.
     explicit AttemptTimeout(Duration shortestObjective);
 
-    /// Learns from a successful call. The mean follows slowly: a dependency that gets slow must not at once
-    /// stretch the time that it is given.
+    /// Updates the mean with a successful call. The mean changes slowly, so that a dependency that becomes
+    /// slow does not immediately lengthen its own timeout.
     void recordSuccess(Duration elapsed);
 
     /// @return the timeout of an attempt whose request has enough time.
     Duration value() const { return timeout_; }
 
-    /// @return the timeout for a request with this much time left: half of that at most, so that a retry or
-    /// an answer still fits.
+    /// @return the timeout for a request with this much time left: at most half of it, so that a retry or an
+    /// answer still fits.
     Duration valueFor(Duration remaining) const;
 
-    /// @return whether a timeout is so short that the request's own lack of time may have ended the attempt.
+    /// @return whether a timeout is so short that its expiry may be due to the request's lack of time and not
+    /// to the dependency.
     bool isShortened(Duration timeout) const { return timeout < timeout_ / 2; }
 
 private:
--- a/src/overload/call_scheduling.cpp
+++ b/src/overload/call_scheduling.cpp
@@ -89,13 +89,13 @@
         skipCall(request);
         return;
     }
-    // A response after the latency objective has no value here: no call for it.
+    // A response after the latency objective has no value for this class, so no call is sent for it.
     if (context_.now >= request.objectiveEnd && context_.classOf(request).lateValueFraction <= 0) {
         closing_.rejectOrFail(request);
         return;
     }
-    // While a half-open probe is in flight the others wait for its result, which comes soon; failing them
-    // would waste the work done for them.
+    // While a half-open probe is in flight, the other runs wait for its result, which arrives soon; failing
+    // them would waste the work already done for them.
     if (request.call.retryAt > context_.now || !context_.dependency.hasCapacity() || breaker.probeInFlight())
         return;
     startCall(request);
--- a/src/overload/call_scheduling.h
+++ b/src/overload/call_scheduling.h
@@ -1,5 +1,5 @@
 /// @file
-/// Steps for the dependency calls: queue, start, completion, retry.
+/// Steps for dependency calls: queueing, start, completion, retry.
 #pragma once
 
 #include "overload/controller_context.h"
@@ -16,14 +16,15 @@
     /// Queues a run that wants a dependency call.
     void waitForDependency(RequestId id);
     void completeCall(const Completion& completion);
-    /// Takes runs out of the queue that cannot complete in time.
+    /// Removes from the queue the runs that cannot complete in time.
     void shedWaitingCalls();
-    /// Sends calls, earliest deadline first, while circuit breaker and quota allow.
+    /// Sends calls, earliest deadline first, as far as the circuit breaker and the quota allow.
     void startWaitingCalls();
 
 private:
     void retryOrSkipCall(RequestState& request, Outcome outcome);
-    /// Lets a run go on without its call where its class allows that, and gives it up otherwise.
+    /// Continues a run without its call if its class allows a degraded response, and fails the request
+    /// otherwise.
     void skipCall(RequestState& request);
     void startCallIfPossible(RequestState& request);
     void startCall(RequestState& request);
--- a/src/overload/call_time_model.cpp
+++ b/src/overload/call_time_model.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-constexpr double kOverloadMultiple = 3.0;  // of the usual time
+constexpr double kOverloadMultiple = 3.0;  // of the baseline
 constexpr double kRecentWeight = 0.1;
-constexpr double kBaselineWeightFaster = 0.1;   // the usual time follows quick calls at once
-constexpr double kBaselineWeightSlower = 0.01;  // and slow ones late, so that a slowdown stands out
+constexpr double kBaselineWeightFaster = 0.1;   // the baseline adapts quickly to faster calls
+constexpr double kBaselineWeightSlower = 0.01;  // and slowly to slower ones, so that a slowdown is noticed
 
 }  // namespace
 
--- a/src/overload/call_time_model.h
+++ b/src/overload/call_time_model.h
@@ -1,5 +1,5 @@
 /// @file
-/// How long dependency calls take, usually and at present.
+/// How long dependency calls take: their baseline and their current duration.
 #pragma once
 
 #include "overload/types.h"
@@ -12,28 +12,28 @@
     double totalAgeSeconds = 0;  ///< Sum of the times since each was sent.
 };
 
-/// Mean times of dependency calls. A dependency slows long before it collapses: calls that take a multiple of
-/// their usual time mean that the fleet has too many in progress.
+/// Mean durations of dependency calls. A dependency slows down long before it collapses: calls that take a
+/// multiple of their baseline duration mean that the fleet has too many of them in progress.
 class CallTimeModel {
 public:
     void recordSuccess(Duration elapsed);
 
-    /// A single call that hangs is no overload, many are: a timeout counts no more than twice the time from
-    /// which calls tell of an overload.
+    /// Records a timeout as at most twice the duration above which calls indicate an overload: a single
+    /// hanging call is no overload, many of them are.
     void recordTimeout(Duration elapsed);
 
-    /// Re-estimates the present time of a call, at each control tick. Calls that are in flight for longer
-    /// than calls take reveal a slow dependency before any of them has ended; they are averaged with one
-    /// recent call, as one long call is no slow dependency.
+    /// Updates the current duration of a call, at each control tick. Calls that are in flight for longer than
+    /// calls usually take reveal a slow dependency before any of them has ended. They are averaged with one
+    /// recent call, because a single long call does not mean that the dependency is slow.
     void update(const CallsInFlight& calls);
 
-    /// @return mean time of the calls that ended recently, in seconds.
+    /// @return mean duration of the calls that ended recently, in seconds.
     double recentSeconds() const { return recentSeconds_; }
 
-    /// @return what a call takes at present, calls in flight included, in seconds.
+    /// @return current duration of a call, including the calls in flight, in seconds.
     double currentSeconds() const { return currentSeconds_; }
 
-    /// @return whether calls take so much longer than usual that the dependency must be overloaded.
+    /// @return whether calls take so much longer than their baseline that the dependency must be overloaded.
     bool dependencyOverloaded() const;
 
 private:
--- a/src/overload/circuit_breaker.h
+++ b/src/overload/circuit_breaker.h
@@ -9,9 +9,9 @@
 
 namespace cottonwing::overload {
 
-/// Opens after five consecutive failures, or when half of the last 20 outcomes failed. After its open time it
-/// is half-open: one probe at a time is allowed; three successful probes close it, a failed one opens it
-/// again. One breaker guards the dependency, a second one the server's own runs.
+/// Opens after five consecutive failures, or when at least half of the last 20 outcomes failed. After its
+/// open time it is half-open: one probe at a time is allowed; three successful probes close it, a failed one
+/// opens it again. One breaker protects the dependency, a second one the server's own runs.
 class CircuitBreaker {
 public:
     enum class State { Closed, Open, HalfOpen };
@@ -61,8 +61,8 @@
     int windowFailures_ = 0;
 };
 
-/// Varies an open time by up to a fifth, so that servers whose breakers opened together do not probe
-/// together.
+/// Jitters an open time by up to a fifth in either direction, so that servers whose breakers opened together
+/// do not probe together.
 /// @param random from 0 to under 1.
 Duration jitteredOpenTime(Duration openTime, double random);
 
--- a/src/overload/client_pushback.cpp
+++ b/src/overload/client_pushback.cpp
@@ -9,11 +9,11 @@
 namespace {
 
 constexpr double kQueueingDelayWeight = 0.1;
-constexpr double kRetryAfterPerShedFraction = 0.5;    // of the longest Retry-After
-constexpr double kRetryAfterPerQueueingDelay = 4.0;   // of the longest Retry-After
-constexpr double kToleratedRetryAfterFraction = 0.2;  // that short queueing delays would cause
+constexpr double kRetryAfterPerShedFraction = 0.5;    // of the maximum Retry-After
+constexpr double kRetryAfterPerQueueingDelay = 4.0;   // of the maximum Retry-After
+constexpr double kToleratedRetryAfterFraction = 0.2;  // subtracted, so that short delays have no effect
 constexpr double kJitterFraction = 0.5;
-constexpr double kDiscourageRetryPerShedFraction = 4.0;  // chance that a first attempt is to stay away
+constexpr double kDiscourageRetryPerShedFraction = 4.0;  // probability of discouraging a first attempt
 
 }  // namespace
 
--- a/src/overload/client_pushback.h
+++ b/src/overload/client_pushback.h
@@ -1,5 +1,5 @@
 /// @file
-/// What a client is advised when its request is rejected: Retry-After, and whether to try another server.
+/// The advice that a rejected client gets: Retry-After, and whether to try another server.
 #pragma once
 
 #include "overload/decision_sink.h"
@@ -10,7 +10,7 @@
 
 /// One rejection and the state of the server at the time.
 struct Rejection {
-    Duration retryAfter{0};         ///< Known time until the cause is over; 0: derived from the load.
+    Duration retryAfter{0};         ///< Time until the cause is over, if known; 0: derived from the load.
     bool isRetry = false;           ///< Whether the rejected request is a retry or hedged request.
     double shedFraction = 0;        ///< Of the requests, from 0 to 1.
     bool runsBreakerClosed = true;  ///< Whether the circuit breaker of the server's own runs is closed.
@@ -18,13 +18,14 @@
 
 /// Chooses the advice for rejected requests.
 ///
-/// Retry-After grows with the shed fraction and with the time that requests wait before they are read: such a
-/// delay lies before the admission queue, and only clients that stay away can end it. It is jittered by a
-/// half, so that clients rejected together do not come back together.
+/// Retry-After grows with the shed fraction and with the time that requests wait before they are read: that
+/// delay arises before the admission queue, so only fewer requests from clients can reduce it. It is jittered
+/// by half, so that clients rejected together do not return together.
 ///
-/// Retries on other servers are discouraged when the whole fleet seems to be full: they would be read there
-/// and rejected again. So a retry that is rejected here too stays away, and first attempts do
-/// in proportion to the shed fraction. While the server's own runs fail, others may well succeed.
+/// Retries on other servers are discouraged when the whole fleet seems to be overloaded, as other servers
+/// would only read and reject them as well: always after the rejection of a retry, and after that of a first
+/// attempt with a probability proportional to the shed fraction. They are not discouraged while this server's
+/// own runs fail, since other servers may well succeed.
 class ClientPushback {
 public:
     struct Config {
@@ -34,7 +35,7 @@
 
     explicit ClientPushback(const Config& config) : config_(config) {}
 
-    /// Learns how long requests wait before they are read.
+    /// Records how long a request waited before it was read.
     /// @param objectiveFraction that wait as a fraction of the request's latency objective.
     void recordQueueingDelay(double objectiveFraction);
 
--- a/src/overload/concurrency_limiter.cpp
+++ b/src/overload/concurrency_limiter.cpp
@@ -6,14 +6,14 @@
 
 namespace {
 
-constexpr double kDemandPerCore = 1.25;    // aimed at
-constexpr double kMaxDemandPerCore = 2.0;  // counted: a burst of handshakes must not stop runs
-constexpr double kDemandWeight = 0.1;      // of one tick in the mean
-constexpr double kLimitStep = 0.02;        // runs per tick, for each request that the demand is off
-constexpr double kLimitRecovery = 0.005;   // part of the way back to one run per core, per tick
+constexpr double kDemandPerCore = 1.25;    // target
+constexpr double kMaxDemandPerCore = 2.0;  // higher demand is cut: a burst of handshakes must not stop runs
+constexpr double kDemandWeight = 0.1;      // weight of one tick in the mean
+constexpr double kLimitStep = 0.02;        // runs per tick and unit of deviation from the target demand
+constexpr double kLimitRecovery = 0.005;   // fraction of the way back to one run per core, per tick
 constexpr double kMinRunsPerCore = 0.5;
 constexpr double kMaxRunsPerCore = 3.0;
-constexpr double kSafeRunsFraction = 0.8;  // of the runs that the server survives
+constexpr double kSafeRunsFraction = 0.8;  // of the runs at which the server collapses
 
 }  // namespace
 
@@ -31,8 +31,8 @@
 
 bool ConcurrencyLimiter::admitsRun(const RunsInProgress& runs, double capacityFraction) const {
     const double collapseLimit = config_.cores * (1 + (config_.overloadFactor - 1) * capacityFraction);
-    // Where the server survives few runs, the last one below the safe fraction may be a part of a run too
-    // many.
+    // If the collapse limit is small, one more run can exceed it even though the number of runs is below the
+    // safe fraction.
     const bool staysBelowCollapse =
         runs.total < collapseLimit * kSafeRunsFraction && runs.total + 1 <= collapseLimit;
     return runs.onCores < limit_ && staysBelowCollapse;
--- a/src/overload/control_tick.h
+++ b/src/overload/control_tick.h
@@ -1,5 +1,5 @@
 /// @file
-/// The control tick: estimates and the advice to clients are renewed.
+/// The control tick: updates the estimates and the advice to clients.
 #pragma once
 
 #include "overload/controller_context.h"
@@ -8,15 +8,15 @@
 
 namespace cottonwing::overload {
 
-/// Runs at each control tick; no other clock is needed.
+/// The periodic part of the controller, which needs no other timer.
 class ControlTick {
 public:
     explicit ControlTick(ControllerContext& context);
 
-    /// Notes the first batch; the first tick follows at once.
+    /// Records the time of the first batch; the first tick runs in that batch.
     void begin() { lastTick_ = context_.now; }
     void observeGauges(const Gauges& gauges);
-    /// Renews estimates and advice if the tick is due, and requests the next one.
+    /// Updates estimates and advice if the tick is due, and schedules the next one.
     void runWhenDue();
 
 private:
--- a/src/overload/controller_context.h
+++ b/src/overload/controller_context.h
@@ -23,8 +23,8 @@
 
 namespace cottonwing::overload {
 
-/// Each rule stands alone in its own file; the steps (arrivals, runs, calls, closing, control tick) connect
-/// them through this context.
+/// The rules are independent of each other, each in its own file; the steps (arrivals, runs, calls, closing,
+/// control tick) connect them through this context.
 struct ControllerContext {
     explicit ControllerContext(const ControllerConfig& controllerConfig);
 
@@ -33,16 +33,16 @@
     double valueOf(const RequestState& request) const;
 
     CircuitBreaker& breakerOf(BreakerTarget target);
-    /// Makes the breaker half-open, and logs that, when its open time is over.
-    /// @param waiting requests that wait behind it.
+    /// Makes the breaker half-open and logs the transition, if its open time is over.
+    /// @param waiting number of requests that wait for the breaker.
     /// @return whether its state changed.
     bool halfOpenWhenDue(BreakerTarget target, std::size_t waiting);
     void logTransition(BreakerTarget target, CircuitBreaker::Transition transition);
 
     const ControllerConfig config;
     RandomSource random;
-    DecisionSink* sink = nullptr;  ///< Of the present batch.
-    Timestamp now{0};              ///< Of the present batch.
+    DecisionSink* sink = nullptr;  ///< Of the current batch.
+    Timestamp now{0};              ///< Of the current batch.
 
     RequestTable requests;
     StallDetector stallDetector;
--- a/src/overload/controller_log.h
+++ b/src/overload/controller_log.h
@@ -1,5 +1,5 @@
 /// @file
-/// The texts of the controller's log lines, as "event: key=value ...".
+/// Formats the controller's log lines, as `event: key=value ...`.
 #pragma once
 
 #include <cstddef>
@@ -11,13 +11,13 @@
 
 namespace cottonwing::overload {
 
-/// What a circuit breaker guards.
+/// What a circuit breaker protects.
 enum class BreakerTarget { Dependency, Runs };
 
-/// @return the line for a change that recording an outcome caused; empty for Transition::None.
+/// @return the log line for a state transition; empty for Transition::None.
 std::string transitionMessage(BreakerTarget target, CircuitBreaker::Transition transition,
                               const CircuitBreaker& breaker);
-/// @param waiting requests that wait behind the breaker.
+/// @param waiting number of requests that wait for the breaker.
 std::string halfOpenMessage(BreakerTarget target, std::size_t waiting);
 std::string overloadMessage(const ShedRate& shedRate, std::size_t queued);
 std::string shutdownMessage(Duration remaining, std::size_t inProgress);
--- a/src/overload/deadline_queue.h
+++ b/src/overload/deadline_queue.h
@@ -16,7 +16,7 @@
     using Entry = std::pair<Timestamp, RequestId>;
 
     void insert(Timestamp time, RequestId id) { entries_.emplace(time, id); }
-    /// Removes the entry if it is there.
+    /// Removes the entry if it is present.
     void erase(Timestamp time, RequestId id) { entries_.erase({time, id}); }
 
     bool empty() const { return entries_.empty(); }
--- a/src/overload/decision_sink.h
+++ b/src/overload/decision_sink.h
@@ -24,16 +24,16 @@
     virtual void startRun(RequestId id) = 0;
     /// Final answer: sheds a request that never ran.
     virtual void reject(RequestId id, const Pushback& pushback) = 0;
-    /// Final answer: a request that ran, or may have run, without a result in time.
+    /// Final answer: fails a request that ran, or may have run, without a result in time.
     virtual void fail(RequestId id) = 0;
-    /// Stops a run that nobody waits for any more.
+    /// Stops a run whose result is no longer needed.
     virtual void cancelRun(RequestId id) = 0;
     /// Sends the dependency call that the run waits for.
     /// @param timeout of this attempt.
     virtual void callDependency(RequestId id, Duration timeout) = 0;
-    /// Lets the run go on without its dependency call (degraded response).
+    /// Continues the run without its dependency call (degraded response).
     virtual void skipDependencyCall(RequestId id) = 0;
-    /// Retains the request's idempotency key for this long.
+    /// Retains the request's idempotency key for the given time.
     virtual void retainKey(RequestId id, Duration lifetime) = 0;
     /// Releases the idempotency key of a request that never ran.
     virtual void releaseKey(RequestId id) = 0;
@@ -41,9 +41,9 @@
     virtual void joinDuplicate(RequestId id) = 0;
     /// Sets the health that health checks report.
     virtual void setHealth(bool healthy) = 0;
-    /// Advertises the share of its usual traffic that this server can take, from 0 to 1.
+    /// Advertises the fraction of its usual traffic that this server can handle, from 0 to 1.
     virtual void advertiseLoadShare(double share) = 0;
-    /// Sets how long a client connection may stay unused before it is closed.
+    /// Sets how long a client connection may be idle before it is closed.
     virtual void setIdleTimeout(Duration idleTimeout) = 0;
     /// Requests the next control tick, which delivers the gauges.
     virtual void scheduleTick(Duration delay) = 0;
--- a/src/overload/dependency_calls.h
+++ b/src/overload/dependency_calls.h
@@ -1,5 +1,5 @@
 /// @file
-/// The state of this server's calls to its dependency: what their outcomes change, joined in one place.
+/// The state of this server's calls to its dependency: combines all rules that their outcomes update.
 #pragma once
 
 #include "overload/attempt_timeout.h"
@@ -18,7 +18,7 @@
     Outcome outcome = Outcome::Ok;
     Duration elapsed{0};
     AttemptTime time = AttemptTime::Full;
-    bool stalled = false;  ///< Whether this process stood still shortly before the outcome was read.
+    bool stalled = false;  ///< Whether this process was stalled shortly before the outcome was read.
 };
 
 /// A failed attempt that may be followed by another one.
@@ -35,22 +35,23 @@
     DependencyCalls(const DependencyLimiter::Config& limit, Duration shortestObjective)
         : attemptTimeout_(shortestObjective), limiter_(limit) {}
 
-    /// @return what the outcome changed at the circuit breaker.
+    /// @return the state transition of the circuit breaker that the outcome caused.
     CircuitBreaker::Transition recordOutcome(const EndedAttempt& attempt, Timestamp now,
                                              RandomSource& random);
 
     /// @return whether class, outcome, number of attempts and budget allow a retry.
     bool shouldRetry(const FailedAttempt& attempt) const;
 
-    /// @return the backoff after the last of so many attempts, with full jitter.
+    /// @return the backoff before the next attempt, with full jitter.
+    /// @param attempts made so far.
     Duration backoff(int attempts, RandomSource& random) const;
 
-    /// Re-estimates call times and unused quota, at each control tick.
+    /// Updates the current duration of a call, at each control tick.
     void updateCallTimes(const CallsInFlight& calls) { callTimes_.update(calls); }
 
     bool dependencyOverloaded() const { return callTimes_.dependencyOverloaded(); }
     bool hasCapacity() const { return limiter_.hasCapacity(dependencyOverloaded()); }
-    /// @return what a call takes at present, in seconds.
+    /// @return current duration of a call, in seconds.
     double callSeconds() const { return callTimes_.currentSeconds(); }
     /// @return interval at which calls are sent, in seconds; 0: not limited.
     double secondsBetweenCalls() const { return limiter_.secondsBetweenCalls(callSeconds()); }
--- a/src/overload/dependency_limiter.cpp
+++ b/src/overload/dependency_limiter.cpp
@@ -12,8 +12,8 @@
 constexpr double kMaxQuotaFraction = 0.8;
 constexpr double kBurstMultiple = 2.0;          // of the concurrency limit
 constexpr double kBurstAccrualFraction = 0.5;   // of the quota: accrued each second, and kept at most
-constexpr double kOverloadedLimitFactor = 0.9;  // a reduction of the limit
-constexpr double kLimitGrowthFraction = 0.05;   // of the quota: an increase of the limit
+constexpr double kOverloadedLimitFactor = 0.9;  // of one reduction of the limit
+constexpr double kLimitGrowthFraction = 0.05;   // of the quota: one increase of the limit
 constexpr double kMinLimitForInterval = 0.01;   // avoids a division by zero without a quota
 
 }  // namespace
@@ -47,8 +47,8 @@
 }
 
 double DependencyLimiter::quotaAccrual() const {
-    // What was borrowed is paid back at half of the quota, so that a call that hung is soon followed by the
-    // next.
+    // Borrowed quota is paid back at the rate of half the quota, so that the next call follows soon after one
+    // that hung.
     const double maxAccrual = kBurstAccrualFraction * config_.quota;
     return unusedQuota_ < 0 ? maxAccrual : std::min(concurrencyLimit_, maxAccrual);
 }
--- a/src/overload/dependency_limiter.h
+++ b/src/overload/dependency_limiter.h
@@ -12,12 +12,12 @@
 /// Limits the calls in progress at a shared dependency. The quota bounds their mean over a window, so:
 ///
 /// - A concurrency limit between 0.4 and 0.8 of the quota may always be used. It shrinks while the dependency
-///   is overloaded, as a slow dependency gets no faster by more calls, and grows otherwise.
-/// - Beyond it calls are paid from the quota that was left unused: a single call where the limit is
-///   below one, and up to twice the limit while the dependency is not overloaded.
+///   is overloaded, as more calls would not make a slow dependency faster, and grows otherwise.
+/// - Calls beyond it are paid for with quota that was left unused: a single call where the limit is below
+///   one, and up to twice the limit while the dependency is not overloaded.
 ///
-/// A call that was abandoned counts for as long as the dependency may go on working on it. Other kinds of
-/// dependency are not limited.
+/// An abandoned call counts for as long as the dependency may keep working on it. Other kinds of dependency
+/// are not limited.
 class DependencyLimiter {
 public:
     struct Config {
@@ -29,39 +29,41 @@
     explicit DependencyLimiter(const Config& config);
 
     void callStarted() { ++inFlight_; }
-    /// @param mayStillRun whether the dependency may go on working on the call.
+    /// @param mayStillRun whether the dependency may keep working on the call.
     void callEnded(bool mayStillRun, Timestamp now);
     void removeExpiredAbandonedCalls(Timestamp now);
 
-    /// Takes a random part of a timed-out call's time from the unused quota. All servers meet a slow
-    /// dependency at once; those that wait for a random time do not call again in step.
+    /// Deducts a random part of a timed-out call's duration from the unused quota. All servers observe a slow
+    /// dependency at the same time; the random deduction keeps them from sending their next calls in
+    /// lockstep.
     /// @param random from 0 to under 1.
     void chargeTimeout(Duration elapsed, double random);
 
-    /// Adapts the concurrency limit, after each call that succeeded or timed out. A reduction is followed by
-    /// none before the calls sent under the reduced limit can have ended.
+    /// Adapts the concurrency limit, after each call that succeeded or timed out. After a reduction it stays
+    /// unchanged until calls sent under the reduced limit can have ended.
     void adapt(const CallTimeModel& callTimes, Timestamp now);
 
-    /// Adds the quota left unused over a time, or pays back what was borrowed.
+    /// Adds the quota left unused during the elapsed time, or pays back borrowed quota.
     void accrueUnusedQuota(double elapsedSeconds);
 
     /// @return whether one more call may be sent.
     bool hasCapacity(bool dependencyOverloaded) const;
 
-    /// @return seconds between two calls that the limit lets out; 0: not limited.
-    /// @param callSeconds what a call takes at present.
+    /// @return interval between calls that the limit allows, in seconds; 0: not limited.
+    /// @param callSeconds current duration of a call.
     double secondsBetweenCalls(double callSeconds) const;
 
     bool hasUnusedQuota() const { return unusedQuota_ > 0; }
 
-    /// @return calls sent and not ended.
+    /// @return number of calls in flight.
     int inFlight() const { return inFlight_; }
 
     double concurrencyLimit() const { return concurrencyLimit_; }
 
 private:
-    /// @return calls at the dependency, abandoned ones included.
+    /// @return number of calls in progress at the dependency, including abandoned ones.
     double inProgress() const;
+    /// @return unused quota accrued per second, which is also the most that is kept.
     double quotaAccrual() const;
 
     Config config_;
@@ -69,7 +71,7 @@
     std::multiset<Timestamp> abandonedUntil_;
     double concurrencyLimit_;
     Timestamp nextAdaptation_{0};
-    double unusedQuota_ = 0;  ///< In call seconds; negative: borrowed.
+    double unusedQuota_ = 0;  ///< In call-seconds; negative: borrowed.
 };
 
 }  // namespace cottonwing::overload
--- a/src/overload/dependency_queue.cpp
+++ b/src/overload/dependency_queue.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr double kCoreFractionAfterCall = 0.5;  // part of a run's core time that follows its call
+constexpr double kCoreFractionAfterCall = 0.5;  // of a run's core time, spent after its call
 
 struct ScheduledCall {
     double value = 0;
--- a/src/overload/dependency_queue.h
+++ b/src/overload/dependency_queue.h
@@ -1,5 +1,5 @@
 /// @file
-/// The queue of runs that wait for their dependency call: which of them go on without it.
+/// The queue of runs that wait for their dependency call: which of them continue without it.
 #pragma once
 
 #include <vector>
@@ -18,16 +18,16 @@
     double lateValueFraction = 0;
 };
 
-/// How the dependency takes calls at present.
+/// The rate at which the dependency currently accepts calls.
 struct DependencyRate {
     Timestamp now{0};
-    double callSeconds = 0;          ///< What one call takes.
+    double callSeconds = 0;          ///< Duration of one call.
     double secondsBetweenCalls = 0;  ///< Interval at which calls are sent; 0: not limited.
 };
 
-/// Selects the runs that go on without their call. When the dependency gets slow, serving the queue by
-/// deadline alone would complete all of it late; so where a run cannot complete in time, the one with the
-/// least value among those up to it is taken out.
+/// Selects the runs that continue without their call. When the dependency becomes slow, serving the queue by
+/// deadline alone would complete all runs late. So when a run cannot complete in time, the least valuable one
+/// among this run and those before it is removed.
 /// @param byDeadline the queue, earliest deadline first.
 std::vector<RequestId> selectCallsToSkip(const std::vector<WaitingCall>& byDeadline,
                                          const DependencyRate& rate);
--- a/src/overload/graceful_shutdown.h
+++ b/src/overload/graceful_shutdown.h
@@ -1,5 +1,5 @@
 /// @file
-/// Graceful shutdown: which requests may still run after the notice, and until when they are answered.
+/// Graceful shutdown: which requests may still run after the notice, and by when they are answered.
 #pragma once
 
 #include <optional>
@@ -8,14 +8,14 @@
 
 namespace cottonwing::overload {
 
-/// After the shutdown notice the server drains: requests that arrived later than a grace period after it are
-/// rejected, and all are answered before the process ends.
+/// After the shutdown notice the server drains: requests that arrive after a grace period are rejected, and
+/// all requests are answered before the process ends.
 class GracefulShutdown {
 public:
     /// @param drainGrace time after the notice in which arrivals are still run.
     explicit GracefulShutdown(Duration drainGrace) : drainGrace_(drainGrace) {}
 
-    /// Notes the shutdown notice; only the first one counts.
+    /// Begins to drain; only the first notice has an effect.
     /// @param processEndsAt when the process ends.
     /// @return whether it was the first.
     bool begin(Timestamp now, const std::optional<Timestamp>& processEndsAt);
@@ -24,11 +24,11 @@
 
     /// @param fullyReceivedBy the latest time at which the last byte of a request may have reached the
     /// machine.
-    /// @return whether that request must not be run any more.
+    /// @return whether that request arrived too late to be run.
     bool rejectsArrival(Timestamp fullyReceivedBy) const;
 
     /// @param deadline when the client stops waiting.
-    /// @return when its request must be answered: somewhat before the deadline and before the process ends.
+    /// @return when its request must be answered: shortly before the deadline, and before the process ends.
     Timestamp answerBy(Timestamp deadline) const;
 
 private:
--- a/src/overload/idle_connections.h
+++ b/src/overload/idle_connections.h
@@ -1,5 +1,5 @@
 /// @file
-/// How long client connections may stay unused.
+/// The idle timeout of client connections.
 #pragma once
 
 #include <optional>
@@ -8,19 +8,19 @@
 
 namespace cottonwing::overload {
 
-/// The state of the server that bears on its idle connections.
+/// The state of the server on which the idle timeout depends.
 struct ConnectionDemand {
     double requestsPerSecond = 0;
     double shedFraction = 0;            ///< Of the requests, from 0 to 1.
     bool dependencyOverloaded = false;  ///< Whether the dependency, not this server, is the bottleneck.
 };
 
-/// Chooses the time after which an unused connection is closed.
+/// Chooses the time after which an idle connection is closed.
 ///
-/// Where the average client comes back more seldom than connections live, an open one is hardly used again
-/// and only fills the connection table, which takes core time and keeps other clients out: they are closed
-/// early. When most requests are shed because of the cores, a full table is the cheapest rejection there is
-/// (no handshake, nothing read), so connections are kept.
+/// If the average client returns less often than the maximum idle time, an open connection is rarely reused
+/// and only fills the connection table, which costs core time and keeps other clients out; idle connections
+/// are then closed early. When most requests are shed because the cores are overloaded, a full table is the
+/// cheapest rejection (no handshake, nothing read), so connections are kept.
 class IdleConnections {
 public:
     struct Config {
@@ -30,7 +30,7 @@
 
     explicit IdleConnections(const Config& config);
 
-    /// @return the new time after which unused connections are to be closed, if it changed.
+    /// @return the new idle timeout, if it changed.
     std::optional<Duration> update(const ConnectionDemand& demand);
 
 private:
--- a/src/overload/latency_objective.cpp
+++ b/src/overload/latency_objective.cpp
@@ -9,8 +9,9 @@
 
 namespace {
 
-constexpr double kFirstAttemptDecay = 0.999;      // per first attempt
-constexpr double kShortenedRetryFraction = 0.97;  // a retry with less than this part of the time was cut
+constexpr double kFirstAttemptDecay = 0.999;  // per first attempt
+// A retry with less than this fraction of a first attempt's time was shortened.
+constexpr double kShortenedRetryFraction = 0.97;
 
 }  // namespace
 
--- a/src/overload/latency_objective.h
+++ b/src/overload/latency_objective.h
@@ -8,7 +8,7 @@
 
 namespace cottonwing::overload {
 
-/// What is known of a request's times when it is read.
+/// The times of a request that are known when it is read.
 struct RequestTimes {
     Timestamp arrivedAt{0};
     Timestamp deadline{0};
@@ -17,20 +17,20 @@
 };
 
 /// Finds the end of the latency objective, which counts from the first attempt of a request. A retry that has
-/// less time left than first attempts have was cut by its client's timeout, which tells when the first
-/// attempt began.
+/// less time left than first attempts have was shortened by its client's timeout, from which the start of the
+/// first attempt follows.
 class LatencyObjective {
 public:
     explicit LatencyObjective(const std::vector<RequestClass>& requestClasses);
 
-    /// @return the end of the objective, one control tick early and never after the deadline. Learns from
-    /// first attempts how much time clients of the class give.
+    /// Also learns from first attempts how much time clients of the class allow.
+    /// @return the end of the objective or the deadline, whichever is earlier, less one control tick.
     Timestamp endFor(int requestClass, const RequestTimes& times);
 
 private:
     struct ClassTimes {
         RequestClass requestClass;
-        double maxFirstAttemptSeconds = 0;  ///< Most time that first attempts had left of late.
+        double maxFirstAttemptSeconds = 0;  ///< Decaying maximum of the time that first attempts had left.
     };
 
     std::vector<ClassTimes> classes_;
--- a/src/overload/memory_admission.cpp
+++ b/src/overload/memory_admission.cpp
@@ -8,7 +8,7 @@
 
 constexpr double kArrivalLimitFraction = 0.85;
 constexpr double kRunLimitFraction = 0.95;
-constexpr Duration kKeyMargin = std::chrono::milliseconds(150);  // a stall up to here goes unnoticed
+constexpr Duration kKeyMargin = std::chrono::milliseconds(150);  // shorter stalls are not detected
 
 }  // namespace
 
--- a/src/overload/overload_controller.cpp
+++ b/src/overload/overload_controller.cpp
@@ -12,8 +12,9 @@
 namespace overload {
 namespace {
 
-/// The order of the steps. The steps stand in arrival_handling, run_scheduling, call_scheduling,
-/// request_closing and control_tick, the rules that they apply in files of their own.
+/// Runs the steps of each batch in their order. The steps are implemented in arrival_handling,
+/// run_scheduling, call_scheduling, request_closing and control_tick; each rule that they apply has its own
+/// file.
 class Controller final : public OverloadController {
 public:
     explicit Controller(const ControllerConfig& config);
@@ -68,12 +69,13 @@
     for (const Request& arrival : batch.arrivals) arrivals_.accept(arrival);
     for (const Completion& completion : batch.dependencyResults) calls_.completeCall(completion);
     for (const RequestId id : batch.waitingForDependency) calls_.waitForDependency(id);
-    // Cancellations come before the ends of runs, which may reject all that is queued: a client that has left
-    // is not answered.
+    // Cancellations are processed before run results: a failed run can open the circuit breaker and reject
+    // the whole queue, and a client that has cancelled must not be answered.
     for (const RequestId id : batch.clientCancellations) closing_.cancel(id);
     for (const Completion& completion : batch.runResults) runs_.completeRun(completion);
     if (batch.gauges) tick_.observeGauges(*batch.gauges);
-    // Here, as abandoned calls are charged to the quota also while no run waits for a call.
+    // Done for every batch, because abandoned calls are charged to the quota even while no run waits for a
+    // call.
     context_.dependency.limiter().removeExpiredAbandonedCalls(context_.now);
 }
 
--- a/src/overload/overload_controller.h
+++ b/src/overload/overload_controller.h
@@ -9,19 +9,19 @@
 
 namespace cottonwing {
 
-/// Decides for one server from what that server observes itself; nothing is shared between servers. Not
-/// thread-safe.
+/// Makes the decisions of one server, only from what that server itself observes: controllers share no state.
+/// Not thread-safe.
 class OverloadController {
 public:
     virtual ~OverloadController() = default;
 
     /// Processes one batch of events.
-    /// @param batch all events since the previous call; batch.now never goes back.
+    /// @param batch all events since the previous call; batch.now never decreases.
     /// @param sink receives the decisions before the call returns.
     virtual void decide(const EventBatch& batch, DecisionSink& sink) = 0;
 };
 
-/// @return a controller that expects its first batch; the configuration is copied.
+/// @return a controller that has not processed any batch yet; it keeps a copy of the configuration.
 std::unique_ptr<OverloadController> makeOverloadController(const ControllerConfig& config);
 
 }  // namespace cottonwing
--- a/src/overload/random_source.h
+++ b/src/overload/random_source.h
@@ -14,7 +14,7 @@
     explicit RandomSource(std::uint64_t seed)
         : generator_(static_cast<std::mt19937::result_type>(seed ^ (seed >> 32U))) {}
 
-    /// @return the next number, evenly distributed from 0 to under 1.
+    /// @return the next number, uniformly distributed in [0, 1).
     double uniform() { return std::uniform_real_distribution<double>(0, 1)(generator_); }
 
 private:
--- a/src/overload/request_closing.cpp
+++ b/src/overload/request_closing.cpp
@@ -40,8 +40,8 @@
         context_.serviceTimes.recordUnfinished(request.requestClass, soFar);
     }
     context_.requests.closeAnswer(request);
-    // Also while it waits for the dependency: nothing else tells the executor that the run is over, and one
-    // that waits forever would keep its place among the runs in progress.
+    // This includes runs that wait for the dependency: nothing else tells the executor to end them, and a run
+    // that waits forever would count as a run in progress forever.
     if (context_.config.runCancellation != RunCancellation::Unsupported) context_.sink->cancelRun(request.id);
 }
 
@@ -63,7 +63,7 @@
 
 void RequestClosing::remove(RequestState& request) {
     if (request.phase == RequestPhase::CallingDependency) {
-        // The dependency goes on working on the call.
+        // The dependency may keep working on the call.
         context_.dependency.limiter().callEnded(true, context_.now);
         endProbe(request);
     }
--- a/src/overload/request_closing.h
+++ b/src/overload/request_closing.h
@@ -11,27 +11,27 @@
 public:
     explicit RequestClosing(ControllerContext& context) : context_(context) {}
 
-    /// Gives the final answer of a request that will not be completed, at once. One that never ran is
-    /// rejected, so that its client may try another server; one that ran fails, and is stopped where that can
-    /// be done.
-    /// @param retryAfter known time until the cause is over; 0: derived from the load.
+    /// Sends the final answer to a request that will not be completed. A request that never ran is rejected,
+    /// so that its client may try another server; one that has started fails, and its run is cancelled if the
+    /// executor supports that.
+    /// @param retryAfter time until the cause is over, if known; 0: derived from the load.
     void rejectOrFail(RequestState& request, Duration retryAfter = Duration::zero());
 
-    /// Handles a client that does not wait any more; it gets no answer.
+    /// Handles a cancellation by the client, which gets no answer.
     void cancel(RequestId id);
 
-    /// Gives up all requests that must be answered before the next control tick.
+    /// Rejects or fails all requests that must be answered before the next control tick.
     void answerOverdueRequests();
 
-    /// Removes a request from everything but the retained keys, which expire by themselves.
+    /// Removes a request from all state except the retained keys, which expire by themselves.
     void remove(RequestState& request);
 
-    /// If the request's call was a half-open probe, another one may be sent.
+    /// Allows the next half-open probe if the request's call was one.
     void endProbe(RequestState& request);
 
 private:
     void reject(RequestState& request, Duration retryAfter);
-    /// Nobody waits for the run any more; its end still has to come.
+    /// Closes the answer of a started request and cancels its run; the run result is still to come.
     void abandonRun(RequestState& request);
 
     ControllerContext& context_;
--- a/src/overload/request_state.h
+++ b/src/overload/request_state.h
@@ -1,5 +1,5 @@
 /// @file
-/// What the controller remembers of one request in progress.
+/// The controller's state of one request in progress.
 #pragma once
 
 #include "overload/retry_policy.h"
@@ -7,19 +7,19 @@
 
 namespace cottonwing::overload {
 
-/// Where a request is on its way.
+/// The processing stage of a request.
 enum class RequestPhase {
     Queued,                ///< In the admission queue, or not yet admitted.
     JoinedDuplicate,       ///< Waits for the result of an earlier attempt; never runs itself.
-    OnCores,               ///< Its run computes.
-    WaitingForDependency,  ///< Its run wants a dependency call that is not sent yet, or is to be retried.
+    OnCores,               ///< Its run uses a core.
+    WaitingForDependency,  ///< Its run needs a dependency call that is not sent yet, or is to be retried.
     CallingDependency      ///< Its dependency call is in flight.
 };
 
 /// Whether the client still waits for an answer.
 enum class AnswerState {
     Pending,
-    Closed  ///< Answered, or the client cancelled; only the end of the run is still to come.
+    Closed  ///< Answered, or cancelled by the client; only the run result is still to come.
 };
 
 /// Whether an idempotency key is retained for the request.
@@ -28,9 +28,9 @@
 /// Why a call was sent to the dependency.
 enum class CallPurpose { Regular, HalfOpenProbe };
 
-/// The dependency call that a run waits for, and its calls so far.
+/// The dependency call that a run waits for, and the number of its calls so far.
 struct DependencyCallState {
-    int callsWanted = 0;  ///< By the run so far, this one included.
+    int callsWanted = 0;  ///< By the run so far, including this one.
     int attempts = 0;     ///< Of this call.
     Timestamp retryAt{0};
     AttemptTime attemptTime = AttemptTime::Full;
@@ -43,16 +43,16 @@
     int tenant = -1;  ///< -1: none.
     bool isRetry = false;
     Timestamp arrivedAt{0};
-    Timestamp fullyReceivedBy{0};  ///< Its last byte had reached the machine by then.
+    Timestamp fullyReceivedBy{0};  ///< By then its last byte had reached the machine.
     Timestamp deadline{0};         ///< When the client stops waiting.
-    Timestamp answerBy{0};         ///< When it must be answered, somewhat earlier.
+    Timestamp answerBy{0};         ///< When it must be answered, shortly before.
     Timestamp objectiveEnd{0};     ///< End of the latency objective.
     double memoryKb = 0;
     Duration work{0};  ///< Expected; 0: unknown.
 
     RequestPhase phase = RequestPhase::Queued;
     Timestamp phaseStart{0};
-    double earlierCoreSeconds = 0;  ///< On the cores before this phase.
+    double earlierCoreSeconds = 0;  ///< Time on the cores before this phase.
     AnswerState answer = AnswerState::Pending;
     KeyState key = KeyState::NotRetained;
     DependencyCallState call;
--- a/src/overload/request_table.h
+++ b/src/overload/request_table.h
@@ -1,5 +1,5 @@
 /// @file
-/// All requests in progress, with the orders in which they are served.
+/// All requests in progress and the queues that order them.
 #pragma once
 
 #include <map>
@@ -10,8 +10,8 @@
 
 namespace cottonwing::overload {
 
-/// Holds the records of the requests and moves them from phase to phase, so that the queues and counts always
-/// agree with the phases. References to a record stay valid until it is removed.
+/// Owns the states of the requests and makes all their phase changes, so that queues and counters always
+/// agree with the phases. References to a state stay valid until the request is removed.
 class RequestTable {
 public:
     /// Adds a queued request; it is not in the admission queue yet.
@@ -23,27 +23,27 @@
     void remove(RequestState& request);
 
     void setAnswerBy(RequestState& request, Timestamp answerBy);
-    /// Notes that nobody waits for an answer any more; its run may go on.
+    /// Marks a request as answered or cancelled; its run may continue.
     void closeAnswer(RequestState& request);
 
     void enterAdmissionQueue(RequestState& request);
     void startRun(RequestState& request, Timestamp now);
-    /// The run wants a dependency call, which is sent in the order of deadlines.
+    /// Takes the run off the cores and queues it for a dependency call, in the order of deadlines.
     void waitForDependency(RequestState& request, Timestamp now);
     void startCall(RequestState& request, Timestamp now);
-    /// The call failed: the run waits again, but is not in the queue for calls.
+    /// Makes the run wait again after a failed call, but does not queue it for another call.
     void callFailed(RequestState& request) { request.phase = RequestPhase::WaitingForDependency; }
     void enterCallQueue(RequestState& request);
-    /// The run continues on the cores, with the result of its call or without.
+    /// Continues the run on the cores, with or without the result of its call.
     void resumeRun(RequestState& request, Timestamp now);
 
     const DeadlineQueue& admissionQueue() const { return admissionQueue_; }
     const DeadlineQueue& callQueue() const { return callQueue_; }
-    /// @return requests whose answer is pending, by the time until which it must be given.
+    /// @return requests whose answer is pending, ordered by the time by which they must be answered.
     const DeadlineQueue& unanswered() const { return unanswered_; }
 
     int runsOnCores() const { return runsOnCores_; }
-    /// @return all started runs, those that wait for the dependency included.
+    /// @return number of started runs, including those that wait for the dependency.
     int runsInProgress() const { return runsInProgress_; }
     std::size_t size() const { return requests_.size(); }
 
@@ -61,7 +61,7 @@
     int runsInProgress_ = 0;
 };
 
-/// @return seconds that a run has been on the cores; it must be on them.
+/// @return core time of a run so far, in seconds. The run must be on the cores.
 double coreSecondsSoFar(const RequestState& request, Timestamp now);
 
 /// @return the dependency calls in flight.
--- a/src/overload/request_value.h
+++ b/src/overload/request_value.h
@@ -1,5 +1,5 @@
 /// @file
-/// What completing a request in time adds to the server's goal: priority weight and fairness.
+/// The value of completing a request in time for the optimization goal: priority weight and fairness.
 #pragma once
 
 #include <vector>
@@ -16,9 +16,10 @@
     Duration work{0};  ///< Expected; 0: unknown.
 };
 
-/// Values requests by the priority weight of their class, plus what the class that fares worst on this server
-/// adds to the goal. A tenant beyond its quota is valued as its excess is; a retry or hedged request counts
-/// half of a first attempt, as every first attempt that is shed comes again.
+/// Values requests by the priority weight of their class plus a fairness value, which favours the class with
+/// the lowest success ratio on this server. The value falls with the fraction by which the tenant exceeds its
+/// quota. A retry or hedged request has half the value of a first attempt, because every first attempt that
+/// is shed is repeated.
 class RequestValue {
 public:
     struct Config {
@@ -40,7 +41,7 @@
     /// @param valueFraction 1 within the latency objective, the late value fraction after it.
     void recordSuccess(int requestClass, double valueFraction);
 
-    /// Lets the counts fade with the time that has passed.
+    /// Decays the counts exponentially with the elapsed time.
     void decay(double elapsedSeconds);
 
     /// @return the value of a response within the latency objective, relative to other requests.
@@ -57,8 +58,8 @@
     double tenantFactor(int tenant) const;
 
     Config config_;
-    std::vector<ClassCounts> classes_;    ///< Fading counts.
-    std::vector<double> tenantArrivals_;  ///< Fading counts.
+    std::vector<ClassCounts> classes_;    ///< Exponentially decaying counts.
+    std::vector<double> tenantArrivals_;  ///< Exponentially decaying counts.
 };
 
 }  // namespace cottonwing::overload
--- a/src/overload/retry_budget.h
+++ b/src/overload/retry_budget.h
@@ -5,7 +5,7 @@
 namespace cottonwing::overload {
 
 /// Starts with 10 tokens, its maximum. A failure takes one, a success adds a tenth; retries are allowed above
-/// half of the maximum, so that a dependency that fails as a whole is not loaded with retries on top.
+/// half of the maximum, so that retries add no load to a dependency that fails as a whole.
 class RetryBudget {
 public:
     void recordSuccess();
--- a/src/overload/retry_policy.h
+++ b/src/overload/retry_policy.h
@@ -1,5 +1,5 @@
 /// @file
-/// Retry policy for dependency calls: what an outcome says, whether it may be retried, and after what
+/// Retry policy for dependency calls: what an outcome counts for, whether it may be retried, and after what
 /// backoff.
 #pragma once
 
@@ -16,19 +16,19 @@
     Shortened  ///< Under half of the attempt timeout, as the request itself had little time left.
 };
 
-/// Whether the outcome of a call tells of the dependency's health, and so counts in its circuit breaker.
+/// Whether the outcome of a call indicates the dependency's health, and so counts in its circuit breaker.
 ///
 /// It does not when a limit of this server held the call back; when the response cannot be parsed, as the
 /// dependency has done its work; and when a timeout was caused by this server, which stalled or gave the
 /// attempt little time.
-/// @param stalled whether this process stood still shortly before the outcome was read.
+/// @param stalled whether this process was stalled shortly before the outcome was read.
 bool countsInCircuitBreaker(Outcome outcome, AttemptTime time, bool stalled);
 
 /// Whether the outcome of a call changes the retry budget: all do except calls that were never sent because
 /// of a limit of this server.
 bool countsInRetryBudget(Outcome outcome);
 
-/// Whether the dependency may go on working on a call that ended like this.
+/// Whether the dependency may keep working on a call with this outcome.
 bool mayStillRunAtDependency(Outcome outcome);
 
 /// Whether a failed call may be sent again: idempotent ones after every outcome except an error that the
--- a/src/overload/run_scheduling.cpp
+++ b/src/overload/run_scheduling.cpp
@@ -13,7 +13,7 @@
 using Transition = CircuitBreaker::Transition;
 
 constexpr Duration kRunsOpenTime = std::chrono::seconds(5);  // of the breaker for the server's own runs
-// A run that would wait for its call for this multiple of its own core time is not started.
+// A run that would wait for its call longer than this multiple of its own core time is not started.
 constexpr double kCallWaitMultiple = 2;
 
 }  // namespace
@@ -59,7 +59,7 @@
 }
 
 void RunScheduling::shed(RequestState& request) {
-    // One that came with little time left is no sign that this server is full.
+    // A request that arrived with little time left does not indicate that this server is overloaded.
     const Duration timeGiven = request.deadline - request.arrivedAt;
     if (timeGiven >= context_.classOf(request).latencyObjective / 2) context_.shedRate.recordShed();
     closing_.rejectOrFail(request);
@@ -75,8 +75,9 @@
         if (!context_.concurrencyLimiter.admitsRun(runs, capacityFraction)) return;
         RequestState& request = context_.requests.at(next->second);
         ++next;
-        // One that would only wait for its call takes memory and the place of one that makes none, and is
-        // lost work if the call cannot be made; while it is queued it may still be rejected instead.
+        // A run that would only wait for its call takes memory and the place of a run that makes no call, and
+        // its work is lost if the call cannot be made. As long as the request is queued, it can still be
+        // rejected.
         const bool waitsForCall = context_.classOf(request).callsDependency &&
                                   callWaitSeconds > kCallWaitMultiple * context_.expectedCoreSeconds(request);
         if (waitsForCall) continue;
@@ -109,7 +110,8 @@
         run.dependencyCalls = request.call.callsWanted;
         context_.serviceTimes.recordSuccess(request.requestClass, run);
     }
-    // A run that was stopped, never started, or is unknown to the executor tells nothing of the machine.
+    // A run that was stopped, was never started or is unknown to the executor says nothing about this
+    // server's health.
     if (succeeded || completion.outcome == Outcome::Error) recordRunOutcome(succeeded);
 }
 
--- a/src/overload/run_scheduling.h
+++ b/src/overload/run_scheduling.h
@@ -8,15 +8,15 @@
 
 namespace cottonwing::overload {
 
-/// Serves the admission queue and learns from the runs that end.
+/// Serves the admission queue and learns from completed runs.
 class RunScheduling {
 public:
     RunScheduling(ControllerContext& context, RequestClosing& closing)
         : context_(context), closing_(closing) {}
 
-    /// Sheds what cannot complete in time.
+    /// Sheds the queued requests that cannot complete in time.
     void shedQueuedRequests();
-    /// Starts queued requests, earliest deadline first, while cores and memory allow.
+    /// Starts queued requests, earliest deadline first, as far as cores and memory allow.
     void startQueuedRequests();
     void completeRun(const Completion& completion);
 
@@ -25,13 +25,14 @@
     QueuedRequest queuedRequest(const RequestState& request) const;
     void shed(RequestState& request);
     void startRun(RequestState& request);
-    /// Learns service times and health from a run that was on the cores when it ended.
+    /// Updates service times and the circuit breaker of the runs from a run that was on the cores when it
+    /// ended.
     void learnFromRun(const RequestState& request, const Completion& completion);
     /// Counts a successful response for the fairness between classes.
     void recordValue(const RequestState& request);
-    /// Runs that fail by themselves, one after the other, show that this server is not healthy. Failing fast
-    /// it would look quick and attract clients; rejected instead, its requests may still succeed on other
-    /// servers.
+    /// Consecutive failures of the server's own runs show that this server is unhealthy. A server that fails
+    /// fast appears fast to its clients and attracts more requests; if it rejects them instead, they may
+    /// still succeed on other servers.
     void recordRunOutcome(bool succeeded);
 
     ControllerContext& context_;
--- a/src/overload/service_time_model.h
+++ b/src/overload/service_time_model.h
@@ -1,5 +1,5 @@
 /// @file
-/// How long runs of each request class take, on the cores and in all.
+/// How long runs of each request class take, on the cores and in total.
 #pragma once
 
 #include <vector>
@@ -8,7 +8,7 @@
 
 namespace cottonwing::overload {
 
-/// What one successful run took.
+/// The times and calls of one run.
 struct RunTimes {
     double coreSeconds = 0;   ///< Time on the cores, without the waits for its dependency calls.
     double totalSeconds = 0;  ///< From its start to its end.
@@ -22,26 +22,28 @@
     int cores = 1;
 };
 
-/// Learned means per request class, scaled by the expected work of a request and by the slowdown of the
-/// machine.
+/// Learned means per request class, scaled by the expected work of a request and by the current slowdown of
+/// the machine.
 class ServiceTimeModel {
 public:
-    /// Starts from a guess, a part of the latency objective, until runs have ended.
+    /// Starts from an initial estimate, a sixth of the latency objective, which the first successful run
+    /// replaces.
     explicit ServiceTimeModel(const std::vector<RequestClass>& requestClasses);
 
-    /// Learns the mean expected work of a class. The first value stands for the mean: one that grows from
-    /// zero would make every early request look huge.
+    /// Updates the mean expected work of a class. The first value initializes the mean: if the mean grew from
+    /// zero, early requests would appear to be many times larger than average.
     void recordExpectedWork(int requestClass, Duration work);
 
     void recordSuccess(int requestClass, const RunTimes& run);
 
     /// Learns from a run whose client stopped waiting: it takes at least this long. On a machine that is slow
-    /// or hangs no run may ever end in time, and means of ended runs alone would stay as they were.
+    /// or hangs, no run may ever end in time, and means of completed runs alone would never change.
     void recordUnfinished(int requestClass, const RunTimes& soFar);
 
-    /// Re-estimates the slowdown factor from the runs on the cores, which shows a slow or hanging machine
-    /// before any of them has ended. Runs in progress are on average as old as runs take. They are
-    /// averaged with as many usual runs as there are cores, so that one long run does not raise the slowdown.
+    /// Updates the slowdown factor from the runs on the cores, which reveals a slow or hanging machine before
+    /// any of them has ended. The mean age of runs in progress is taken to be the mean duration of a run.
+    /// They are averaged with one run of baseline duration per core, so that a single long run does not raise
+    /// the slowdown.
     void updateSlowdown(const RunsOnCores& runs);
 
     /// @param work expected work of the request; 0: unknown.
@@ -51,11 +53,11 @@
     double expectedTotalSeconds(int requestClass, Duration work) const;
     /// @return mean number of dependency calls of a run.
     double expectedCalls(int requestClass) const;
-    /// @return mean core time of the class at usual speed, in seconds.
+    /// @return mean core time of the class without the slowdown, in seconds.
     double baselineCoreSeconds(int requestClass) const;
     /// @return unweighted mean of baselineCoreSeconds over all classes.
     double meanBaselineCoreSeconds() const;
-    /// @return how many times longer than usual runs take at present, from 1 to 10.
+    /// @return ratio of the current duration of runs to their baseline, from 1 to 10.
     double slowdown() const { return slowdown_; }
 
 private:
--- a/src/overload/shed_rate.h
+++ b/src/overload/shed_rate.h
@@ -1,10 +1,11 @@
 /// @file
-/// What fraction of its requests the server sheds.
+/// The fraction of its requests that the server sheds.
 #pragma once
 
 namespace cottonwing::overload {
 
-/// The fraction of the arriving requests that was shed of late, and from it whether the server is overloaded.
+/// The fraction of the recently arrived requests that was shed, and whether it means that the server is
+/// overloaded.
 class ShedRate {
 public:
     void recordArrival() { recentArrivals_ += 1; }
@@ -13,7 +14,7 @@
     /// Updates the fraction, at each control tick.
     void update(double elapsedSeconds);
 
-    /// Decides whether the server is overloaded: from 15% shed until under 2% are.
+    /// Updates whether the server is overloaded: an overload begins above 15% shed and ends below 2%.
     /// @return whether that changed.
     bool updateOverloaded();
 
@@ -21,7 +22,8 @@
     double fraction() const { return fraction_; }
     bool overloaded() const { return overloaded_; }
 
-    /// @return arrivals that fade within about a second, and so their rate per second.
+    /// @return exponentially decaying count of arrivals with a time constant of one second, which
+    /// approximates their rate per second.
     double recentArrivals() const { return recentArrivals_; }
 
 private:
--- a/src/overload/slow_start.h
+++ b/src/overload/slow_start.h
@@ -6,8 +6,8 @@
 
 namespace cottonwing::overload {
 
-/// The capacity of a server as a fraction of the full one. After a cold start it grows in proportion to time,
-/// from a configured least fraction to 1; otherwise it is 1 from the start.
+/// The capacity of a server as a fraction of the full one. After a cold start it grows linearly from a
+/// configured fraction to 1; otherwise it is 1 from the start.
 class SlowStart {
 public:
     struct Config {
--- a/src/overload/stall_detector.h
+++ b/src/overload/stall_detector.h
@@ -1,5 +1,5 @@
 /// @file
-/// Detects that this process stood still.
+/// Detects that this process was stalled.
 #pragma once
 
 #include <optional>
@@ -8,14 +8,14 @@
 
 namespace cottonwing::overload {
 
-/// A control tick that comes late shows that the process did not run in between. Timeouts read with it, or
-/// shortly after, were caused by the process itself and say nothing of the dependency.
+/// A control tick that fires late shows that the process was not running in between. Timeouts that are read
+/// with it, or shortly after, were caused by the process itself and say nothing about the dependency.
 class StallDetector {
 public:
-    /// Notes when the next control tick is due.
+    /// Records when the next control tick is due.
     void expectTick(Timestamp due) { tickDue_ = due; }
 
-    /// Notes that the control tick fired.
+    /// Records that the control tick fired.
     /// @return how late it was, if that was a stall.
     std::optional<Duration> tickFired(Timestamp now);
 
--- a/src/overload/types.h
+++ b/src/overload/types.h
@@ -1,6 +1,6 @@
 /// @file
 /// Data types of the overload controller: its configuration, the events it consumes and the outcomes it
-/// distinguishes. The types know no wire format and contain no policy.
+/// distinguishes. The types are independent of any wire format and contain no policy.
 #pragma once
 
 #include <chrono>
@@ -26,7 +26,7 @@
     None         ///< It may run only once.
 };
 
-/// How a run that nobody waits for any more can be stopped.
+/// How a run can be stopped when its client no longer waits.
 enum class RunCancellation { Unsupported, Abort, Suspend };
 
 /// The form in which the server advertises its load to clients.
@@ -48,27 +48,27 @@
     Unreachable,        ///< The connection could not be opened; it never ran.
     ConnectionLost,     ///< The connection broke during the call; it may have had its effect.
     Cancelled,          ///< Stopped on request.
-    Superseded,         ///< Nothing was run, as the request was over already.
-    MalformedResponse,  ///< A response came that cannot be parsed; the call has completed.
-    LocalLimit          ///< A limit of this server held the call back; it was never sent.
+    Superseded,         ///< Not run, because the request had already ended.
+    MalformedResponse,  ///< The response cannot be parsed; the call itself has completed.
+    LocalLimit          ///< Held back by a limit of this server; it was never sent.
 };
 
 /// The service level and the properties that all requests of one class share.
 struct RequestClass {
     Idempotency idempotency = Idempotency::Idempotent;
-    /// A response within this time of the first attempt counts in full.
+    /// A response within this time after the first attempt earns its full value.
     Duration latencyObjective{0};
-    /// Extends the latency objective by this multiple of the request's own expected work.
+    /// Extends the latency objective by this multiple of the request's expected work.
     double latencyObjectiveWorkFactor = 0;
-    /// How long a client waits in all, from the first attempt.
+    /// How long a client waits in total, from the first attempt on.
     Duration timeout{0};
     /// With Idempotency::WithKey: how long after an attempt a duplicate may still arrive.
     Duration idempotencyWindow{0};
     /// Value of a response within the latency objective, relative to other classes.
     double priorityWeight = 1;
-    /// Fraction of the value that a response after the latency objective keeps.
+    /// Fraction of the value that a response after the latency objective retains.
     double lateValueFraction = 0;
-    /// Fraction of the value that a response without its dependency call keeps; 0: the call is required.
+    /// Fraction of the value that a response without its dependency call retains; 0: the call is required.
     double degradedValueFraction = 0;
     bool callsDependency = false;
 };
@@ -80,28 +80,28 @@
 
 /// Everything the overload controller is configured with at start.
 struct ControllerConfig {
-    std::uint64_t seed = 0;  ///< Of the random generator.
+    std::uint64_t seed = 0;  ///< Seed of the random generator.
     std::vector<RequestClass> requestClasses;
     std::vector<TenantQuota> tenants;
     /// Fraction of its value that a request keeps when its tenant exceeds the quota.
     double overQuotaValueFraction = 1;
     /// Whether the value of a request is multiplied by its expected work.
     bool valueCountsWork = false;
-    /// Weight of the total value in the goal.
+    /// Weight of the total value in the optimization goal.
     double goalTotalValue = 1;
-    /// Weight of the request class with the lowest success ratio in the goal.
+    /// Weight of the request class with the lowest success ratio in the optimization goal.
     double goalWorstClass = 0;
     int peerCount = 1;  ///< Servers of the fleet, this one included.
     int cores = 1;
     bool startsCold = false;
-    /// Fraction of its capacity that a cold server has at least.
+    /// Fraction of its full capacity that a server has at a cold start.
     double coldCapacityFraction = 1;
     /// Time from a cold start to full capacity.
     Duration warmUpTime{0};
     double memoryLimitKb = 0;
-    /// Memory booked for one retained idempotency key, in KB; 0: keys are held elsewhere.
+    /// Memory reserved for one retained idempotency key, in KB; 0: keys are held elsewhere.
     double idempotencyKeyKb = 0;
-    /// Multiple of a request's memory that is booked while it runs.
+    /// Multiple of a request's memory that is reserved while it runs.
     double runMemoryFactor = 1;
     RunCancellation runCancellation = RunCancellation::Unsupported;
     LoadSignal loadSignal = LoadSignal::None;
@@ -110,11 +110,11 @@
     double dependencyQuota = 0;
     /// Time over which that mean is taken.
     Duration dependencyQuotaWindow{0};
-    /// How long the dependency goes on working on an abandoned call.
+    /// How long the dependency keeps working on an abandoned call.
     Duration abandonedCallTime{0};
-    /// Requests that arrive later than this after the shutdown notice never run.
+    /// Requests that arrive later than this after the shutdown notice are never run.
     Duration drainGrace{0};
-    /// Requests per core on the cores, at full capacity, beyond which the server collapses.
+    /// Running requests per core beyond which the server collapses, at full capacity.
     double overloadFactor = 1;
     /// Time over which the collapse is judged.
     Duration overloadWindow{0};
@@ -131,12 +131,13 @@
     int tenant = -1;                       ///< Index into ControllerConfig::tenants; -1: none.
     std::optional<Timestamp> deadline;     ///< When the client stops waiting; default: the class's timeout.
     std::optional<Duration> expectedWork;  ///< On one standard core.
-    double memoryKb = 0;                   ///< Booked while the request is queued.
-    double rank = 0;                       ///< From 0 to under 1, as the client gave it.
+    double memoryKb = 0;                   ///< Reserved while the request is queued.
+    double rank = 0;                       ///< As sent by the client, in [0, 1).
     bool isRetry = false;                  ///< Marked as a retry or a hedged request.
     Duration queuedBeforeRead{0};          ///< Time from its arrival at the machine until it was read.
-    /// The latest time at which its last byte may have reached the machine. It may lie far behind the
-    /// arrival, which the client names and at which it may only have begun to write. Default: the arrival.
+    /// The latest time at which the last byte of the request may have reached the machine. It can be long
+    /// after the arrival time, which the client states and at which the client may only have started to
+    /// write. Default: the arrival time.
     std::optional<Timestamp> fullyReceivedBy;
     RequestId duplicateOf = 0;  ///< The earlier attempt with the same idempotency key; 0: none known.
 };
@@ -150,8 +151,8 @@
 
 /// Measurements of the machine; absent where the platform does not provide them.
 struct Gauges {
-    std::optional<double> coreUtilization;    ///< From 0 to 1.
-    std::optional<double> coreDemand;         ///< Runnable requests and other work that ask for a core.
+    std::optional<double> coreUtilization;  ///< From 0 to 1.
+    std::optional<double> coreDemand;       ///< Number of runnable requests and other tasks that need a core.
     std::optional<double> memoryUtilization;  ///< From 0 to 1.
     std::optional<double> openConnections;
 };
--- a/src/overload/units.h
+++ b/src/overload/units.h
@@ -8,7 +8,7 @@
 
 namespace cottonwing::overload {
 
-/// Gauges, deadlines and backoff ends are looked at this often, so times are accurate to one tick.
+/// Interval at which gauges, deadlines and the ends of backoffs are checked: times are accurate to one tick.
 inline constexpr Duration kControlTick = std::chrono::milliseconds(20);
 
 /// @return the duration in seconds.
--- a/src/simulator/decision_writer.cpp
+++ b/src/simulator/decision_writer.cpp
@@ -49,7 +49,7 @@
 
 void DecisionWriter::cancelRun(RequestId id) { writeLine(wire::kCancelRun, id); }
 
-// On the wire, 0 would mean the whole timeout of the request class.
+// At least 1 us, because 0 on the wire stands for the full timeout of the request class.
 void DecisionWriter::callDependency(RequestId id, Duration timeout) {
     writeLine(wire::kCallDependency, id, microseconds(std::max(timeout, Duration(1us))));
 }
@@ -64,7 +64,7 @@
 
 void DecisionWriter::joinDuplicate(RequestId id) { writeLine(wire::kJoinDuplicate, id); }
 
-// The first flag: checks are answered from this setting, without work of their own.
+// The first flag says that health checks are answered from this setting, without work of their own.
 void DecisionWriter::setHealth(bool healthy) { writeLine(wire::kSetHealth, kTrue, flag(healthy)); }
 
 void DecisionWriter::advertiseLoadShare(double share) {
--- a/src/simulator/decision_writer.h
+++ b/src/simulator/decision_writer.h
@@ -10,10 +10,11 @@
 
 namespace cottonwing::simulator {
 
-/// Writes each decision as one line. Times are cut to whole microseconds: no wait ends later than decided.
+/// Writes each decision as one line. Durations are truncated to whole microseconds, so that no wait ends
+/// later than decided.
 class DecisionWriter : public DecisionSink {
 public:
-    /// @param out  the reply, which has to outlive the writer; lines are added to it
+    /// @param out  the reply, to which lines are appended; it has to outlive the writer
     DecisionWriter(int instance, std::string& out);
 
     void startRun(RequestId id) override;
@@ -31,7 +32,7 @@
     void scheduleTick(Duration delay) override;
     void log(std::string_view message) override;
 
-    /// Tells the simulator of a fault of the controller.
+    /// Reports a fault of the controller to the simulator.
     void reportBug(std::string_view what);
 
 private:
--- a/src/simulator/event_reader.cpp
+++ b/src/simulator/event_reader.cpp
@@ -31,7 +31,7 @@
     return found->second;
 }
 
-// -1 when the request has none.
+// -1 if the request has no tenant.
 int readTenant(const WireLine& line, const config::NameTables& names) {
     if (line.isAbsent(wire::kTenant) || line.text(wire::kTenant) == wire::kNoTenant) return -1;
     const auto found = names.tenants.find(line.text(wire::kTenant));
@@ -39,7 +39,7 @@
     return found->second;
 }
 
-// Nothing when the client does not say how long it waits.
+// Empty if the client does not say how long it waits.
 std::optional<Timestamp> readDeadline(const WireLine& line) {
     if (line.isAbsent(wire::kDeadlineUs)) return std::nullopt;
     const Timestamp deadline = line.microseconds(wire::kDeadlineUs);
@@ -47,7 +47,7 @@
     return deadline;
 }
 
-// The field may hold a figure that means nothing: a flag says whether it counts.
+// The value is valid only if a flag is set; otherwise it is checked but ignored.
 std::optional<Duration> readExpectedWork(const WireLine& line, unsigned flags) {
     if (line.isAbsent(wire::kExpectedWorkUs)) return std::nullopt;
     const Duration work = line.microseconds(wire::kExpectedWorkUs);
@@ -61,12 +61,12 @@
     return memoryKb;
 }
 
-// Read for its form alone.
+// Checks the syntax of a field whose value is not used.
 void checkOptionalId(const WireLine& line, const wire::Field& field) {
     if (!line.isAbsent(field)) line.id(field);
 }
 
-// A gauge as `name:value`.
+// Parses one gauge, written as `name:value`.
 void parseGauge(const WireLine& line, std::string_view pair, Gauges& gauges) {
     constexpr char kMalformedGauges[] = "not a list of name:number";
     const std::size_t colon = pair.find(':');
--- a/src/simulator/event_reader.h
+++ b/src/simulator/event_reader.h
@@ -1,6 +1,6 @@
 /// @file
-/// Decodes the events of a batch, one line each, into the event types of the controller. Pure; all functions
-/// throw MalformedBatch.
+/// Decodes the events of a batch, one line each, into the event types of the controller. The functions keep
+/// no state and throw MalformedBatch on invalid input.
 #pragma once
 
 #include "config/controller_config.h"
@@ -9,14 +9,14 @@
 
 namespace cottonwing::simulator {
 
-/// A request that arrived.
-/// @param names  of the instance's request classes and tenants
+/// Reads a request that arrived.
+/// @param names  the names of the instance's request classes and tenants
 Request readRequest(const WireLine& line, const config::NameTables& names);
 
-/// The end of a run or of a dependency call.
+/// Reads the end of a run or of a dependency call.
 Completion readCompletion(const WireLine& line);
 
-/// The gauges of a tick; those that are unknown are ignored.
+/// Reads the gauges of a tick; unknown ones are ignored.
 Gauges readGauges(const WireLine& line);
 
 }  // namespace cottonwing::simulator
--- a/src/simulator/instance_host.cpp
+++ b/src/simulator/instance_host.cpp
@@ -16,7 +16,7 @@
 struct InstanceHost::Instance {
     config::NameTables names;
     std::unique_ptr<OverloadController> controller;
-    EventBatch events;  // of the present batch
+    EventBatch events;  // of the current batch
 };
 
 InstanceHost::InstanceHost() = default;
@@ -68,7 +68,7 @@
     return found->second;
 }
 
-// The instances decide in the order of their numbers, so that the reply does not depend on that of the
+// The instances decide in the order of their numbers, so that the reply does not depend on the order of the
 // events.
 void InstanceHost::decide(Timestamp now, std::string& reply) {
     for (const int number : instancesWithEvents_) {
@@ -92,7 +92,7 @@
     return *found->second;
 }
 
-// A number that was in use begins anew: nothing of the instance before it is kept.
+// If the number is already in use, the new instance replaces the old one and keeps none of its state.
 void InstanceHost::onInstanceStarted(const WireLine& line) {
     const std::uint64_t seed = line.id(wire::kSeed);
     auto instance = std::make_unique<Instance>();
--- a/src/simulator/instance_host.h
+++ b/src/simulator/instance_host.h
@@ -1,6 +1,6 @@
 /// @file
-/// The adapter to the simulator: reads batches of events for many instances, lets the controller of each
-/// decide and writes the replies. No decisions here.
+/// The adapter to the simulator: reads batches of events for many instances, passes them to the controller of
+/// each and writes the replies. It makes no decisions itself.
 #pragma once
 
 #include <cstddef>
@@ -15,15 +15,15 @@
 
 namespace cottonwing::simulator {
 
-/// Hosts the instances of one process. Instances share nothing.
+/// Hosts the instances of one process, which share no state.
 class InstanceHost {
 public:
     InstanceHost();
     ~InstanceHost();
 
-    /// Reads one batch and appends its whole reply.
-    /// @returns false at a clean end of the input
-    /// @throws MalformedBatch when the batch can't be read; the host can't go on after that
+    /// Reads one batch and appends the complete reply.
+    /// @return false if the input ended before the batch
+    /// @throws MalformedBatch if the batch is malformed; the host cannot be used after that
     bool serve(std::istream& in, std::string& reply);
 
 private:
@@ -47,8 +47,8 @@
     void onShutdownNotice(const WireLine& line);
 
     std::map<int, std::unique_ptr<Instance>> instances_;  // by number
-    std::set<int> instancesWithEvents_;                   // of the present batch: only they may act
-    std::string lineText_;                                // the present line
+    std::set<int> instancesWithEvents_;                   // in the current batch; only these may decide
+    std::string lineText_;                                // the current line
     std::size_t linesRead_ = 0;
 };
 
--- a/src/simulator/main.cpp
+++ b/src/simulator/main.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// The program that the simulator starts: batches on standard input, replies on standard output. Ends with 0
-/// at the end of its input, 1 when its output is closed, 2 on a batch that can't be read.
+/// The program that the simulator starts: reads batches from standard input and writes replies to standard
+/// output. Exit status: 0 at the end of the input, 1 if standard output is closed, 2 on a malformed batch.
 #include <cstdio>
 #include <exception>
 #include <iostream>
--- a/src/simulator/wire_line.cpp
+++ b/src/simulator/wire_line.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-constexpr std::int64_t kMaxMicroseconds = INT64_MAX / 1000;  // as nanoseconds it still fits
+constexpr std::int64_t kMaxMicroseconds = INT64_MAX / 1000;  // the most that fits into 64 bits as nanoseconds
 
 std::string prefix(std::size_t line) { return "line " + std::to_string(line) + ": "; }
 
--- a/src/simulator/wire_line.h
+++ b/src/simulator/wire_line.h
@@ -1,5 +1,5 @@
 /// @file
-/// One line of the simulator's wire and its typed fields; and the error of a batch that can't be read.
+/// One line of the simulator's wire format with its typed fields, and the error for a malformed batch.
 #pragma once
 
 #include <charconv>
@@ -15,16 +15,16 @@
 
 namespace cottonwing::simulator {
 
-/// A batch that can't be read. It is never answered with a guess: the program ends with exit code 2.
+/// A malformed batch. It is never answered on a guess: the program exits with status 2.
 class MalformedBatch : public std::runtime_error {
 public:
-    /// A field of one line.
-    /// @param line     its number from the beginning of the input, from 1
+    /// An error in a field of one line.
+    /// @param line     its number in the input, counted from 1
     /// @param message  the name of the message
     /// @param problem  what was expected of the field, or what is wrong with it
     MalformedBatch(std::size_t line, std::string_view message, std::string_view field,
                    std::string_view problem);
-    /// The input ended within a batch, behind this line.
+    /// The error of an input that ends within a batch, after this line.
     static MalformedBatch truncated(std::size_t line);
 
     std::size_t line() const { return line_; }
@@ -41,8 +41,8 @@
     std::string problem_;
 };
 
-/// The parts of one line, which are set apart by single spaces. It refers to the text, which has to outlive
-/// it. All readers throw MalformedBatch.
+/// The parts of one line, separated by single spaces. The object refers to the text, which has to outlive it.
+/// All functions that read a field throw MalformedBatch.
 class WireLine {
 public:
     WireLine(std::string_view text, std::size_t number);
@@ -52,15 +52,15 @@
 
     /// The name of the message.
     std::string_view messageName() const { return parts_.front(); }
-    /// Fails unless the line has exactly so many fields.
+    /// Fails unless the line has exactly this number of fields.
     void expectFields(std::size_t count) const;
     bool isAbsent(const wire::Field& field) const { return parts_[field.position] == wire::kAbsent; }
-    /// Only of a field whose presence is checked.
+    /// Must only be called for a field whose presence has been checked.
     std::string_view text(const wire::Field& field) const { return parts_[field.position]; }
-    /// The field and all behind it, up to the end of the line.
+    /// The text from this field to the end of the line.
     std::string_view textToEnd(const wire::Field& field) const;
 
-    /// A number that fills the field; a floating-point one is finite.
+    /// The number that makes up the whole field; a floating-point number must be finite.
     template <typename T>
     T number(const wire::Field& field) const {
         if (field.position >= parts_.size()) fail(field, "missing");
@@ -74,10 +74,10 @@
         }
         return value;
     }
-    /// A time of 0 or more that stands in microseconds.
+    /// A non-negative time in microseconds.
     Duration microseconds(const wire::Field& field) const;
     RequestId id(const wire::Field& field) const { return number<std::uint64_t>(field); }
-    /// The number of the instance, 0 or more.
+    /// The number of the instance, which is not negative.
     int instance() const;
 
 private:
--- a/src/simulator/wire_names.h
+++ b/src/simulator/wire_names.h
@@ -1,6 +1,6 @@
 /// @file
-/// Every name of the simulator's wire, mapped once to the term that the code uses. The simulator sets these
-/// names; they are not ours to change.
+/// All names of the simulator's wire format, each mapped to the term that the code uses. The simulator
+/// defines these names; they cannot be changed here.
 #pragma once
 
 #include <cstddef>
@@ -9,7 +9,7 @@
 
 inline constexpr char kAbsent[] = "-";
 
-// Lines around a batch and its reply.
+// Lines that delimit a batch and its reply.
 inline constexpr char kBatchBegin[] = "CLOCK";
 inline constexpr char kBatchEnd[] = "YOUR_TURN";
 inline constexpr char kReplyEnd[] = "READY";
@@ -41,7 +41,7 @@
 inline constexpr char kScheduleTick[] = "SET_ALARM";
 inline constexpr char kLog[] = "DEBUG";
 inline constexpr char kBug[] = "BUG";
-inline constexpr char kTickTag[] = "wake";  // any word; it comes back with the tick
+inline constexpr char kTickTag[] = "wake";  // arbitrary; the simulator returns it with the tick
 
 // Outcomes of runs and dependency calls.
 inline constexpr char kOutcomeOk[] = "ok";
@@ -59,17 +59,17 @@
 inline constexpr char kMemoryUtilization[] = "heap_share";
 inline constexpr char kOpenConnections[] = "links";
 
-/// One field of an event: its place in the line, where the message name has the place 0, and its name.
+/// One field of an event: its position in the line, where the message name has position 0, and its name.
 struct Field {
     std::size_t position;
     const char* name;
 };
 
-// Pseudo fields, for errors of a whole line.
+// Pseudo-fields for errors that concern a whole line.
 inline constexpr char kFieldCount[] = "count";
 inline constexpr char kMessageName[] = "name";
 
-// The beginning of a batch.
+// Start of a batch.
 inline constexpr Field kClockUs = {1, "clock"};
 
 // All events.
@@ -78,7 +78,7 @@
 
 // An instance started.
 inline constexpr Field kSeed = {2, "rng_seed"};
-inline constexpr Field kSettings = {3, "settings"};  // up to the end of the line
+inline constexpr Field kSettings = {3, "settings"};  // extends to the end of the line
 
 // A request arrived.
 inline constexpr Field kRequestClass = {3, "service"};
@@ -102,12 +102,12 @@
 inline constexpr Field kElapsedUs = {4, "lag_us"};
 inline constexpr std::size_t kCompletionFields = 4;
 
-// The others.
+// Other events.
 inline constexpr Field kGauges = {3, "health_info"};
 inline constexpr std::size_t kTickFields = 3;
 inline constexpr Field kShutdownAtUs = {2, "give_up_at_us"};
 inline constexpr std::size_t kShutdownFields = 2;
-inline constexpr std::size_t kRequestNoticeFields = 2;  // of events that name a request only
+inline constexpr std::size_t kRequestNoticeFields = 2;  // of events that carry only a request id
 inline constexpr std::size_t kInstanceStoppedFields = 1;
 inline constexpr std::size_t kBatchBeginFields = 1;
 
