--- a/tests/overload/admission_queue_test.cpp
+++ b/tests/overload/admission_queue_test.cpp
@@ -12,7 +12,7 @@
 using namespace std::chrono_literals;
 using Ids = std::vector<RequestId>;
 
-// Takes a second on the cores, makes no call.
+// A request that needs one second on the cores and makes no call.
 QueuedRequest request(RequestId id, Duration objective, double value = 1) {
     QueuedRequest queued;
     queued.id = id;
--- a/tests/overload/client_pushback_test.cpp
+++ b/tests/overload/client_pushback_test.cpp
@@ -99,7 +99,7 @@
     IdleConnections connections({30s, 1000});
     EXPECT_EQ(connections.update({5, 0, false}), 27s);
     for (int advice = 0; advice < 100; ++advice) connections.update({5, 0, false});
-    EXPECT_FALSE(connections.update({5, 0, false}).has_value()) << "one second at least";
+    EXPECT_FALSE(connections.update({5, 0, false}).has_value()) << "not below one second";
     EXPECT_EQ(connections.update({5, 0.6, false}), 1100ms) << "kept under overload";
     EXPECT_EQ(connections.update({5, 0.6, true}), 1s) << "unless the dependency is the bottleneck";
 }
--- a/tests/overload/concurrency_limiter_test.cpp
+++ b/tests/overload/concurrency_limiter_test.cpp
@@ -36,7 +36,7 @@
 }
 
 TEST(ConcurrencyLimiter, KeepsRunsBelowTheSafeFraction) {
-    const ConcurrencyLimiter limiter({2, 4});  // collapses beyond 8 runs, 6.4 are safe
+    const ConcurrencyLimiter limiter({2, 4});  // collapses beyond 8 runs; up to 6.4 are safe
     EXPECT_TRUE(limiter.admitsRun({1, 6}, 1));
     EXPECT_FALSE(limiter.admitsRun({1, 7}, 1));
     EXPECT_FALSE(limiter.admitsRun({2, 2}, 1)) << "the cores are taken";
--- a/tests/overload/controller_rules_test.cpp
+++ b/tests/overload/controller_rules_test.cpp
@@ -1,5 +1,6 @@
-// Random worlds: arrivals of every class, duplicates, cancellations, every outcome, stalls, a shutdown
-// notice, little memory, cold starts. The machine of helpers.h checks the four rules after every batch.
+// Property test with random scenarios: arrivals of every class, duplicates, cancellations, every outcome,
+// stalls, a shutdown notice, little memory, cold starts. The reference model of the harness checks its four
+// rules after every batch.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 #include <rapidcheck/gtest.h>
@@ -46,7 +47,7 @@
             if (!harness.terms.tenants.empty()) request.tenant = randomUpTo(1);
             if (oneIn(4)) request.deadline.reset();
             if (oneIn(3)) request.expectedWork = 1ms * (1 + randomUpTo(500));
-            // a duplicate is known by the retained key of the earlier attempt
+            // The server recognizes a duplicate by the retained key of the earlier attempt.
             if (request.requestClass == 1 && !harness.kept.empty() && oneIn(2)) {
                 auto original = harness.kept.begin();
                 std::advance(original, randomUpTo(static_cast<int>(harness.kept.size()) - 1));
--- a/tests/overload/controller_test.cpp
+++ b/tests/overload/controller_test.cpp
@@ -1,4 +1,5 @@
-// The whole controller in plain cases: the figures of docs/design.md, and one case for each failure found.
+// Tests of the whole controller: the numbers given in docs/design.md, and a regression test for each fault
+// found.
 #include "helpers.h"
 
 namespace cottonwing::testing {
@@ -68,7 +69,8 @@
     EXPECT_NEAR(harness.patience.count(), Duration(500ms).count(), Duration(40ms).count());
 }
 
-// A shared database that gets slow must not keep requests for the time that a tier's long calls need.
+// Calls to a shared database that becomes slow must not occupy requests for as long as a tier's long calls
+// may take.
 TEST(ControllerCalls, TheAttemptTimeoutFollowsSuccessfulCalls) {
     ControllerHarness harness(plainControllerConfig());
     for (RequestId id = 1; id <= 20; ++id) {
@@ -77,13 +79,13 @@
         completeRun(harness, id);
     }
     reachDependencyCall(harness, 21);
-    EXPECT_EQ(harness.patience, 350ms);  // seven times what these took
+    EXPECT_EQ(harness.patience, 350ms);  // seven times the mean duration of these calls
 }
 
 TEST(ControllerCalls, TheRetryBudgetStopsRetriesAtHalfItsTokens) {
     ControllerHarness harness(plainControllerConfig());
     int calls = 0;
-    // single failures with successes between them, which never earn back what a failure takes
+    // Single failures between successes, which never earn back the token that a failure takes.
     for (RequestId id = 1; id <= 40; ++id) {
         reachDependencyCall(harness, id);
         if (id % 3 != 0) {
@@ -113,7 +115,7 @@
     const int calls = harness.calls, bounces = harness.bounces;
     EventBatch batch;
     batch.arrivals = {harness.command(9)};
-    harness.step(batch);  // would meet the open breaker: rejected before it costs work, with a Retry-After
+    harness.step(batch);  // rejected with Retry-After before any work is spent on it
     EXPECT_EQ(harness.calls, calls);
     EXPECT_EQ(harness.bounces, bounces + 1);
     EXPECT_GT(harness.retryAfter, 500ms);
@@ -128,7 +130,7 @@
     EXPECT_TRUE(harness.logged("circuit breaker closed: target=dependency successful_probes=3"));
 }
 
-// What a limit of this server held back, and runs that were never started, are no failures.
+// Calls held back by a limit of this server and runs that were never started do not count as failures.
 TEST(ControllerCalls, LocalLimitsAndSupersededRunsOpenNoCircuitBreaker) {
     ControllerHarness harness(plainControllerConfig());
     for (RequestId id = 1; id <= 30; ++id) {
@@ -143,7 +145,8 @@
     EXPECT_FALSE(harness.logged("circuit breaker opened"));
 }
 
-// A call whose response cannot be parsed has run: the dependency works, and nothing is left running there.
+// A call whose response cannot be parsed has completed: the dependency works, and the call is no longer
+// running there.
 TEST(ControllerCalls, AMalformedResponseIsRetriedAndOpensNoCircuitBreaker) {
     ControllerHarness harness(plainControllerConfig());
     for (RequestId id = 1; id <= 30; ++id) {
@@ -162,7 +165,8 @@
     EXPECT_EQ(harness.leftOut, 1);
 }
 
-// A call that hangs now and then took a quarter of a latency objective and passed for an overload.
+// Regression test: occasional hanging calls each took a quarter of the latency objective and were mistaken
+// for an overload.
 TEST(ControllerCalls, ACallThatHangsAmongQuickOnesTimesOutSoonAndIsNoOverload) {
     ControllerConfig config = plainControllerConfig();
     config.dependency = DependencyKind::Shared;
@@ -174,8 +178,8 @@
         completeCall(harness, id, hangs ? Outcome::TimedOut : Outcome::Ok, 20ms, hangs ? 1s : 10ms);
         completeRun(harness, id, hangs ? Outcome::Cancelled : Outcome::Ok);
     }
-    EXPECT_EQ(harness.patience, 100ms);  // a twentieth of the latency objective at least
-    EventBatch batch;                    // as many as the quota allows are sent at once
+    EXPECT_EQ(harness.patience, 100ms);  // at least a twentieth of the latency objective
+    EventBatch batch;                    // as many calls as the quota allows are sent at once
     for (RequestId id = 300; id < 310; ++id) batch.arrivals.push_back(harness.command(id));
     for (harness.step(batch); harness.on(ControllerHarness::At::Cores) > 0;) {
         EventBatch calls;
@@ -186,7 +190,8 @@
     EXPECT_GE(harness.out, 7) << "nothing is overloaded";
 }
 
-// While calls queue, requests that make none get the cores; the others can be rejected, or start later.
+// While calls are queued, the cores are given to requests that make no call; the other requests can still be
+// rejected or start later.
 TEST(ControllerQueue, ARequestThatWouldOnlyWaitForItsCallIsNotStarted) {
     ControllerConfig config = plainControllerConfig();
     config.dependency = DependencyKind::Shared;
@@ -207,7 +212,7 @@
     harness.step(batch);
     batch = {};
     for (RequestId id = 10; id < 34; ++id)
-        batch.waitingForDependency.push_back(id);  // some are called, the others wait
+        batch.waitingForDependency.push_back(id);  // some calls are sent, the others wait
     harness.step(batch);
     batch = {};
     for (int requestClass = 0; requestClass < 2; ++requestClass)
@@ -239,8 +244,8 @@
     EXPECT_FALSE(harness.logged("circuit breaker opened"));
 }
 
-// Where the quota is below one call, each long call must be followed by a pause: once all servers used nearly
-// their whole quota at a time, abandoned calls not counted, and the dependency collapsed.
+// With a quota below one call, each long call must be followed by a pause. Regression test: all servers used
+// nearly their whole quota at the same time, without counting abandoned calls, and the dependency collapsed.
 TEST(ControllerCalls, HangingCallsKeepToAQuotaBelowOne) {
     ControllerConfig config = plainControllerConfig();
     config.dependency = DependencyKind::Shared;
@@ -248,7 +253,7 @@
     std::vector<Duration> callTimes[2];
     for (int seed = 0; seed < 2; ++seed) {
         config.seed = static_cast<std::uint64_t>(seed);
-        ControllerHarness harness(config);  // the model of the rules sums up what is in progress
+        ControllerHarness harness(config);  // its reference model adds up the calls in progress
         for (RequestId id = 1; id <= 4000; ++id) {
             EventBatch batch;
             if (id % 10 == 0) batch.arrivals = {harness.command(id)};
@@ -263,12 +268,13 @@
             harness.step(batch);
             if (harness.calls > before) callTimes[seed].push_back(harness.now);
         }
-        EXPECT_GE(harness.calls, 5);  // and it never stops for good
+        EXPECT_GE(harness.calls, 5);  // calls never stop completely
     }
-    EXPECT_NE(callTimes[0], callTimes[1]);  // and servers that met it together do not call in step
+    EXPECT_NE(callTimes[0], callTimes[1]);  // servers do not call in lockstep
 }
 
-// One long call in flight once stood for all of them for seconds, and requests were shed without need.
+// Regression test: for seconds, a single long call in flight determined the estimate for all calls, and
+// requests were shed needlessly.
 TEST(ControllerCalls, ASingleLongCallDoesNotMakeTheDependencySlow) {
     ControllerConfig config = plainControllerConfig();
     config.dependency = DependencyKind::Shared;
@@ -293,7 +299,8 @@
     EXPECT_EQ(harness.bounces, 0);
 }
 
-// An abandoned call that was not removed, as no run waited for a call, was charged without end.
+// Regression test: while no run waited for a call, an abandoned call was not removed and was charged to the
+// quota forever.
 TEST(ControllerCalls, AnAbandonedCallIsChargedOnce) {
     ControllerConfig config = plainControllerConfig();
     config.dependency = DependencyKind::Shared;
@@ -309,7 +316,7 @@
     EXPECT_EQ(harness.calls, 2);
 }
 
-// A server that failed its runs in a millisecond looked quick to clients, and attracted more of them.
+// A server whose runs fail within a millisecond appears fast to clients and attracts more requests.
 TEST(ControllerRuns, ConsecutiveFailuresRejectRequestsUntilProbesSucceed) {
     ControllerHarness harness(plainControllerConfig());
     const auto run = [&](RequestId id, Outcome outcome) {
@@ -328,7 +335,7 @@
     EXPECT_TRUE(harness.good);
     EventBatch batch;
     batch.arrivals = {harness.command(11), harness.command(12)};
-    harness.step(batch);  // one at a time
+    harness.step(batch);  // only one probe at a time
     EXPECT_EQ(harness.bounces, 2);
     completeRun(harness, 11);
     run(13, Outcome::Ok);
@@ -336,8 +343,8 @@
     EXPECT_TRUE(harness.logged("circuit breaker closed: target=runs"));
 }
 
-// Tables full of connections that nobody used again kept clients out and took core time; when the cores are
-// overloaded they are the cheapest rejection.
+// Connection tables full of connections that were never reused kept other clients out and took core time.
+// While the cores are overloaded, a full table is the cheapest rejection.
 TEST(ControllerConnections, AreClosedEarlyWhenClientsRarelyReturnAndKeptUnderOverload) {
     ControllerConfig config = plainControllerConfig();
     ControllerHarness fewClients(config);
@@ -350,7 +357,7 @@
             completeRun(*harness, id);
             for (int n = 0; n < 7; ++n) harness->step();
         }
-    EXPECT_LT(fewClients.idle, 0s);  // never changed
+    EXPECT_LT(fewClients.idle, 0s);  // never set
     EXPECT_EQ(manyClients.idle, 1s);
     for (RequestId id = 1000; id < 2000; id += 5) {
         EventBatch batch;
@@ -360,7 +367,7 @@
     EXPECT_GT(manyClients.idle, 2s);
 }
 
-// A retry storm feeds on first attempts that are rejected: they all come again.
+// Rejected first attempts sustain a retry storm, because all of them are retried.
 TEST(ControllerQueue, RetriesAreShedBeforeFirstAttempts) {
     ControllerHarness harness(plainControllerConfig());
     EventBatch batch;
@@ -374,7 +381,7 @@
     EXPECT_GT(firstAttempts, 2 * retries);
 }
 
-// On two cores a burst of handshakes once delayed runs for a second.
+// Regression test: on two cores, a burst of handshakes delayed runs for a second.
 TEST(ControllerQueue, ABurstOfCoreDemandDoesNotDelayRuns) {
     ControllerHarness harness(plainControllerConfig());
     for (int n = 0; n < 100; ++n) {
@@ -408,7 +415,8 @@
     EXPECT_GT(highWeight, 2 * lowWeight);
 }
 
-// A mean of expected work that grew from zero took a new server's first request for twenty times the usual.
+// Regression test: the mean of expected work grew from zero, so a new server took its first request for one
+// with twenty times the usual work.
 TEST(ControllerQueue, TheFirstExpectedWorkInitializesTheMean) {
     ControllerHarness harness(plainControllerConfig());
     EventBatch batch;
@@ -418,7 +426,7 @@
     EXPECT_EQ(harness.starts, 1);
 }
 
-// Requests with little time left once made an idle server report an overload.
+// Regression test: requests with little time left made an idle server report an overload.
 TEST(ControllerQueue, RequestsWithShortDeadlinesCauseNoOverload) {
     ControllerHarness harness(plainControllerConfig());
     for (RequestId id = 1; id <= 100; ++id) {
@@ -430,7 +438,7 @@
     EXPECT_FALSE(harness.logged("overload"));
 }
 
-// Only clients that stay away end a queue of requests that are read too late.
+// The delay before requests are read falls only if clients send fewer requests.
 TEST(ControllerQueue, AQueueingDelayBeforeReadingRaisesRetryAfter) {
     ControllerHarness harness(plainControllerConfig());
     for (RequestId id = 1; id <= 30; ++id) {
@@ -443,8 +451,8 @@
     EXPECT_GT(harness.retryAfter, 400ms);
 }
 
-// The fifth consecutive failure rejects all that is queued; a client that cancelled in that very batch was
-// answered with the others, though nobody was there.
+// Regression test: the fifth consecutive failure rejects the whole queue, and a client that had cancelled in
+// the same batch was answered as well.
 TEST(ControllerRuns, ACircuitBreakerThatOpensAnswersNoClientThatCancelled) {
     ControllerConfig config = plainControllerConfig();
     config.cores = 1;
@@ -472,13 +480,14 @@
     EXPECT_EQ(harness.on(ControllerHarness::At::Hold), 0);
 }
 
-// A cold server of one core survives 1.6 runs at first: two were started on it, as 1 is below 1.28.
+// Regression test: a cold server with one core survives 1.6 runs at first, but two were started, because 1 is
+// below the safe 1.28.
 TEST(ControllerRuns, AColdServerOfOneCoreIsNotOverloadedByRounding) {
     ControllerConfig config = plainControllerConfig();
     config.cores = 1;
     config.startsCold = true;
     ControllerHarness harness(config);
-    harness.asking = 0.2;  // the gauge says that the core is idle
+    harness.asking = 0.2;  // the gauge shows an idle core
     RequestId next = 1;
     for (int n = 0; n < 150; ++n) {
         EventBatch batch;
@@ -492,9 +501,9 @@
     EXPECT_GT(harness.starts, 0);
 }
 
-// Found by a load test (slow-records): runs cancelled during their call were never stopped; where the
-// executor does not end them by itself, 26 of them filled a server's limit, and it completed a fifth of its
-// load for good.
+// Regression test for a fault found by the load test slow-records: runs cancelled during their call were
+// never stopped. If the executor does not end such runs by itself, 26 of them exhausted a server's limit, and
+// from then on the server completed only a fifth of its load.
 TEST(ControllerCalls, ARunThatIsCancelledDuringItsCallIsStopped) {
     ControllerConfig config = plainControllerConfig();
     config.runCancellation = RunCancellation::Suspend;
--- a/tests/overload/dependency_limiter_test.cpp
+++ b/tests/overload/dependency_limiter_test.cpp
@@ -34,7 +34,7 @@
     calls.recordTimeout(10s);
     calls.update({});
     EXPECT_FALSE(calls.dependencyOverloaded());
-    EXPECT_NEAR(calls.recentSeconds(), 0.015, 1e-6) << "counted as six times the usual";
+    EXPECT_NEAR(calls.recentSeconds(), 0.015, 1e-6) << "counted as six times the baseline";
 }
 
 TEST(DependencyLimiter, AllowsTheLimitAndNoMoreWithoutUnusedQuota) {
--- a/tests/overload/memory_admission_test.cpp
+++ b/tests/overload/memory_admission_test.cpp
@@ -9,14 +9,14 @@
 
 using namespace std::chrono_literals;
 
-// Arrivals up to 850 KB, runs up to 950 KB.
+// Admits arrivals up to 850 KB and runs up to 950 KB.
 MemoryAdmission::Config thousandKb() { return {1000, 20, 4}; }
 
 TEST(MemoryAdmission, AdmitsArrivalsUpToEightyFivePercent) {
     MemoryAdmission memory(thousandKb());
     memory.requestArrived(850);
     EXPECT_TRUE(memory.admitsArrival(1s, false));
-    EXPECT_FALSE(memory.admitsArrival(1s, true)) << "no room for the key";
+    EXPECT_FALSE(memory.admitsArrival(1s, true)) << "no memory for the key";
     memory.requestArrived(1);
     EXPECT_FALSE(memory.admitsArrival(1s, false));
 }
--- a/tests/overload/request_value_test.cpp
+++ b/tests/overload/request_value_test.cpp
@@ -54,14 +54,14 @@
         value.recordArrival(ofClass(1));
         value.recordSuccess(0, 1);
     }
-    EXPECT_DOUBLE_EQ(value.valueOf(ofClass(1)), 2);  // 1 + 0.5 * 20 arrivals / 10 of its own
+    EXPECT_DOUBLE_EQ(value.valueOf(ofClass(1)), 2);  // 1 + 0.5 * 20 arrivals / 10 arrivals of its class
     EXPECT_LT(value.valueOf(ofClass(0)), 1.001);
 }
 
 TEST(RequestValue, ATenantBeyondItsQuotaIsValuedAsItsExcess) {
     RequestValue::Config config = twoClasses();
     config.tenants = {{8}};
-    config.peerCount = 2;  // 4 a second for this server, 5 with the tolerance
+    config.peerCount = 2;  // 4 per second for this server, 5 with the tolerance
     config.overQuotaValueFraction = 0;
     RequestValue value(config);
     ValuedRequest request = ofClass(0);
--- a/tests/overload/service_time_model_test.cpp
+++ b/tests/overload/service_time_model_test.cpp
@@ -50,7 +50,7 @@
 TEST(ServiceTimeModel, RunsOlderThanUsualRaiseTheSlowdown) {
     ServiceTimeModel model = modelOfOneClass();
     model.updateSlowdown({0.7, 0.1, 1});
-    EXPECT_DOUBLE_EQ(model.slowdown(), 4);  // (0.7 + 0.1) / (0.1 + 0.1): one usual run is averaged in
+    EXPECT_DOUBLE_EQ(model.slowdown(), 4);  // (0.7 + 0.1) / (0.1 + 0.1), with one baseline run averaged in
     model.updateSlowdown({0.0, 0.1, 1});
     EXPECT_DOUBLE_EQ(model.slowdown(), 1);
     model.updateSlowdown({100, 0.1, 1});
--- a/tests/simulator/event_reader_test.cpp
+++ b/tests/simulator/event_reader_test.cpp
@@ -1,4 +1,4 @@
-// The simulator's lines by themselves: their fields, the events in them, the decisions written, and errors.
+// Tests of single lines of the simulator's wire format: fields, events, decisions and errors.
 #include "simulator/event_reader.h"
 
 #include <gtest/gtest.h>
--- a/tests/simulator/instance_host_test.cpp
+++ b/tests/simulator/instance_host_test.cpp
@@ -1,4 +1,4 @@
-// The decoder never guesses: malformed input ends with a message that names line and field.
+// Malformed input is never interpreted on a guess: it ends with an error that names the line and the field.
 #include "simulator/instance_host.h"
 
 #include <gtest/gtest.h>
@@ -25,7 +25,7 @@
 void expectMalformed(const std::string& events, const std::string& expectedText) {
     try {
         serve("CLOCK 10\n" + events + "YOUR_TURN\n");
-        FAIL() << "taken: " << events;
+        FAIL() << "accepted: " << events;
     } catch (const MalformedBatch& error) {
         EXPECT_NE(std::string(error.what()).find(expectedText), std::string::npos) << error.what();
     }
