--- a/src/simulator/wire_line.cpp
+++ b/src/simulator/wire_line.cpp
@@ -22,7 +22,7 @@
 MalformedBatch::MalformedBatch(std::size_t line, const std::string& problem)
     : std::runtime_error(prefix(line) + problem), line_(line), problem_(problem) {}
 
-MalformedBatch MalformedBatch::truncated(std::size_t line) { return {line, "batch cut short"}; }
+MalformedBatch MalformedBatch::truncated(std::size_t line) { return {line, "input ended inside a batch"}; }
 
 WireLine::WireLine(std::string_view text, std::size_t number) : text_(text), number_(number) {
     std::size_t begin = 0;
