--- a/src/overload/types.h
+++ b/src/overload/types.h
@@ -116,7 +116,7 @@
     Duration drainGrace{0};
     /// Running requests per core beyond which the server collapses, at full capacity.
     double overloadFactor = 1;
-    /// Time over which the collapse is judged.
+    /// Time over which the mean of that number is taken.
     Duration overloadWindow{0};
     bool retryAfterAllowed = false;
     Duration maxRetryAfter{0};
