--- a/tests/overload/controller_rules_test.cpp
+++ b/tests/overload/controller_rules_test.cpp
@@ -38,52 +38,53 @@
     RequestId nextId = 1;
     for (int i = 0; i < batches && harness.broken.empty(); ++i) {
         EventBatch batch;
-        const bool shutdownIsNear = harness.stopAt >= 0ns && harness.now + 700ms > harness.stopAt;
+        const bool shutdownIsNear = harness.processEnd >= 0ns && harness.now + 700ms > harness.processEnd;
         for (int n = shutdownIsNear ? 0 : randomUpTo(maxArrivals); n > 0; --n) {
-            Request request = harness.command(nextId++, randomUpTo(2), 10ms * randomUpTo(500));
+            Request request = harness.newRequest(nextId++, randomUpTo(2), 10ms * randomUpTo(500));
             request.memoryKb = 1 + randomUpTo(40);
             request.queuedBeforeRead = 1ms * randomUpTo(30);
             request.isRetry = oneIn(5);
-            if (!harness.terms.tenants.empty()) request.tenant = randomUpTo(1);
+            if (!harness.config.tenants.empty()) request.tenant = randomUpTo(1);
             if (oneIn(4)) request.deadline.reset();
             if (oneIn(3)) request.expectedWork = 1ms * (1 + randomUpTo(500));
             // The server recognizes a duplicate by the retained key of the earlier attempt.
-            if (request.requestClass == 1 && !harness.kept.empty() && oneIn(2)) {
-                auto original = harness.kept.begin();
-                std::advance(original, randomUpTo(static_cast<int>(harness.kept.size()) - 1));
+            if (request.requestClass == 1 && !harness.retainedKeys.empty() && oneIn(2)) {
+                auto original = harness.retainedKeys.begin();
+                std::advance(original, randomUpTo(static_cast<int>(harness.retainedKeys.size()) - 1));
                 if (original->second > harness.now + 700ms) request.duplicateOf = original->first;
             }
             batch.arrivals.push_back(request);
         }
         std::vector<RequestId> ids;
-        for (const auto& [id, tracked] : harness.work) ids.push_back(id);
+        for (const auto& [id, tracked] : harness.requests) ids.push_back(id);
         for (const RequestId id : ids) {
-            const ControllerHarness::Work& tracked = harness.work.at(id);
-            if (tracked.at == ControllerHarness::At::Below &&
+            const ControllerHarness::TrackedRequest& tracked = harness.requests.at(id);
+            if (tracked.stage == ControllerHarness::Stage::CallInFlight &&
                 (harness.now >= tracked.callEnds || oneIn(earlyResultOneIn))) {
                 const auto outcome = harness.now >= tracked.callEnds ? Outcome::TimedOut
                                      : oneIn(failureOneIn)           ? static_cast<Outcome>(1 + randomUpTo(4))
                                                                      : Outcome::Ok;
-                if (tracked.answered || tracked.left)
+                if (tracked.answered || tracked.cancelled)
                     batch.runResults.push_back({id, Outcome::Cancelled, 100ms});
                 else
                     batch.dependencyResults.push_back({id, outcome, 50ms});
-            } else if (tracked.at == ControllerHarness::At::Call && (tracked.answered || tracked.left)) {
+            } else if (tracked.stage == ControllerHarness::Stage::WaitingForCall &&
+                       (tracked.answered || tracked.cancelled)) {
                 batch.runResults.push_back({id, Outcome::Cancelled, 100ms});
-            } else if (tracked.at == ControllerHarness::At::Cores && oneIn(runStepOneIn)) {
-                if (oneIn(2) && !tracked.answered && !tracked.left)
+            } else if (tracked.stage == ControllerHarness::Stage::OnCores && oneIn(runStepOneIn)) {
+                if (oneIn(2) && !tracked.answered && !tracked.cancelled)
                     batch.waitingForDependency.push_back(id);
                 else
                     batch.runResults.push_back({id, oneIn(9) ? Outcome::Error : Outcome::Ok, 100ms});
-            } else if (tracked.at == ControllerHarness::At::Joined && oneIn(20)) {
+            } else if (tracked.stage == ControllerHarness::Stage::JoinedDuplicate && oneIn(20)) {
                 batch.runResults.push_back({id, Outcome::Ok, 100ms});
-            } else if (!tracked.left && !tracked.answered && oneIn(60)) {
+            } else if (!tracked.cancelled && !tracked.answered && oneIn(60)) {
                 batch.clientCancellations.push_back(id);
             }
         }
         if (i == shutdownBatch) batch.processEndsAt = harness.now + 2s + 10ms * randomUpTo(300);
-        if (harness.stopAt >= 0ns && harness.now + 60ms > harness.stopAt) break;
-        harness.step(batch, oneIn(40) && harness.stopAt < 0ns ? 60ms : 20ms);
+        if (harness.processEnd >= 0ns && harness.now + 60ms > harness.processEnd) break;
+        harness.step(batch, oneIn(40) && harness.processEnd < 0ns ? 60ms : 20ms);
     }
     const std::vector<std::string> violations = std::exchange(harness.broken, {});
     RC_ASSERT(violations == std::vector<std::string>{});
--- a/tests/overload/controller_test.cpp
+++ b/tests/overload/controller_test.cpp
@@ -8,7 +8,7 @@
 // Brings one request to its first dependency call.
 void reachDependencyCall(ControllerHarness& harness, RequestId id, int requestClass = 0) {
     EventBatch batch;
-    batch.arrivals = {harness.command(id, requestClass)};
+    batch.arrivals = {harness.newRequest(id, requestClass)};
     harness.step(batch);
     batch = {};
     batch.waitingForDependency = {id};
@@ -34,7 +34,7 @@
         for (int n = 0; n < 40; ++n) harness.step();
     }
     EXPECT_EQ(harness.calls, 3);
-    EXPECT_EQ(harness.scraps, 1);
+    EXPECT_EQ(harness.failures, 1);
 }
 
 TEST(ControllerCalls, AnErrorIsNotRetried) {
@@ -42,7 +42,7 @@
     reachDependencyCall(harness, 1);
     completeCall(harness, 1, Outcome::Error);
     EXPECT_EQ(harness.calls, 1);
-    EXPECT_EQ(harness.scraps, 1);
+    EXPECT_EQ(harness.failures, 1);
 }
 
 TEST(ControllerCalls, WithoutIdempotencyOnlyCallsThatNeverRanAreRetriedAndOthersSkippedWhereAllowed) {
@@ -53,20 +53,20 @@
     EXPECT_EQ(harness.calls, 2);
     completeCall(harness, 1, Outcome::ConnectionLost);
     EXPECT_EQ(harness.calls, 2);
-    EXPECT_EQ(harness.leftOut, 1);
+    EXPECT_EQ(harness.skippedCalls, 1);
 }
 
 TEST(ControllerCalls, AnAttemptGetsTheAttemptTimeoutOrHalfOfTheRemainingTime) {
     ControllerHarness harness(plainControllerConfig());
     reachDependencyCall(harness, 1);
-    EXPECT_EQ(harness.patience, 1s);
+    EXPECT_EQ(harness.attemptTimeout, 1s);
     EventBatch batch;
-    batch.arrivals = {harness.command(2, 0, 1040ms)};
+    batch.arrivals = {harness.newRequest(2, 0, 1040ms)};
     harness.step(batch);
     batch = {};
     batch.waitingForDependency = {2};
     harness.step(batch);
-    EXPECT_NEAR(harness.patience.count(), Duration(500ms).count(), Duration(40ms).count());
+    EXPECT_NEAR(harness.attemptTimeout.count(), Duration(500ms).count(), Duration(40ms).count());
 }
 
 // Calls to a shared database that becomes slow must not occupy requests for as long as a tier's long calls
@@ -79,7 +79,7 @@
         completeRun(harness, id);
     }
     reachDependencyCall(harness, 21);
-    EXPECT_EQ(harness.patience, 350ms);  // seven times the mean duration of these calls
+    EXPECT_EQ(harness.attemptTimeout, 350ms);  // seven times the mean duration of these calls
 }
 
 TEST(ControllerCalls, TheRetryBudgetStopsRetriesAtHalfItsTokens) {
@@ -112,12 +112,12 @@
         completeRun(harness, id, Outcome::Cancelled);
     }
     EXPECT_TRUE(harness.logged("circuit breaker opened: target=dependency consecutive_failures=5 "));
-    const int calls = harness.calls, bounces = harness.bounces;
+    const int calls = harness.calls, bounces = harness.rejections;
     EventBatch batch;
-    batch.arrivals = {harness.command(9)};
+    batch.arrivals = {harness.newRequest(9)};
     harness.step(batch);  // rejected with Retry-After before any work is spent on it
     EXPECT_EQ(harness.calls, calls);
-    EXPECT_EQ(harness.bounces, bounces + 1);
+    EXPECT_EQ(harness.rejections, bounces + 1);
     EXPECT_GT(harness.retryAfter, 500ms);
     for (int n = 0; n < 120; ++n) harness.step();
     for (RequestId id = 11; id <= 13; ++id) {
@@ -137,7 +137,7 @@
         reachDependencyCall(harness, id);
         completeCall(harness, id, Outcome::LocalLimit);
         for (int n = 0; n < 10; ++n) harness.step();
-        EXPECT_EQ(harness.work.at(id).at, ControllerHarness::At::Below)
+        EXPECT_EQ(harness.requests.at(id).stage, ControllerHarness::Stage::CallInFlight)
             << "it was never sent, so it may be retried";
         completeCall(harness, id, Outcome::Ok);
         completeRun(harness, id, Outcome::Superseded);
@@ -155,14 +155,15 @@
             completeCall(harness, id, Outcome::MalformedResponse);
             for (int n = 0; n < 10; ++n) harness.step();
         }
-        if (harness.work.at(id).at == ControllerHarness::At::Below) completeCall(harness, id, Outcome::Ok);
+        if (harness.requests.at(id).stage == ControllerHarness::Stage::CallInFlight)
+            completeCall(harness, id, Outcome::Ok);
         completeRun(harness, id);
     }
     EXPECT_GT(harness.calls, 33);
     EXPECT_FALSE(harness.logged("circuit breaker opened"));
     reachDependencyCall(harness, 99, 2);
     completeCall(harness, 99, Outcome::MalformedResponse);  // it may have had its effect
-    EXPECT_EQ(harness.leftOut, 1);
+    EXPECT_EQ(harness.skippedCalls, 1);
 }
 
 // Regression test: occasional hanging calls each took a quarter of the latency objective and were mistaken
@@ -178,16 +179,16 @@
         completeCall(harness, id, hangs ? Outcome::TimedOut : Outcome::Ok, 20ms, hangs ? 1s : 10ms);
         completeRun(harness, id, hangs ? Outcome::Cancelled : Outcome::Ok);
     }
-    EXPECT_EQ(harness.patience, 100ms);  // at least a twentieth of the latency objective
-    EventBatch batch;                    // as many calls as the quota allows are sent at once
-    for (RequestId id = 300; id < 310; ++id) batch.arrivals.push_back(harness.command(id));
-    for (harness.step(batch); harness.on(ControllerHarness::At::Cores) > 0;) {
+    EXPECT_EQ(harness.attemptTimeout, 100ms);  // at least a twentieth of the latency objective
+    EventBatch batch;                          // as many calls as the quota allows are sent at once
+    for (RequestId id = 300; id < 310; ++id) batch.arrivals.push_back(harness.newRequest(id));
+    for (harness.step(batch); harness.countIn(ControllerHarness::Stage::OnCores) > 0;) {
         EventBatch calls;
-        for (const auto& [id, tracked] : harness.work)
-            if (tracked.at == ControllerHarness::At::Cores) calls.waitingForDependency.push_back(id);
+        for (const auto& [id, tracked] : harness.requests)
+            if (tracked.stage == ControllerHarness::Stage::OnCores) calls.waitingForDependency.push_back(id);
         harness.step(calls);
     }
-    EXPECT_GE(harness.out, 7) << "nothing is overloaded";
+    EXPECT_GE(harness.callsInFlight, 7) << "nothing is overloaded";
 }
 
 // While calls are queued, the cores are given to requests that make no call; the other requests can still be
@@ -208,7 +209,7 @@
         completeRun(harness, id);
     }
     EventBatch batch;
-    for (RequestId id = 10; id < 34; ++id) batch.arrivals.push_back(harness.command(id, 0, 90s));
+    for (RequestId id = 10; id < 34; ++id) batch.arrivals.push_back(harness.newRequest(id, 0, 90s));
     harness.step(batch);
     batch = {};
     for (RequestId id = 10; id < 34; ++id)
@@ -216,10 +217,10 @@
     harness.step(batch);
     batch = {};
     for (int requestClass = 0; requestClass < 2; ++requestClass)
-        batch.arrivals.push_back(harness.command(50 + requestClass, requestClass, 90s));
+        batch.arrivals.push_back(harness.newRequest(50 + requestClass, requestClass, 90s));
     harness.step(batch);
-    EXPECT_EQ(harness.work.at(50).at, ControllerHarness::At::Hold);
-    EXPECT_EQ(harness.work.at(51).at, ControllerHarness::At::Cores);
+    EXPECT_EQ(harness.requests.at(50).stage, ControllerHarness::Stage::Queued);
+    EXPECT_EQ(harness.requests.at(51).stage, ControllerHarness::Stage::OnCores);
 }
 
 TEST(ControllerCalls, HalfOfTheLastTwentyOutcomesOpenTheCircuitBreaker) {
@@ -256,13 +257,14 @@
         ControllerHarness harness(config);  // its reference model adds up the calls in progress
         for (RequestId id = 1; id <= 4000; ++id) {
             EventBatch batch;
-            if (id % 10 == 0) batch.arrivals = {harness.command(id)};
-            for (const auto& [other, tracked] : harness.work)
-                if (tracked.at == ControllerHarness::At::Cores)
+            if (id % 10 == 0) batch.arrivals = {harness.newRequest(id)};
+            for (const auto& [other, tracked] : harness.requests)
+                if (tracked.stage == ControllerHarness::Stage::OnCores)
                     batch.waitingForDependency.push_back(other);
-                else if (tracked.at != ControllerHarness::At::Hold && tracked.answered)
+                else if (tracked.stage != ControllerHarness::Stage::Queued && tracked.answered)
                     batch.runResults.push_back({other, Outcome::Cancelled, 1s});
-                else if (tracked.at == ControllerHarness::At::Below && harness.now >= tracked.callEnds)
+                else if (tracked.stage == ControllerHarness::Stage::CallInFlight &&
+                         harness.now >= tracked.callEnds)
                     batch.dependencyResults.push_back({other, Outcome::TimedOut, 1s});
             const int before = harness.calls;
             harness.step(batch);
@@ -284,7 +286,7 @@
     for (int n = 0; n < 20; ++n) harness.step();
     for (; id <= 30; ++id) {
         reachDependencyCall(harness, id);
-        ASSERT_EQ(harness.work.at(id).at, ControllerHarness::At::Below);
+        ASSERT_EQ(harness.requests.at(id).stage, ControllerHarness::Stage::CallInFlight);
         completeCall(harness, id, Outcome::Ok);
         completeRun(harness, id);
         for (int n = 0; n < 20; ++n) harness.step();
@@ -294,9 +296,9 @@
     completeCall(harness, id, Outcome::Ok);
     completeRun(harness, id);
     EventBatch batch;
-    for (RequestId other = 100; other < 104; ++other) batch.arrivals.push_back(harness.command(other));
+    for (RequestId other = 100; other < 104; ++other) batch.arrivals.push_back(harness.newRequest(other));
     harness.step(batch);
-    EXPECT_EQ(harness.bounces, 0);
+    EXPECT_EQ(harness.rejections, 0);
 }
 
 // Regression test: while no run waited for a call, an abandoned call was not removed and was charged to the
@@ -321,22 +323,22 @@
     ControllerHarness harness(plainControllerConfig());
     const auto run = [&](RequestId id, Outcome outcome) {
         EventBatch batch;
-        batch.arrivals = {harness.command(id)};
+        batch.arrivals = {harness.newRequest(id)};
         harness.step(batch);
-        if (harness.work.count(id) != 0U) completeRun(harness, id, outcome);
+        if (harness.requests.count(id) != 0U) completeRun(harness, id, outcome);
     };
     for (RequestId id = 1; id <= 5; ++id) run(id, Outcome::Error);
     EXPECT_TRUE(harness.logged("circuit breaker opened: target=runs consecutive_failures=5 "));
-    EXPECT_FALSE(harness.good);
+    EXPECT_FALSE(harness.healthReported);
     run(6, Outcome::Ok);
-    EXPECT_EQ(harness.bounces, 1);
+    EXPECT_EQ(harness.rejections, 1);
     EXPECT_GT(harness.retryAfter, 500ms);
     for (int n = 0; n < 320; ++n) harness.step();
-    EXPECT_TRUE(harness.good);
+    EXPECT_TRUE(harness.healthReported);
     EventBatch batch;
-    batch.arrivals = {harness.command(11), harness.command(12)};
+    batch.arrivals = {harness.newRequest(11), harness.newRequest(12)};
     harness.step(batch);  // only one probe at a time
-    EXPECT_EQ(harness.bounces, 2);
+    EXPECT_EQ(harness.rejections, 2);
     completeRun(harness, 11);
     run(13, Outcome::Ok);
     run(14, Outcome::Ok);
@@ -361,7 +363,7 @@
     EXPECT_EQ(manyClients.idle, 1s);
     for (RequestId id = 1000; id < 2000; id += 5) {
         EventBatch batch;
-        for (RequestId n = 0; n < 5; ++n) batch.arrivals.push_back(manyClients.command(id + n));
+        for (RequestId n = 0; n < 5; ++n) batch.arrivals.push_back(manyClients.newRequest(id + n));
         manyClients.step(batch);
     }
     EXPECT_GT(manyClients.idle, 2s);
@@ -372,12 +374,12 @@
     ControllerHarness harness(plainControllerConfig());
     EventBatch batch;
     for (RequestId id = 1; id <= 60; ++id) {
-        batch.arrivals.push_back(harness.command(id));
+        batch.arrivals.push_back(harness.newRequest(id));
         batch.arrivals.back().isRetry = id % 2 == 0;
     }
     harness.step(batch);
     int firstAttempts = 0, retries = 0;
-    for (const auto& [id, tracked] : harness.work) ++(tracked.command.isRetry ? retries : firstAttempts);
+    for (const auto& [id, tracked] : harness.requests) ++(tracked.request.isRetry ? retries : firstAttempts);
     EXPECT_GT(firstAttempts, 2 * retries);
 }
 
@@ -386,32 +388,33 @@
     ControllerHarness harness(plainControllerConfig());
     for (int n = 0; n < 100; ++n) {
         EventBatch batch;
-        batch.arrivals = {harness.command(static_cast<RequestId>(n + 1))};
-        harness.asking = n % 5 == 0 ? 12.0 : 1.0;
+        batch.arrivals = {harness.newRequest(static_cast<RequestId>(n + 1))};
+        harness.coreDemand = n % 5 == 0 ? 12.0 : 1.0;
         harness.step(batch);
     }
-    EXPECT_GE(harness.on(ControllerHarness::At::Cores), 4);
+    EXPECT_GE(harness.countIn(ControllerHarness::Stage::OnCores), 4);
 }
 
 TEST(ControllerQueue, StartsByDeadline) {
     ControllerHarness harness(plainControllerConfig());
     EventBatch batch;
     for (RequestId id = 1; id <= 8; ++id)
-        batch.arrivals.push_back(harness.command(id, 0, 5s - 100ms * static_cast<int>(id)));
+        batch.arrivals.push_back(harness.newRequest(id, 0, 5s - 100ms * static_cast<int>(id)));
     harness.step(batch);
-    EXPECT_TRUE(harness.work.at(8).ran && harness.work.at(7).ran);
-    EXPECT_FALSE(harness.work.at(1).ran);
+    EXPECT_TRUE(harness.requests.at(8).ran && harness.requests.at(7).ran);
+    EXPECT_FALSE(harness.requests.at(1).ran);
 }
 
 TEST(ControllerQueue, ShedsTheLeastValuableAtOnceWhenNotAllCanCompleteInTime) {
     ControllerHarness harness(plainControllerConfig());
     EventBatch batch;
-    for (RequestId id = 1; id <= 60; ++id) batch.arrivals.push_back(harness.command(id, id % 2 == 0 ? 1 : 0));
+    for (RequestId id = 1; id <= 60; ++id)
+        batch.arrivals.push_back(harness.newRequest(id, id % 2 == 0 ? 1 : 0));
     harness.step(batch);
-    EXPECT_GT(harness.bounces, 5);
+    EXPECT_GT(harness.rejections, 5);
     int lowWeight = 0, highWeight = 0;
-    for (const auto& [id, tracked] : harness.work)
-        ++(tracked.command.requestClass == 1 ? highWeight : lowWeight);
+    for (const auto& [id, tracked] : harness.requests)
+        ++(tracked.request.requestClass == 1 ? highWeight : lowWeight);
     EXPECT_GT(highWeight, 2 * lowWeight);
 }
 
@@ -420,7 +423,7 @@
 TEST(ControllerQueue, TheFirstExpectedWorkInitializesTheMean) {
     ControllerHarness harness(plainControllerConfig());
     EventBatch batch;
-    batch.arrivals = {harness.command(1)};
+    batch.arrivals = {harness.newRequest(1)};
     batch.arrivals[0].expectedWork = 300ms;
     harness.step(batch);
     EXPECT_EQ(harness.starts, 1);
@@ -431,10 +434,10 @@
     ControllerHarness harness(plainControllerConfig());
     for (RequestId id = 1; id <= 100; ++id) {
         EventBatch batch;
-        batch.arrivals = {harness.command(id, 0, 100ms), harness.command(1000 + id, 0, 100ms)};
+        batch.arrivals = {harness.newRequest(id, 0, 100ms), harness.newRequest(1000 + id, 0, 100ms)};
         harness.step(batch);
     }
-    EXPECT_GT(harness.bounces, 50);
+    EXPECT_GT(harness.rejections, 50);
     EXPECT_FALSE(harness.logged("overload"));
 }
 
@@ -443,11 +446,11 @@
     ControllerHarness harness(plainControllerConfig());
     for (RequestId id = 1; id <= 30; ++id) {
         EventBatch batch;
-        batch.arrivals = {harness.command(id)};
+        batch.arrivals = {harness.newRequest(id)};
         batch.arrivals[0].queuedBeforeRead = 1950ms;
         harness.step(batch);
     }
-    EXPECT_GT(harness.bounces, 10);
+    EXPECT_GT(harness.rejections, 10);
     EXPECT_GT(harness.retryAfter, 400ms);
 }
 
@@ -460,24 +463,25 @@
     ControllerHarness harness(config);
     RequestId next = 1;
     EventBatch batch;
-    for (int n = 0; n < 12; ++n) batch.arrivals.push_back(harness.command(next++));
+    for (int n = 0; n < 12; ++n) batch.arrivals.push_back(harness.newRequest(next++));
     harness.step(batch);
-    const auto firstUnansweredAt = [&](ControllerHarness::At stage) {
-        for (const auto& [id, tracked] : harness.work)
-            if (tracked.at == stage && !tracked.answered) return id;
+    const auto firstUnansweredAt = [&](ControllerHarness::Stage searched) {
+        for (const auto& [id, tracked] : harness.requests)
+            if (tracked.stage == searched && !tracked.answered) return id;
         return RequestId{0};
     };
     for (int failed = 0; failed < 5; ++failed) {
-        for (int n = 0; n < 200 && firstUnansweredAt(ControllerHarness::At::Cores) == 0; ++n) harness.step();
+        for (int n = 0; n < 200 && firstUnansweredAt(ControllerHarness::Stage::OnCores) == 0; ++n)
+            harness.step();
         batch = {};
-        batch.runResults = {{firstUnansweredAt(ControllerHarness::At::Cores), Outcome::Error, 5ms}};
-        if (failed == 4) batch.clientCancellations = {firstUnansweredAt(ControllerHarness::At::Hold)};
+        batch.runResults = {{firstUnansweredAt(ControllerHarness::Stage::OnCores), Outcome::Error, 5ms}};
+        if (failed == 4) batch.clientCancellations = {firstUnansweredAt(ControllerHarness::Stage::Queued)};
         ASSERT_NE(batch.runResults[0].id, 0U);
         harness.step(batch, 1ms);
     }
     EXPECT_TRUE(harness.logged("circuit breaker opened: target=runs"));
-    EXPECT_GT(harness.bounces, 0);
-    EXPECT_EQ(harness.on(ControllerHarness::At::Hold), 0);
+    EXPECT_GT(harness.rejections, 0);
+    EXPECT_EQ(harness.countIn(ControllerHarness::Stage::Queued), 0);
 }
 
 // Regression test: a cold server with one core survives 1.6 runs at first, but two were started, because 1 is
@@ -487,15 +491,15 @@
     config.cores = 1;
     config.startsCold = true;
     ControllerHarness harness(config);
-    harness.asking = 0.2;  // the gauge shows an idle core
+    harness.coreDemand = 0.2;  // the gauge shows an idle core
     RequestId next = 1;
     for (int n = 0; n < 150; ++n) {
         EventBatch batch;
-        if (n < 20) batch.arrivals = {harness.command(next++)};
+        if (n < 20) batch.arrivals = {harness.newRequest(next++)};
         harness.step(batch);
         // Two runs are allowed once the server is at half of its capacity.
-        if (harness.now - harness.born < 3s) {
-            EXPECT_LE(harness.on(ControllerHarness::At::Cores), 1) << n;
+        if (harness.now - harness.startedAt < 3s) {
+            EXPECT_LE(harness.countIn(ControllerHarness::Stage::OnCores), 1) << n;
         }
     }
     EXPECT_GT(harness.starts, 0);
@@ -509,32 +513,32 @@
     config.runCancellation = RunCancellation::Suspend;
     ControllerHarness harness(config);
     EventBatch batch;
-    batch.arrivals = {harness.command(1)};
+    batch.arrivals = {harness.newRequest(1)};
     harness.step(batch);
     batch = {};
     batch.waitingForDependency = {1};
     harness.step(batch);
     harness.step();
-    ASSERT_EQ(harness.on(ControllerHarness::At::Below), 1);
+    ASSERT_EQ(harness.countIn(ControllerHarness::Stage::CallInFlight), 1);
     batch = {};
     batch.clientCancellations = {1};
     harness.step(batch);
-    EXPECT_EQ(harness.halts, 1);
+    EXPECT_EQ(harness.runCancellations, 1);
 }
 
 TEST(ControllerShutdown, TheNoticeEndsHealthAndRejectsLateArrivals) {
     ControllerHarness harness(plainControllerConfig());
     harness.step();
-    EXPECT_TRUE(harness.good);
+    EXPECT_TRUE(harness.healthReported);
     EventBatch batch;
     batch.processEndsAt = harness.now + 5s;
     harness.step(batch);
-    EXPECT_FALSE(harness.good);
+    EXPECT_FALSE(harness.healthReported);
     for (int n = 0; n < 60; ++n) harness.step();
     batch = {};
-    batch.arrivals = {harness.command(1)};
+    batch.arrivals = {harness.newRequest(1)};
     harness.step(batch);
-    EXPECT_EQ(harness.bounces, 1);
+    EXPECT_EQ(harness.rejections, 1);
 }
 
 }  // namespace
--- a/tests/support/controller_harness.h
+++ b/tests/support/controller_harness.h
@@ -24,25 +24,25 @@
         : ReferenceModel(config), controller(makeOverloadController(config)) {}
 
     std::unique_ptr<OverloadController> controller;
-    std::optional<double> asking;  ///< Core demand that the gauges show; default: the runs on the cores.
+    std::optional<double> coreDemand;  ///< Core demand that the gauges show; default: the runs on the cores.
 
     // How often each decision was made.
     int starts = 0;
-    int halts = 0;
-    int bounces = 0;
-    int scraps = 0;
+    int runCancellations = 0;
+    int rejections = 0;
+    int failures = 0;
     int calls = 0;
-    int leftOut = 0;
+    int skippedCalls = 0;
 
     // The last value of each decision that carries one.
-    Duration patience{0};    ///< Attempt timeout of the last call.
-    Duration retryAfter{0};  ///< Of the last rejection.
-    Duration idle{-1};       ///< Idle time after which client connections are closed.
-    bool good = false;       ///< Health.
+    Duration attemptTimeout{0};   ///< Attempt timeout of the last call.
+    Duration retryAfter{0};       ///< Of the last rejection.
+    Duration idle{-1};            ///< Idle time after which client connections are closed.
+    bool healthReported = false;  ///< Health.
     std::vector<std::string> logs;
 
     /// @return a first attempt that arrives in the next batch.
-    Request command(RequestId id, int requestClass = 0, Duration timeLeft = 5s) const {
+    Request newRequest(RequestId id, int requestClass = 0, Duration timeLeft = 5s) const {
         return makeRequest(id, requestClass, now, timeLeft);
     }
 
@@ -52,7 +52,7 @@
         now += passed;
         batch.now = now;
         if (nextTickAt_ >= 0ns && now >= nextTickAt_ && !batch.gauges) {
-            batch.gauges = Gauges{0.5, asking.value_or(on(At::Cores)), 0.1, 3.0};
+            batch.gauges = Gauges{0.5, coreDemand.value_or(countIn(Stage::OnCores)), 0.1, 3.0};
             nextTickAt_ = -1ns;
         }
         observe(batch);
@@ -72,28 +72,28 @@
         ReferenceModel::startRun(id);
     }
     void reject(RequestId id, const Pushback& pushback) override {
-        ++bounces;
+        ++rejections;
         retryAfter = pushback.retryAfter;
         ReferenceModel::reject(id, pushback);
     }
     void fail(RequestId id) override {
-        ++scraps;
+        ++failures;
         ReferenceModel::fail(id);
     }
     void cancelRun(RequestId id) override {
-        ++halts;
+        ++runCancellations;
         ReferenceModel::cancelRun(id);
     }
     void callDependency(RequestId id, Duration timeout) override {
         ++calls;
-        patience = timeout;
+        attemptTimeout = timeout;
         ReferenceModel::callDependency(id, timeout);
     }
     void skipDependencyCall(RequestId id) override {
-        ++leftOut;
+        ++skippedCalls;
         ReferenceModel::skipDependencyCall(id);
     }
-    void setHealth(bool healthy) override { good = healthy; }
+    void setHealth(bool healthy) override { healthReported = healthy; }
     void setIdleTimeout(Duration idleTimeout) override { idle = idleTimeout; }
     void scheduleTick(Duration delay) override { nextTickAt_ = now + delay; }
     void log(std::string_view line) override { logs.emplace_back(line); }
--- a/tests/support/reference_model.h
+++ b/tests/support/reference_model.h
@@ -34,191 +34,195 @@
 class ReferenceModel : public DecisionSink, public InvariantViolations {
 public:
     /// Where a request is.
-    enum class At {
-        Hold,   ///< Queued, not started.
-        Cores,  ///< Running.
-        Call,   ///< Waiting for its dependency call.
-        Below,  ///< Its dependency call is in progress.
-        Joined  ///< A duplicate that waits for the attempt with its idempotency key.
+    enum class Stage {
+        Queued,          ///< Queued, not started.
+        OnCores,         ///< Running.
+        WaitingForCall,  ///< Waiting for its dependency call.
+        CallInFlight,    ///< Its dependency call is in progress.
+        JoinedDuplicate  ///< A duplicate that waits for the attempt with its idempotency key.
     };
 
     /// A request in progress.
-    struct Work {
-        Request command;
+    struct TrackedRequest {
+        Request request;
         Timestamp arrivedAt{0};
         Timestamp deadline{0};
         Timestamp callEnds{0};  ///< End of the timeout of its dependency call.
-        At at = At::Hold;
+        Stage stage = Stage::Queued;
         bool answered = false;
-        bool left = false;  ///< The client cancelled it.
+        bool cancelled = false;  ///< The client cancelled it.
         bool ran = false;
         bool calledBefore = false;  ///< An attempt of the call that it waits for was sent.
         bool lastCallNeverRan = true;
     };
 
-    explicit ReferenceModel(const ControllerConfig& config) : terms(config) {}
+    explicit ReferenceModel(const ControllerConfig& controllerConfig) : config(controllerConfig) {}
 
-    ControllerConfig terms;
+    ControllerConfig config;
     Timestamp now = 1000s;
-    Timestamp born = now;  ///< Start of the server.
+    Timestamp startedAt = now;  ///< Start of the server.
     Timestamp shutdownNoticeAt{-1};
-    Timestamp stopAt{-1};  ///< When the process ends; -1 before the notice.
-    std::map<RequestId, Work> work;
+    Timestamp processEnd{-1};  ///< When the process ends; -1 before the notice.
+    std::map<RequestId, TrackedRequest> requests;
     std::map<RequestId, Timestamp>
-        kept;     ///< Idempotency keys, by the request that holds them: retained until.
-    int out = 0;  ///< Dependency calls in progress.
+        retainedKeys;       ///< Idempotency keys, by the request that holds them: retained until.
+    int callsInFlight = 0;  ///< Dependency calls in progress.
 
     /// Follows the events of a batch, before the controller decides on it.
     void observe(const EventBatch& batch) {
         if (batch.processEndsAt && shutdownNoticeAt < 0ns) {
             shutdownNoticeAt = now;
-            stopAt = *batch.processEndsAt;
+            processEnd = *batch.processEndsAt;
         }
         for (const Request& request : batch.arrivals) {
-            Work& w = work[request.id];
-            w.command = request;
+            TrackedRequest& w = requests[request.id];
+            w.request = request;
             w.arrivedAt = now - request.queuedBeforeRead;
-            const Duration timeout = terms.requestClasses[request.requestClass].timeout;
+            const Duration timeout = config.requestClasses[request.requestClass].timeout;
             w.deadline = std::max(request.deadline.value_or(w.arrivedAt + timeout), now);
         }
         for (const Completion& call : batch.dependencyResults) {
-            Work& w = work.at(call.id);
+            TrackedRequest& w = requests.at(call.id);
             if (call.outcome == Outcome::TimedOut)
-                abandonedCallsEnd_.push_back(now + terms.abandonedCallTime);
-            w.at = call.outcome == Outcome::Ok ? At::Cores : At::Call;
+                abandonedCallsEnd_.push_back(now + config.abandonedCallTime);
+            w.stage = call.outcome == Outcome::Ok ? Stage::OnCores : Stage::WaitingForCall;
             w.lastCallNeverRan = call.outcome == Outcome::ResourceExhausted ||
                                  call.outcome == Outcome::Unreachable || call.outcome == Outcome::LocalLimit;
             if (call.outcome == Outcome::Ok) w.calledBefore = false;
-            --out;
+            --callsInFlight;
         }
         for (const RequestId id : batch.waitingForDependency) {
-            work.at(id).at = At::Call;
-            work.at(id).calledBefore = false;
+            requests.at(id).stage = Stage::WaitingForCall;
+            requests.at(id).calledBefore = false;
         }
         for (const Completion& run : batch.runResults) {
-            if (work.at(run.id).at == At::Below) --out;
-            work.erase(run.id);
+            if (requests.at(run.id).stage == Stage::CallInFlight) --callsInFlight;
+            requests.erase(run.id);
         }
         for (const RequestId id : batch.clientCancellations) {
-            Work& w = work.at(id);
-            w.left = true;
-            if (w.at == At::Hold || w.at == At::Joined) work.erase(id);
+            TrackedRequest& w = requests.at(id);
+            w.cancelled = true;
+            if (w.stage == Stage::Queued || w.stage == Stage::JoinedDuplicate) requests.erase(id);
         }
     }
 
     /// Checks rules 1 and 4 on the whole, after the decisions of a batch.
     void judge() {
-        for (const auto& [id, w] : work)
-            if (!w.answered && !w.left) {
+        for (const auto& [id, w] : requests)
+            if (!w.answered && !w.cancelled) {
                 rule(now <= w.deadline + 80ms, "no answer by the deadline");
-                if (stopAt >= 0ns) rule(now < stopAt, "no answer at the end of the process");
+                if (processEnd >= 0ns) rule(now < processEnd, "no answer at the end of the process");
             }
-        rule(memoryKb() <= terms.memoryLimitKb, "memory limit exceeded");
+        rule(memoryKb() <= config.memoryLimitKb, "memory limit exceeded");
         judgeCores();
         judgeDependency();
     }
 
     /// @return how many requests are there.
-    int on(At place) const {
-        return static_cast<int>(std::count_if(work.begin(), work.end(),
-                                              [&](const auto& entry) { return entry.second.at == place; }));
+    int countIn(Stage searched) const {
+        return static_cast<int>(std::count_if(requests.begin(), requests.end(), [&](const auto& entry) {
+            return entry.second.stage == searched;
+        }));
     }
 
     void startRun(RequestId id) override {
-        Work& w = work.at(id);
-        rule(w.at == At::Hold && !w.answered && !w.ran, "started twice");
+        TrackedRequest& w = requests.at(id);
+        rule(w.stage == Stage::Queued && !w.answered && !w.ran, "started twice");
         if (shutdownNoticeAt >= 0ns)
-            rule(w.arrivedAt <= shutdownNoticeAt + terms.drainGrace, "started after the drain grace");
+            rule(w.arrivedAt <= shutdownNoticeAt + config.drainGrace, "started after the drain grace");
         if (idempotency(w) == Idempotency::WithKey) {
-            const Duration window = terms.requestClasses[w.command.requestClass].idempotencyWindow;
+            const Duration window = config.requestClasses[w.request.requestClass].idempotencyWindow;
             const auto ran = keysRan_.find(firstAttempt(w));
             if (ran != keysRan_.end())
                 rule(w.arrivedAt > ran->second + window, "ran twice under one idempotency key");
-            const auto entry = kept.find(firstAttempt(w));
-            rule(entry != kept.end() && entry->second >= w.arrivedAt + window,
+            const auto entry = retainedKeys.find(firstAttempt(w));
+            rule(entry != retainedKeys.end() && entry->second >= w.arrivedAt + window,
                  "idempotency key not retained for its window");
             keysRan_[firstAttempt(w)] = w.arrivedAt;
         }
         w.ran = true;
-        w.at = At::Cores;
+        w.stage = Stage::OnCores;
     }
     void reject(RequestId id, const Pushback& pushback) override {
-        rule(pushback.retryAfter <= terms.maxRetryAfter, "Retry-After above its maximum");
-        rule(!(work.at(id).ran), "rejected after it ran");
+        rule(pushback.retryAfter <= config.maxRetryAfter, "Retry-After above its maximum");
+        rule(!(requests.at(id).ran), "rejected after it ran");
         answer(id);
-        work.erase(id);
+        requests.erase(id);
     }
     void fail(RequestId id) override {
         answer(id);
-        if (work.at(id).at == At::Hold || work.at(id).at == At::Joined) work.erase(id);
+        if (requests.at(id).stage == Stage::Queued || requests.at(id).stage == Stage::JoinedDuplicate)
+            requests.erase(id);
     }
     void cancelRun(RequestId id) override {
-        rule(work.at(id).answered || work.at(id).left, "cancelled while the client waits");
+        rule(requests.at(id).answered || requests.at(id).cancelled, "cancelled while the client waits");
     }
     void callDependency(RequestId id, Duration timeout) override {
-        ++out;
-        Work& w = work.at(id);
-        rule(w.at == At::Call && !w.answered, "call of a run that waits for none");
+        ++callsInFlight;
+        TrackedRequest& w = requests.at(id);
+        rule(w.stage == Stage::WaitingForCall && !w.answered, "call of a run that waits for none");
         if (idempotency(w) != Idempotency::Idempotent)
             rule(!w.calledBefore || w.lastCallNeverRan, "call repeated that may have had its effect");
-        w.at = At::Below;
+        w.stage = Stage::CallInFlight;
         w.callEnds = now + timeout;
         w.calledBefore = true;
     }
     void skipDependencyCall(RequestId id) override {
-        Work& w = work.at(id);
-        rule(w.at == At::Call, "skipped the call of a run that waits for none");
-        rule(terms.requestClasses[w.command.requestClass].degradedValueFraction > 0,
+        TrackedRequest& w = requests.at(id);
+        rule(w.stage == Stage::WaitingForCall, "skipped the call of a run that waits for none");
+        rule(config.requestClasses[w.request.requestClass].degradedValueFraction > 0,
              "skipped a call that is required");
-        w.at = At::Cores;
+        w.stage = Stage::OnCores;
     }
-    void retainKey(RequestId id, Duration lifetime) override { kept[id] = now + lifetime; }
-    void releaseKey(RequestId id) override { kept.erase(id); }
+    void retainKey(RequestId id, Duration lifetime) override { retainedKeys[id] = now + lifetime; }
+    void releaseKey(RequestId id) override { retainedKeys.erase(id); }
     void joinDuplicate(RequestId id) override {
-        rule(work.at(id).command.duplicateOf != 0U, "joined to no earlier attempt");
-        work.at(id).at = At::Joined;
+        rule(requests.at(id).request.duplicateOf != 0U, "joined to no earlier attempt");
+        requests.at(id).stage = Stage::JoinedDuplicate;
     }
     void setHealth(bool) override {}
     void advertiseLoadShare(double) override {
-        rule(terms.loadSignal != LoadSignal::None, "load advertised against the configuration");
+        rule(config.loadSignal != LoadSignal::None, "load advertised against the configuration");
     }
     void setIdleTimeout(Duration) override {}
     void scheduleTick(Duration) override {}
     void log(std::string_view) override {}
 
 private:
-    Idempotency idempotency(const Work& w) const {
-        return terms.requestClasses[w.command.requestClass].idempotency;
+    Idempotency idempotency(const TrackedRequest& w) const {
+        return config.requestClasses[w.request.requestClass].idempotency;
     }
-    static RequestId firstAttempt(const Work& w) {
-        return w.command.duplicateOf != 0 ? w.command.duplicateOf : w.command.id;
+    static RequestId firstAttempt(const TrackedRequest& w) {
+        return w.request.duplicateOf != 0 ? w.request.duplicateOf : w.request.id;
     }
 
     void answer(RequestId id) {
-        Work& w = work.at(id);
+        TrackedRequest& w = requests.at(id);
         rule(!(w.answered), "answered twice");
         w.answered = true;
     }
 
     double memoryKb() const {
         double sum = 0;
-        for (const auto& [id, w] : work)
-            sum += w.command.memoryKb * (w.at == At::Hold || w.at == At::Joined ? 1 : terms.runMemoryFactor);
-        for (const auto& [id, until] : kept) sum += until > now ? terms.idempotencyKeyKb : 0;
+        for (const auto& [id, w] : requests)
+            sum +=
+                w.request.memoryKb *
+                (w.stage == Stage::Queued || w.stage == Stage::JoinedDuplicate ? 1 : config.runMemoryFactor);
+        for (const auto& [id, until] : retainedKeys) sum += until > now ? config.idempotencyKeyKb : 0;
         return sum;
     }
 
     /// The mean of runs on the cores over the window stays below the number at which the server collapses.
     void judgeCores() {
-        runsOnCores_.push_back(on(At::Cores));
-        const std::size_t over = static_cast<std::size_t>(terms.overloadWindow / 20ms);
+        runsOnCores_.push_back(countIn(Stage::OnCores));
+        const std::size_t over = static_cast<std::size_t>(config.overloadWindow / 20ms);
         if (runsOnCores_.size() < over) return;
         double mean = 0;
         for (std::size_t i = runsOnCores_.size() - over; i < runsOnCores_.size(); ++i)
             mean += runsOnCores_[i] / over;
         const double warm =
-            std::min(1.0, terms.coldCapacityFraction + (now - born) / (1.0 * terms.warmUpTime));
-        rule(mean <= terms.cores * (1 + (terms.overloadFactor - 1) * (terms.startsCold ? warm : 1)),
+            std::min(1.0, config.coldCapacityFraction + (now - startedAt) / (1.0 * config.warmUpTime));
+        rule(mean <= config.cores * (1 + (config.overloadFactor - 1) * (config.startsCold ? warm : 1)),
              "too many runs on the cores");
     }
 
@@ -226,12 +230,12 @@
     /// included.
     void judgeDependency() {
         std::erase_if(abandonedCallsEnd_, [&](Timestamp end) { return end <= now; });
-        callsAtDependency_.push_back(out + static_cast<double>(abandonedCallsEnd_.size()));
-        const auto window = static_cast<std::size_t>(terms.dependencyQuotaWindow / 20ms);
-        if (terms.dependency == DependencyKind::Shared && callsAtDependency_.size() >= window)
+        callsAtDependency_.push_back(callsInFlight + static_cast<double>(abandonedCallsEnd_.size()));
+        const auto window = static_cast<std::size_t>(config.dependencyQuotaWindow / 20ms);
+        if (config.dependency == DependencyKind::Shared && callsAtDependency_.size() >= window)
             rule(std::accumulate(callsAtDependency_.end() - static_cast<long>(window),
                                  callsAtDependency_.end(),
-                                 0.0) <= terms.dependencyQuota * static_cast<double>(window),
+                                 0.0) <= config.dependencyQuota * static_cast<double>(window),
                  "quota of the dependency exceeded");
     }
 
