--- a/src/loadtest/load_curve.h
+++ b/src/loadtest/load_curve.h
@@ -12,9 +12,9 @@
 namespace cottonwing::loadtest {
 
 // A rate over time. Asked at times that never go back.
-class Shape {
+class LoadCurve {
 public:
-    virtual ~Shape() = default;
+    virtual ~LoadCurve() = default;
     virtual double at(double seconds) = 0;  // requests a second, or a plain factor
     // The parts of a `rate` node, added up; throws kdl::DocumentError.
     //   steady 200/s
@@ -29,23 +29,23 @@
     //   multiplied; the first is a rate, factors follow
     // Inside `times` a value without unit is a factor: steady 1.5, wave mean=1
     // swing=0.3 period=10s.
-    static std::unique_ptr<Shape> of(kdl::NodeReader& node, std::uint64_t seed);
+    static std::unique_ptr<LoadCurve> fromNode(kdl::NodeReader& node, std::uint64_t seed);
 };
 
 enum class Spacing { Even, Poisson };
 
 // The times of arrivals, in nanoseconds from the start, up to the end.
-class Arrivals {
+class ArrivalGenerator {
 public:
-    Arrivals(std::unique_ptr<Shape> shape, Spacing spacing, std::uint64_t seed, Duration length);
+    ArrivalGenerator(std::unique_ptr<LoadCurve> curve, Spacing spacing, std::uint64_t seed, Duration length);
     // Nothing after the last one.
     std::optional<Duration> next();
 
 private:
-    std::unique_ptr<Shape> shape_;
+    std::unique_ptr<LoadCurve> curve_;
     Spacing spacing_;
-    Chance chance_;
-    double end_, at_ = 0, sliceEnd_ = 0, rate_ = 0, owed_ = 0;
+    RandomGenerator random_;
+    double endSeconds_, seconds_ = 0, sliceEndSeconds_ = 0, rate_ = 0, remainingIntegral_ = 0;
 };
 
 }  // namespace cottonwing::loadtest
--- a/src/loadtest/load_run.cpp
+++ b/src/loadtest/load_run.cpp
@@ -30,7 +30,7 @@
         const kdl::Node* const found = in.child(name);
         if (found == nullptr) return;
         kdl::NodeReader inner(*found);
-        to = Distribution::of(inner, reads);
+        to = Distribution::fromNode(inner, reads);
         inner.rejectUnknown();
     };
     requestClass.share = in.setting("share", kdl::fraction, requestClass.share);
@@ -244,7 +244,7 @@
                                  "one of 'rate { … }' and 'trace FILE' was expected in it");
     if (plan.rate != nullptr) {
         kdl::NodeReader inner(*plan.rate);  // said now, not when the run begins
-        (void)Shape::of(inner, plan.seed);
+        (void)LoadCurve::fromNode(inner, plan.seed);
         inner.rejectUnknown();
     }
     if (const kdl::Node* const found = in.child("callers"))
--- a/src/loadtest/random_distributions.h
+++ b/src/loadtest/random_distributions.h
@@ -13,22 +13,22 @@
 
 // A stream of its own for each matter, by number, so that a change in one moves
 // nothing in another.
-using Chance = pcg32;
-enum class Stream : std::uint64_t {
-    Times,
-    RequestClassLoads,
+using RandomGenerator = pcg32;
+enum class RandomStream : std::uint64_t {
+    ArrivalTimes,
+    RequestClasses,
     Tenants,
     Subjects,
     Bodies,
     Work,
     Hints,
-    Waits,
+    AttemptTimeouts,
     Clients,
     Bursts
 };
-Chance chanceOf(std::uint64_t seed, Stream stream, std::uint64_t number = 0);
-double unit(Chance& chance);             // from 0 to under 1
-double drawExponential(Chance& chance);  // of mean 1
+RandomGenerator makeRandomGenerator(std::uint64_t seed, RandomStream stream, std::uint64_t number = 0);
+double drawUniform(RandomGenerator& random);      // from 0 to under 1
+double drawExponential(RandomGenerator& random);  // of mean 1
 
 // One number, in the unit its reader gives: seconds, bytes or plain.
 //   8ms                                  always
@@ -38,18 +38,19 @@
 //   pareto least=1ms shape=1.5 most=1s
 class Distribution {
 public:
-    enum class Kind { Always, Uniform, Exponential, Lognormal, Pareto };
+    enum class Kind { Constant, Uniform, Exponential, Lognormal, Pareto };
     Distribution() = default;
-    static Distribution always(double value);
-    // The values of a node, read by `reads`; throws kdl::DocumentError.
-    static Distribution of(kdl::NodeReader& node, const std::function<double(const kdl::Value&)>& reads);
+    static Distribution constant(double value);
+    // The values of a node, read by `readValue`; throws kdl::DocumentError.
+    static Distribution fromNode(kdl::NodeReader& node,
+                                 const std::function<double(const kdl::Value&)>& readValue);
 
-    double draw(Chance& chance) const;
+    double draw(RandomGenerator& random) const;
     double mean() const;
 
 private:
-    Kind kind_ = Kind::Always;
-    double a_ = 0, b_ = 0, most_ = 0;
+    Kind kind_ = Kind::Constant;
+    double a_ = 0, b_ = 0, max_ = 0;
 };
 
 // Ranks from 0, the first drawn most often: rank r with a weight of 1 / (r +
@@ -57,13 +58,13 @@
 class Zipf {
 public:
     Zipf(std::uint64_t count, double exponent);
-    std::uint64_t draw(Chance& chance) const;
+    std::uint64_t draw(RandomGenerator& random) const;
 
 private:
-    double h(double x) const;
-    double hInverse(double x) const;
+    double integral(double x) const;
+    double integralInverse(double x) const;
     std::uint64_t count_;
-    double exponent_, hFirst_, hLast_, shift_;
+    double exponent_, integralFirst_, integralLast_, acceptanceShift_;
 };
 
 double secondsOf(const kdl::Value& value);  // a duration
--- a/src/loadtest/request_schedule.cpp
+++ b/src/loadtest/request_schedule.cpp
@@ -25,20 +25,20 @@
         : terms_(terms),
           tenants_(terms.tenants, terms.tenantSkew),
           subjects_(terms.subjects, terms.subjectSkew),
-          requestClassRandom_(chanceOf(terms.seed, Stream::RequestClassLoads)),
-          tenantRandom_(chanceOf(terms.seed, Stream::Tenants)),
-          subjectChance_(chanceOf(terms.seed, Stream::Subjects)),
-          bodyChance_(chanceOf(terms.seed, Stream::Bodies)),
-          workChance_(chanceOf(terms.seed, Stream::Work)),
-          hintChance_(chanceOf(terms.seed, Stream::Hints)),
-          waitChance_(chanceOf(terms.seed, Stream::Waits)) {
+          requestClassRandom_(makeRandomGenerator(terms.seed, RandomStream::RequestClasses)),
+          tenantRandom_(makeRandomGenerator(terms.seed, RandomStream::Tenants)),
+          subjectRandom_(makeRandomGenerator(terms.seed, RandomStream::Subjects)),
+          bodyRandom_(makeRandomGenerator(terms.seed, RandomStream::Bodies)),
+          workRandom_(makeRandomGenerator(terms.seed, RandomStream::Work)),
+          hintRandom_(makeRandomGenerator(terms.seed, RandomStream::Hints)),
+          attemptTimeoutRandom_(makeRandomGenerator(terms.seed, RandomStream::AttemptTimeouts)) {
         kdl::NodeReader rate(*terms.rate);
-        arrivals_ =
-            std::make_unique<Arrivals>(Shape::of(rate, terms.seed), terms.spacing, terms.seed, terms.length);
+        arrivals_ = std::make_unique<ArrivalGenerator>(LoadCurve::fromNode(rate, terms.seed), terms.spacing,
+                                                       terms.seed, terms.length);
         rate.rejectUnknown();
         double sum = 0;
         for (const RequestClassLoad& requestClass : terms.requestClasses)
-            upTo_.push_back(sum += requestClass.share);
+            cumulativeShares_.push_back(sum += requestClass.share);
     }
 
     std::optional<Planned> next() override {
@@ -47,35 +47,36 @@
         Planned planned;
         planned.number = number_++;
         planned.at = *at;
-        const double drawn = unit(requestClassRandom_) * upTo_.back();
-        planned.requestClass = static_cast<int>(
-            std::min<std::ptrdiff_t>(std::upper_bound(upTo_.begin(), upTo_.end(), drawn) - upTo_.begin(),
-                                     static_cast<std::ptrdiff_t>(upTo_.size()) - 1));
+        const double drawn = drawUniform(requestClassRandom_) * cumulativeShares_.back();
+        planned.requestClass = static_cast<int>(std::min<std::ptrdiff_t>(
+            std::upper_bound(cumulativeShares_.begin(), cumulativeShares_.end(), drawn) -
+                cumulativeShares_.begin(),
+            static_cast<std::ptrdiff_t>(cumulativeShares_.size()) - 1));
         const RequestClassLoad& requestClass =
             terms_.requestClasses[static_cast<std::size_t>(planned.requestClass)];
         planned.tenant = tenants_.draw(tenantRandom_);
-        planned.subject = subjects_.draw(subjectChance_);
+        planned.subject = subjects_.draw(subjectRandom_);
         planned.body =
-            static_cast<std::uint32_t>(std::clamp(requestClass.body.draw(bodyChance_), 0.0, 2048.0));
-        planned.heldKb = std::clamp(requestClass.held.draw(bodyChance_) / 1024, 0.1, 1999.0);
-        const double work = requestClass.work.draw(workChance_);
+            static_cast<std::uint32_t>(std::clamp(requestClass.body.draw(bodyRandom_), 0.0, 2048.0));
+        planned.heldKb = std::clamp(requestClass.held.draw(bodyRandom_) / 1024, 0.1, 1999.0);
+        const double work = requestClass.work.draw(workRandom_);
         planned.work = nanos(work);
-        planned.call = nanos(requestClass.call.draw(workChance_));
-        planned.fails = unit(workChance_) < requestClass.failing;
-        planned.hint = nanos(work * std::exp(requestClass.hintError * (2 * unit(hintChance_) - 1)));
-        const double attemptTimeout = requestClass.attemptTimeout.draw(waitChance_);
+        planned.call = nanos(requestClass.call.draw(workRandom_));
+        planned.fails = drawUniform(workRandom_) < requestClass.failing;
+        planned.hint = nanos(work * std::exp(requestClass.hintError * (2 * drawUniform(hintRandom_) - 1)));
+        const double attemptTimeout = requestClass.attemptTimeout.draw(attemptTimeoutRandom_);
         planned.attemptTimeout = attemptTimeout > 0 ? nanos(attemptTimeout) : requestClass.timeout;
-        planned.rank = unit(waitChance_);
+        planned.rank = drawUniform(attemptTimeoutRandom_);
         return planned;
     }
 
 private:
     const PlanTerms terms_;
     Zipf tenants_, subjects_;
-    Chance requestClassRandom_, tenantRandom_, subjectChance_, bodyChance_, workChance_, hintChance_,
-        waitChance_;
-    std::unique_ptr<Arrivals> arrivals_;
-    std::vector<double> upTo_;
+    RandomGenerator requestClassRandom_, tenantRandom_, subjectRandom_, bodyRandom_, workRandom_, hintRandom_,
+        attemptTimeoutRandom_;
+    std::unique_ptr<ArrivalGenerator> arrivals_;
+    std::vector<double> cumulativeShares_;
     std::uint64_t number_ = 0;
 };
 
@@ -90,7 +91,7 @@
         : terms_(terms),
           trace_(*terms.trace),
           in_(trace_.file),
-          chance_(chanceOf(terms.seed, Stream::Times)) {
+          random_(makeRandomGenerator(terms.seed, RandomStream::ArrivalTimes)) {
         if (!in_) throw kdl::DocumentError({trace_.file, 0, 0}, "the trace can't be opened");
         for (std::size_t at = 0; at < terms.requestClasses.size(); ++at)
             names_[terms.requestClasses[at].name] = static_cast<int>(at);
@@ -156,14 +157,14 @@
 
     void place(const Planned& planned, Duration gap) {
         const double whole = std::floor(trace_.copies);
-        int copies = static_cast<int>(whole) + (unit(chance_) < trace_.copies - whole ? 1 : 0);
+        int copies = static_cast<int>(whole) + (drawUniform(random_) < trace_.copies - whole ? 1 : 0);
         for (int copy = 0; copy < copies; ++copy) {
-            if (trace_.keep < 1 && unit(chance_) >= trace_.keep) continue;
+            if (trace_.keep < 1 && drawUniform(random_) >= trace_.keep) continue;
             Planned one = planned;
             one.number = order_++;
             if (copy > 0) {
                 one.at += Duration(static_cast<std::int64_t>(
-                    unit(chance_) *
+                    drawUniform(random_) *
                     static_cast<double>(std::min(gap, Duration(std::chrono::milliseconds(10))).count())));
                 one.subject += static_cast<std::uint64_t>(copy) << 40;  // another client's
             }
@@ -311,7 +312,7 @@
     const PlanTerms terms_;
     const TraceTerms trace_;
     std::ifstream in_;
-    Chance chance_;
+    RandomGenerator random_;
     std::map<std::string, int> names_;
     std::vector<std::string> columns_;
     std::priority_queue<Planned, std::vector<Planned>, Later> waiting_;  // of one gap of the trace
--- a/src/loadtest/request_schedule.h
+++ b/src/loadtest/request_schedule.h
@@ -22,12 +22,12 @@
     double lateShare = 0;  // part of the worth after the latency objective
     Duration latencyObjective{std::chrono::seconds(1)}, timeout{std::chrono::seconds(5)};
     Idempotency repeat = Idempotency::Idempotent;
-    Distribution work = Distribution::always(0.005);        // seconds on a core of usual speed
-    Distribution call = Distribution::always(0.02);         // seconds of each call
-    int calls = 0;                                          // in its run
-    Distribution body = Distribution::always(200);          // bytes
-    Distribution held = Distribution::always(20480);        // bytes that it takes where it is held
-    Distribution attemptTimeout = Distribution::always(0);  // seconds; 0: the timeout
+    Distribution work = Distribution::constant(0.005);        // seconds on a core of usual speed
+    Distribution call = Distribution::constant(0.02);         // seconds of each call
+    int calls = 0;                                            // in its run
+    Distribution body = Distribution::constant(200);          // bytes
+    Distribution held = Distribution::constant(20480);        // bytes that it takes where it is held
+    Distribution attemptTimeout = Distribution::constant(0);  // seconds; 0: the timeout
     double hintError = 0.3;  // the hint of its work is off by a factor of e^±this
     double failing = 0;      // part of the runs that fail by themselves
     bool scgi = false;       // its clients are kiosks
--- a/tests/loadtest/load_run_test.cpp
+++ b/tests/loadtest/load_run_test.cpp
@@ -79,9 +79,9 @@
 TEST(Draws, ZipfGivesEachRankItsShare) {
     for (const double exponent : {0.0, 0.7, 1.0, 1.6}) {
         const Zipf zipf(1000, exponent);
-        Chance chance = chanceOf(7, Stream::Subjects);
+        RandomGenerator random = makeRandomGenerator(7, RandomStream::Subjects);
         std::map<std::uint64_t, int> seen;
-        for (int n = 0; n < 100000; ++n) ++seen[zipf.draw(chance)];
+        for (int n = 0; n < 100000; ++n) ++seen[zipf.draw(random)];
         double sum = 0;
         for (int rank = 1; rank <= 1000; ++rank) sum += std::pow(rank, -exponent);
         for (const std::uint64_t rank : {0ULL, 1ULL, 9ULL}) {
@@ -99,12 +99,12 @@
         "f");
     for (const kdl::Node& node : nodes) {
         kdl::NodeReader in(node);
-        const auto distribution = Distribution::of(in, secondsOf);
+        const auto distribution = Distribution::fromNode(in, secondsOf);
         in.rejectUnknown();
-        Chance chance = chanceOf(7, Stream::Work);
+        RandomGenerator random = makeRandomGenerator(7, RandomStream::Work);
         double sum = 0, most = 0;
         for (int n = 0; n < 200000; ++n) {
-            const double value = distribution.draw(chance);
+            const double value = distribution.draw(random);
             sum += value / 200000, most = std::max(most, value);
             ASSERT_GE(value, 0);
         }
