--- a/src/loadtest/experiment.cpp
+++ b/src/loadtest/experiment.cpp
@@ -244,25 +244,25 @@
     const auto text = [](const net::Address& address) {
         return address.host + ":" + std::to_string(address.port);
     };
-    const PlanTerms& plan = terms_.load->plan;
+    const RequestScheduleConfig& plan = terms_.load->plan;
     Json settings, classes = Json::array(), calls = Json::array(), poorer = Json::array(),
                    tenants = Json::array();
     bool any = false;
     for (const RequestClassLoad& requestClass : plan.requestClasses) {
         static constexpr const char* kRepeats[] = {"free", "guarded", "single_shot"};
         classes.push_back({{"name", requestClass.name},
-                           {"repeat", kRepeats[static_cast<int>(requestClass.repeat)]},
+                           {"repeat", kRepeats[static_cast<int>(requestClass.idempotency)]},
                            {"aim_us", micros(requestClass.latencyObjective)},
                            {"deadline_us", micros(requestClass.timeout)},
                            {"worth", requestClass.value},
-                           {"late_value", requestClass.lateShare},
+                           {"late_value", requestClass.lateValueFraction},
                            {"window_us", micros(requestClass.timeout)}});
-        calls.push_back(requestClass.calls > 0);
+        calls.push_back(requestClass.callsPerRun > 0);
         poorer.push_back(0);
-        any = any || requestClass.calls > 0;
+        any = any || requestClass.callsPerRun > 0;
     }
     const double rate = 1e6;  // no tenant is held to a quota here
-    for (std::uint64_t tenant = 0; tenant < plan.tenants; ++tenant)
+    for (std::uint64_t tenant = 0; tenant < plan.tenantCount; ++tenant)
         tenants.push_back({{"name", tenantName(tenant)}, {"quota_per_s", rate}});
     settings["classes"] = classes;
     settings["tenants"] = tenants;
@@ -309,24 +309,24 @@
 // The file that a gateway is started with.
 std::string Experiment::gatewayOf(std::size_t at) const {
     const Backend& backend = world_->backends[at];
-    const PlanTerms& plan = terms_.load->plan;
+    const RequestScheduleConfig& plan = terms_.load->plan;
     const auto millis = [](Duration time) { return std::to_string(time / 1ms) + "ms"; };
     const auto quoted = [](const net::Address& address) {
         return "\"" + address.host + ":" + std::to_string(address.port) + "\"";
     };
     std::string routes, requestClasses, tenants, servers;
     for (const RequestClassLoad& requestClass : plan.requestClasses) {
-        if (!requestClass.claims.empty()) continue;
+        if (!requestClass.claimedClass.empty()) continue;
         routes += "        route \"/" + requestClass.name + "/:subject\" profile=\"" + requestClass.name +
                   "\" subject=\"subject\" customer=\"HTTP_X_CUSTOMER\"\n";
         requestClasses +=
             "    profile \"" + requestClass.name + "\" { worth " + Json(requestClass.value).dump() +
-            "; late-share " + Json(requestClass.lateShare).dump() + "; promised " +
+            "; late-share " + Json(requestClass.lateValueFraction).dump() + "; promised " +
             millis(requestClass.latencyObjective) + "; hard-stop " + millis(requestClass.timeout) +
-            "; repeat " + (requestClass.repeat == Idempotency::Idempotent ? "repeatable" : "once-only") +
+            "; repeat " + (requestClass.idempotency == Idempotency::Idempotent ? "repeatable" : "once-only") +
             " }\n";
     }
-    for (std::uint64_t tenant = 0; tenant < plan.tenants; ++tenant)
+    for (std::uint64_t tenant = 0; tenant < plan.tenantCount; ++tenant)
         tenants += "    customer \"" + tenantName(tenant) + "\"\n";
     for (const auto& server : world_->servers)
         servers += "        server " + quoted(server->address()) +
@@ -560,7 +560,7 @@
         Duration longest{0};
         for (const RequestClassLoad& requestClass : terms_.load->plan.requestClasses)
             longest = std::max(longest, requestClass.timeout);
-        if (now > start + terms_.load->plan.length + longest + 5s && !std::exchange(cut, true)) load.cut();
+        if (now > start + terms_.load->plan.duration + longest + 5s && !std::exchange(cut, true)) load.cut();
         if (!load.done()) pace->ringAt(now + (progress ? 100ms : 20ms));
     };
     pace = std::make_unique<Pace>(world.loop, look);
--- a/src/loadtest/invariants/invariant_checker.cpp
+++ b/src/loadtest/invariants/invariant_checker.cpp
@@ -49,8 +49,8 @@
     }
 }
 
-void InvariantChecker::sent(const Planned& planned, const std::string& trace, const std::string& first,
-                            std::size_t target) {
+void InvariantChecker::sent(const ScheduledRequest& planned, const std::string& trace,
+                            const std::string& first, std::size_t target) {
     const std::lock_guard hold(guard_);
     const Duration now = steadyNow();
     forgetOld(now);
@@ -59,7 +59,7 @@
     entry.sent = now;
     entry.requestClass = planned.requestClass;
     entry.instance = target;
-    entry.kb = planned.heldKb;
+    entry.kb = planned.memoryKb;
     book(entry);
     ++families_[first].tries;
     order_.emplace_back(now, trace);
@@ -109,7 +109,7 @@
     return at == memory_.end() ? 0 : at->second;
 }
 
-void InvariantChecker::ended(const Planned& planned, const std::string&, End end) {
+void InvariantChecker::ended(const ScheduledRequest& planned, const std::string&, End end) {
     const std::lock_guard hold(guard_);
     if (end == End::Completed || end == End::Late)
         completedWork_ += std::chrono::duration<double>(planned.work).count();
@@ -128,7 +128,7 @@
         violation(Rule::Drain, trace + " came after the grace and was started" + where);
     Family& family = families_[first];
     const bool once =
-        requestClasses_[static_cast<std::size_t>(entry.requestClass)].repeat != Idempotency::Idempotent;
+        requestClasses_[static_cast<std::size_t>(entry.requestClass)].idempotency != Idempotency::Idempotent;
     if (once && family.runs > 0)
         violation(Rule::Twice, trace + " ran again (first try " + first + ")" + where);
     ++family.runs;
@@ -142,7 +142,7 @@
     if (at == tries_.end()) return;
     Try& entry = at->second;
     const bool once =
-        requestClasses_[static_cast<std::size_t>(entry.requestClass)].repeat != Idempotency::Idempotent;
+        requestClasses_[static_cast<std::size_t>(entry.requestClass)].idempotency != Idempotency::Idempotent;
     if (once && entry.lastCallMayHaveRun)
         violation(Rule::Twice,
                   "the call of " + trace + " was made again, instance " + std::to_string(instance));
--- a/src/loadtest/invariants/invariant_checker.h
+++ b/src/loadtest/invariants/invariant_checker.h
@@ -32,11 +32,11 @@
                      double runFactor);
 
     // Clients.
-    void sent(const Planned& planned, const std::string& trace, const std::string& first,
+    void sent(const ScheduledRequest& planned, const std::string& trace, const std::string& first,
               std::size_t target) override;
     void answered(const std::string& trace, ClientResponse::Kind kind) override;
     void released(const std::string& trace) override;
-    void ended(const Planned& planned, const std::string& lastTrace, End end) override;
+    void ended(const ScheduledRequest& planned, const std::string& lastTrace, End end) override;
 
     // Emulators; all times are of the steady clock.
     void spawned(std::size_t instance, const std::string& trace, const std::string& first, Duration now);
--- a/src/loadtest/load_clients.cpp
+++ b/src/loadtest/load_clients.cpp
@@ -48,13 +48,13 @@
         routing::splitMix64(routing::splitMix64(seed) + number * 16 + static_cast<std::uint64_t>(attempt)));
 }
 
-std::string bodyOf(const Planned& planned, int calls, const std::string& firstTrace) {
+std::string bodyOf(const ScheduledRequest& planned, int calls, const std::string& firstTrace) {
     char head[120];
     std::snprintf(head, sizeof head, "cw1 %s %lld %d %lld %d;", firstTrace.c_str(),
                   static_cast<long long>(planned.work / 1us), calls,
-                  static_cast<long long>(planned.call / 1us), planned.fails ? 1 : 0);
+                  static_cast<long long>(planned.callDuration / 1us), planned.runFails ? 1 : 0);
     std::string body = head;
-    if (body.size() < planned.body) body.resize(planned.body, '.');
+    if (body.size() < planned.bodyBytes) body.resize(planned.bodyBytes, '.');
     return body;
 }
 
@@ -162,8 +162,8 @@
         waiting;  // for room on a connection, by target; emptied by it and by time
 };
 
-Clients::Clients(net::Loop& loop, Habits habits, const PlanTerms& plan, int worker, int workers, Tally& tally,
-                 Progress& progress, Clocks clocks, Watcher* watcher)
+Clients::Clients(net::Loop& loop, Habits habits, const RequestScheduleConfig& plan, int worker, int workers,
+                 Tally& tally, Progress& progress, Clocks clocks, Watcher* watcher)
     : loop_(loop),
       habits_(std::move(habits)),
       terms_(plan),
@@ -173,7 +173,7 @@
       progress_(progress),
       clocks_(std::move(clocks)),
       watcher_(watcher),
-      plan_(makePlan(plan)),
+      plan_(makeRequestSchedule(plan)),
       pace_(loop, [this] { pump(); }) {
     for (int number = worker; number < habits_.clients; number += workers)
         clients_.push_back(std::make_unique<Client>(habits_, static_cast<std::size_t>(number), plan.seed));
@@ -226,7 +226,7 @@
             begin(id, now);
     }
     check(now);
-    tally_.badLines = plan_->skipped();
+    tally_.badLines = plan_->skippedLines();
     if (!next_ && open_.empty()) {
         done_ = true;
         progress_.done = true;
@@ -249,7 +249,7 @@
 void Clients::wake() {
     Duration at = nextSweep_;
     if (!agenda_.empty()) at = std::min(at, agenda_.begin()->first);
-    if (next_ && habits_.closed == 0) at = std::min(at, start_ + next_->at);
+    if (next_ && habits_.closed == 0) at = std::min(at, start_ + next_->arrival);
     if (armed_ > 0ns && at >= armed_) return;
     armed_ = at;
     pace_.ringAt(at);
@@ -270,14 +270,14 @@
         if (mine) {
             if (habits_.closed > 0) {
                 const int share = habits_.closed / workers_ + (worker_ < habits_.closed % workers_ ? 1 : 0);
-                if (open_.size() >= static_cast<std::size_t>(share) || now >= start_ + terms_.length) {
-                    if (now >= start_ + terms_.length) next_.reset();
+                if (open_.size() >= static_cast<std::size_t>(share) || now >= start_ + terms_.duration) {
+                    if (now >= start_ + terms_.duration) next_.reset();
                     return;
                 }
                 take(*next_, now, now);
             } else {
-                if (start_ + next_->at > now) return;
-                take(*next_, start_ + next_->at, now);
+                if (start_ + next_->arrival > now) return;
+                take(*next_, start_ + next_->arrival, now);
             }
             // Behind its time it still looks at the sockets now and then: answers
             // must not wait for the backlog.
@@ -290,7 +290,7 @@
     }
 }
 
-void Clients::take(const Planned& planned, Duration scheduled, Duration now) {
+void Clients::take(const ScheduledRequest& planned, Duration scheduled, Duration now) {
     const RequestClassLoad& requestClass =
         terms_.requestClasses[static_cast<std::size_t>(planned.requestClass)];
     RequestClassStats& tally = tally_.requestClasses[static_cast<std::size_t>(planned.requestClass)];
@@ -367,7 +367,7 @@
 
 bool Clients::put(std::uint64_t id, TrackedRequest& request, std::size_t target, Duration now) {
     Client& client = *clients_[request.client];
-    const bool kiosk = terms_.requestClasses[static_cast<std::size_t>(request.planned.requestClass)].scgi;
+    const bool kiosk = terms_.requestClasses[static_cast<std::size_t>(request.planned.requestClass)].usesScgi;
     Line* const line = kiosk ? kioskLine(client, target) : lineFor(client, target);
     if (line == nullptr) return false;
     request.queued = false;
@@ -381,7 +381,7 @@
         tally_.lag.add(now - request.scheduled);
     }
     request.everSent = true;
-    const Planned& planned = request.planned;
+    const ScheduledRequest& planned = request.planned;
     if (kiosk)
         line->connection->send(scgiOf(request, now));
     else
@@ -399,46 +399,47 @@
 }
 
 std::string Clients::thriftOf(const TrackedRequest& request, std::size_t client, Duration now) const {
-    const Planned& planned = request.planned;
+    const ScheduledRequest& planned = request.planned;
     const RequestClassLoad& requestClass =
         terms_.requestClasses[static_cast<std::size_t>(planned.requestClass)];
     const Duration born = clocks_.unix();
     thrift::Fields fields;
-    fields["route"] = requestClass.claims.empty() ? requestClass.name : requestClass.claims;
+    fields["route"] = requestClass.claimedClass.empty() ? requestClass.name : requestClass.claimedClass;
     fields["trace"] = request.trace;
     fields["born"] = std::to_string(born / 1ms);
     fields["client"] = std::to_string(client);
     fields["customer"] = tenantName(planned.tenant);
     fields["patience"] = std::to_string(std::max<std::int64_t>(1, (request.stopsAt - now) / 1ms));
-    if (planned.again || request.attempts > 1) fields["redo"] = "1";
+    if (planned.isRetry || request.attempts > 1) fields["redo"] = "1";
     char text[32];
-    std::snprintf(text, sizeof text, "%.2f", static_cast<double>(planned.hint.count()) / 1e6);
+    std::snprintf(text, sizeof text, "%.2f", static_cast<double>(planned.workHint.count()) / 1e6);
     fields["weight"] = text;
-    std::snprintf(text, sizeof text, "%.1f", planned.heldKb);
+    std::snprintf(text, sizeof text, "%.1f", planned.memoryKb);
     fields["size"] = text;
     std::snprintf(text, sizeof text, "%.4f", std::min(planned.rank, 0.9999));
     fields["order"] = text;
-    if (requestClass.repeat == Idempotency::Idempotent)
+    if (requestClass.idempotency == Idempotency::Idempotent)
         fields["entity"] = hex16(routing::splitMix64(planned.subject));
-    return writeServe(request.sequence, fields, bodyOf(planned, requestClass.calls, request.first));
+    return writeServe(request.sequence, fields, bodyOf(planned, requestClass.callsPerRun, request.first));
 }
 
 std::string Clients::scgiOf(const TrackedRequest& request, Duration now) const {
-    const Planned& planned = request.planned;
+    const ScheduledRequest& planned = request.planned;
     const RequestClassLoad& requestClass =
         terms_.requestClasses[static_cast<std::size_t>(planned.requestClass)];
     scgi::Headers headers = {
         {"REQUEST_METHOD", "POST"},
-        {"REQUEST_URI", "/" + (requestClass.claims.empty() ? requestClass.name : requestClass.claims) + "/" +
-                            std::to_string(planned.subject)},
+        {"REQUEST_URI",
+         "/" + (requestClass.claimedClass.empty() ? requestClass.name : requestClass.claimedClass) + "/" +
+             std::to_string(planned.subject)},
         {"HTTP_X_TRACE", request.trace},
         {"HTTP_X_CUSTOMER", tenantName(planned.tenant)},
         {"HTTP_X_PATIENCE_MS", std::to_string(std::max<std::int64_t>(1, (request.stopsAt - now) / 1ms))}};
     char text[32];
-    std::snprintf(text, sizeof text, "%.2f", static_cast<double>(planned.hint.count()) / 1e6);
+    std::snprintf(text, sizeof text, "%.2f", static_cast<double>(planned.workHint.count()) / 1e6);
     headers.emplace_back("HTTP_X_COST_MS", text);
-    if (planned.again || request.attempts > 1) headers.emplace_back("HTTP_X_REDO", "1");
-    return scgi::writeRequest(headers, bodyOf(planned, requestClass.calls, request.first));
+    if (planned.isRetry || request.attempts > 1) headers.emplace_back("HTTP_X_REDO", "1");
+    return scgi::writeRequest(headers, bodyOf(planned, requestClass.callsPerRun, request.first));
 }
 
 // A connection of its own for each request, as the protocol has it.
@@ -472,7 +473,8 @@
     request.worst = how;
     client.budget.recordFailure();
     routing::FailedAttempt tried;
-    tried.idempotency = terms_.requestClasses[static_cast<std::size_t>(request.planned.requestClass)].repeat;
+    tried.idempotency =
+        terms_.requestClasses[static_cast<std::size_t>(request.planned.requestClass)].idempotency;
     tried.execution = began;
     tried.attempts = request.attempts;
     tried.previousDelay = request.waited;
@@ -532,7 +534,7 @@
         tally.fromSchedule.add(took);
         tally.fromWrite.add(now - request.firstWritten);
         const double earned =
-            end == End::Completed ? requestClass.value : requestClass.value * requestClass.lateShare;
+            end == End::Completed ? requestClass.value : requestClass.value * requestClass.lateValueFraction;
         tally.earned += earned;
         stretch.earned += earned;
         if (!stretch.latencies) stretch.latencies = std::make_unique<Latencies>();
@@ -680,7 +682,7 @@
         // it takes no more there.
         const bool harmless =
             line.goaway ||
-            terms_.requestClasses[static_cast<std::size_t>(request.planned.requestClass)].repeat ==
+            terms_.requestClasses[static_cast<std::size_t>(request.planned.requestClass)].idempotency ==
                 Idempotency::Idempotent;
         const bool crossed = !refused && !line.kiosk && harmless && now - request.written < kCrossing &&
                              !request.sentAgain &&
--- a/src/loadtest/load_clients.h
+++ b/src/loadtest/load_clients.h
@@ -49,19 +49,19 @@
 std::string traceOf(std::uint64_t seed, std::uint64_t number, int attempt);
 // What the emulated worker pool is told by a request's body, and what it
 // answers.
-std::string bodyOf(const Planned& planned, int calls, const std::string& firstTrace);
+std::string bodyOf(const ScheduledRequest& planned, int calls, const std::string& firstTrace);
 
 // What an independent observer may count for itself; called on the worker's own
 // thread.
 class Watcher {
 public:
     virtual ~Watcher() = default;
-    virtual void planned(const Planned&, Duration /*scheduled*/) {}
-    virtual void sent(const Planned&, const std::string& /*trace*/, const std::string& /*first*/,
+    virtual void planned(const ScheduledRequest&, Duration /*scheduled*/) {}
+    virtual void sent(const ScheduledRequest&, const std::string& /*trace*/, const std::string& /*first*/,
                       std::size_t /*target*/) {}
     virtual void answered(const std::string& /*trace*/, ClientResponse::Kind) {}
     virtual void released(const std::string& /*trace*/) {}  // answered, given up or its connection gone
-    virtual void ended(const Planned&, const std::string& /*lastTrace*/, End) {}
+    virtual void ended(const ScheduledRequest&, const std::string& /*lastTrace*/, End) {}
 };
 
 // Seen from other threads while the run goes on.
@@ -72,8 +72,8 @@
 
 class Clients {
 public:
-    Clients(net::Loop& loop, Habits habits, const PlanTerms& plan, int worker, int workers, Tally& tally,
-            Progress& progress, Clocks clocks = {}, Watcher* watcher = nullptr);
+    Clients(net::Loop& loop, Habits habits, const RequestScheduleConfig& plan, int worker, int workers,
+            Tally& tally, Progress& progress, Clocks clocks = {}, Watcher* watcher = nullptr);
     ~Clients();
     void start(Duration steady);  // of the plan's time 0
     void stop();                  // nothing more is sent; what is open may still end
@@ -85,7 +85,7 @@
     struct Line;
     struct Client;
     struct TrackedRequest {
-        Planned planned;
+        ScheduledRequest planned;
         Duration scheduled{0}, stopsAt{0}, written{0}, firstWritten{0}, waited{0};
         Duration due{0};  // its one entry in the agenda
         std::string trace, first;
@@ -101,7 +101,7 @@
 
     void pump();
     void dispatch(Duration now);
-    void take(const Planned& planned, Duration scheduled, Duration now);
+    void take(const ScheduledRequest& planned, Duration scheduled, Duration now);
     void begin(std::uint64_t id, Duration now);
     bool put(std::uint64_t id, TrackedRequest& request, std::size_t target, Duration now);
     void tryFailed(std::uint64_t id, Duration now, routing::ExecutionState began, End how,
@@ -123,14 +123,14 @@
 
     net::Loop& loop_;
     const Habits habits_;
-    const PlanTerms terms_;
+    const RequestScheduleConfig terms_;
     const int worker_, workers_;
     Tally& tally_;
     Progress& progress_;
     const Clocks clocks_;
     Watcher* const watcher_;
-    std::unique_ptr<Plan> plan_;
-    std::optional<Planned> next_;
+    std::unique_ptr<RequestSchedule> plan_;
+    std::optional<ScheduledRequest> next_;
     Duration start_{0}, nextCheck_{0}, nextSweep_{0}, armed_{0};
     bool started_ = false, stopped_ = false, done_ = false;
     std::vector<std::unique_ptr<Client>> clients_;  // this worker's
--- a/src/loadtest/load_run.cpp
+++ b/src/loadtest/load_run.cpp
@@ -35,30 +35,31 @@
     };
     requestClass.share = in.setting("share", kdl::fraction, requestClass.share);
     requestClass.value = in.setting("worth", kdl::number, requestClass.value);
-    requestClass.lateShare = in.setting("late-share", kdl::fraction, requestClass.lateShare);
+    requestClass.lateValueFraction = in.setting("late-share", kdl::fraction, requestClass.lateValueFraction);
     requestClass.latencyObjective = in.setting("promised", kdl::duration, requestClass.latencyObjective);
     requestClass.timeout = in.setting("hard-stop", kdl::duration, requestClass.timeout);
     if (const kdl::Node* const found = in.child("repeat")) {
         kdl::NodeReader inner(*found);
-        requestClass.repeat =
+        requestClass.idempotency =
             kdl::NodeReader::choice(inner.argument(0, "repeatable, tagged or once-only"), kRepeats);
         inner.rejectUnknown();
     }
-    requestClass.calls = in.setting(
-        "calls", [](const kdl::Value& value) { return kdl::integer(value, 0, 100); }, requestClass.calls);
-    requestClass.hintError = in.setting("hint-error", kdl::fraction, requestClass.hintError);
-    requestClass.failing = in.setting("failing", kdl::fraction, requestClass.failing);
-    requestClass.claims = in.setting("claims", kdl::text, requestClass.claims);
+    requestClass.callsPerRun = in.setting(
+        "calls", [](const kdl::Value& value) { return kdl::integer(value, 0, 100); },
+        requestClass.callsPerRun);
+    requestClass.workHintError = in.setting("hint-error", kdl::fraction, requestClass.workHintError);
+    requestClass.failureFraction = in.setting("failing", kdl::fraction, requestClass.failureFraction);
+    requestClass.claimedClass = in.setting("claims", kdl::text, requestClass.claimedClass);
     if (const kdl::Node* const found = in.child("over")) {
         kdl::NodeReader inner(*found);
-        requestClass.scgi = kdl::NodeReader::choice<bool>(inner.argument(0, "thrift or scgi"),
-                                                          {{"thrift", false}, {"scgi", true}});
+        requestClass.usesScgi = kdl::NodeReader::choice<bool>(inner.argument(0, "thrift or scgi"),
+                                                              {{"thrift", false}, {"scgi", true}});
         inner.rejectUnknown();
     }
     distribution("work", requestClass.work, secondsOf);
-    distribution("call", requestClass.call, secondsOf);
-    distribution("body", requestClass.body, bytesOf);
-    distribution("held", requestClass.held, bytesOf);
+    distribution("call", requestClass.callDuration, secondsOf);
+    distribution("body", requestClass.bodyBytes, bytesOf);
+    distribution("held", requestClass.memoryBytes, bytesOf);
     distribution("patience", requestClass.attemptTimeout, secondsOf);
     in.rejectUnknown();
     if (requestClass.latencyObjective <= 0ns || requestClass.timeout < requestClass.latencyObjective)
@@ -175,20 +176,21 @@
     if (load == nullptr)
         throw kdl::DocumentError({file, 1, 1}, "no 'load' was found", "'load { … }' was expected");
     kdl::NodeReader in(*load);
-    PlanTerms& plan = terms->plan;
+    RequestScheduleConfig& plan = terms->plan;
     plan.seed = static_cast<std::uint64_t>(
         in.setting("seed", kdl::integerBetween(0, std::int64_t{1} << 53), std::int64_t{1}));
-    plan.length = in.setting("length", kdl::duration, plan.length);
+    plan.duration = in.setting("length", kdl::duration, plan.duration);
     terms->workers = static_cast<int>(in.setting("workers", kdl::integerBetween(1, 64), std::int64_t{1}));
     if (const kdl::Node* const found = in.child("customers")) {
         kdl::NodeReader inner(*found);
-        plan.tenants = static_cast<std::uint64_t>(kdl::integer(inner.argument(0, "how many"), 1, 1000000));
+        plan.tenantCount =
+            static_cast<std::uint64_t>(kdl::integer(inner.argument(0, "how many"), 1, 1000000));
         inner.property("skew", plan.tenantSkew, kdl::number);
         inner.rejectUnknown();
     }
     if (const kdl::Node* const found = in.child("subjects")) {
         kdl::NodeReader inner(*found);
-        plan.subjects =
+        plan.subjectCount =
             static_cast<std::uint64_t>(kdl::integer(inner.argument(0, "how many"), 1, std::int64_t{1} << 40));
         inner.property("skew", plan.subjectSkew, kdl::number);
         inner.rejectUnknown();
@@ -212,38 +214,39 @@
         throw kdl::DocumentError(load->location, "'load' was found without a profile",
                                  "'profile NAME { … }' was expected in it");
     for (const RequestClassLoad& requestClass : plan.requestClasses)
-        if (!requestClass.claims.empty() &&
-            std::none_of(plan.requestClasses.begin(), plan.requestClasses.end(),
-                         [&](const RequestClassLoad& other) { return other.name == requestClass.claims; }))
+        if (!requestClass.claimedClass.empty() &&
+            std::none_of(
+                plan.requestClasses.begin(), plan.requestClasses.end(),
+                [&](const RequestClassLoad& other) { return other.name == requestClass.claimedClass; }))
             throw kdl::DocumentError(
                 load->location,
-                "profile '" + requestClass.name + "' claims to be '" + requestClass.claims + "'",
+                "profile '" + requestClass.name + "' claims to be '" + requestClass.claimedClass + "'",
                 "the name of another profile was expected");
-    plan.rate = in.child("rate");
+    plan.rateNode = in.child("rate");
     if (const kdl::Node* const found = in.child("trace")) {
         kdl::NodeReader inner(*found);
-        TraceTerms trace;
+        TraceConfig trace;
         trace.file = kdl::text(inner.argument(0, "the path of a trace"));
         // Beside the file that names it.
         if (!trace.file.empty() && trace.file.front() != '/')
             if (const std::size_t slash = file.rfind('/'); slash != file.npos)
                 trace.file = file.substr(0, slash + 1) + trace.file;
-        inner.property("stretch", trace.stretch, kdl::fraction);
-        inner.property("keep", trace.keep, kdl::fraction);
-        inner.property("copies", trace.copies, kdl::fraction);
+        inner.property("stretch", trace.timeScale, kdl::fraction);
+        inner.property("keep", trace.keepProbability, kdl::fraction);
+        inner.property("copies", trace.meanCopies, kdl::fraction);
         inner.property("from", trace.from, kdl::duration);
         inner.property("until", trace.until, kdl::duration);
-        inner.property("skip-bad", trace.skipBad, kdl::boolean);
+        inner.property("skip-bad", trace.skipMalformed, kdl::boolean);
         inner.rejectUnknown();
         plan.trace = trace;
     }
-    if ((plan.rate == nullptr) == !plan.trace)
+    if ((plan.rateNode == nullptr) == !plan.trace)
         throw kdl::DocumentError(load->location,
-                                 plan.rate == nullptr ? "'load' was found without a rate"
-                                                      : "'load' was found with a rate and a trace",
+                                 plan.rateNode == nullptr ? "'load' was found without a rate"
+                                                          : "'load' was found with a rate and a trace",
                                  "one of 'rate { … }' and 'trace FILE' was expected in it");
-    if (plan.rate != nullptr) {
-        kdl::NodeReader inner(*plan.rate);  // said now, not when the run begins
+    if (plan.rateNode != nullptr) {
+        kdl::NodeReader inner(*plan.rateNode);  // said now, not when the run begins
         (void)LoadCurve::fromNode(inner, plan.seed);
         inner.rejectUnknown();
     }
@@ -253,7 +256,7 @@
         throw kdl::DocumentError(load->location, "'load' was found without callers",
                                  "'callers 8 { to \"127.0.0.1:8080\" }' was expected in it");
     for (const RequestClassLoad& requestClass : plan.requestClasses)
-        if (requestClass.scgi && targets && terms->habits.kiosks.empty())
+        if (requestClass.usesScgi && targets && terms->habits.kiosks.empty())
             throw kdl::DocumentError(
                 load->location,
                 "profile '" + requestClass.name + "' was found over scgi, and callers without 'scgi'",
@@ -386,7 +389,7 @@
         result.tally.add(worker->tally);
         if (!worker->fault.empty()) result.valid = false, result.why = worker->fault;
     }
-    result.length = std::min(steadyNow() - startedAt_, terms_.plan.length);
+    result.length = std::min(steadyNow() - startedAt_, terms_.plan.duration);
     const Latencies& lag = result.tally.lag;
     if (lag.count() > 0)
         result.withinShare =
--- a/src/loadtest/load_run.h
+++ b/src/loadtest/load_run.h
@@ -16,14 +16,14 @@
 namespace cottonwing::loadtest {
 
 struct LoadTerms {
-    PlanTerms plan;
+    RequestScheduleConfig plan;
     Habits habits;
     int workers = 1;
     // The run is invalid where more than the rest of this share was sent later
     // than this after its time.
     Duration sendWithin{std::chrono::milliseconds(1)};
     double sendShare = 0.99;
-    std::vector<kdl::Node> document;  // what plan.rate points into
+    std::vector<kdl::Node> document;  // what plan.rateNode points into
 };
 
 // The `load` node of a file. targets: false where an experiment says them.
--- a/src/loadtest/main.cpp
+++ b/src/loadtest/main.cpp
@@ -83,7 +83,7 @@
     bool whole = json.empty() || json == "-" || writeFile(json, figures);
     if (!exported.empty()) {
         // What was due by the end is drawn once more: it is the same.
-        const auto plan = makePlan(terms->plan);
+        const auto plan = makeRequestSchedule(terms->plan);
         TraceWriter writer(exported, terms->plan.requestClasses);
         std::uint64_t left = result.tally.planned();
         while (const auto planned = plan->next()) {
@@ -165,7 +165,7 @@
             const std::string name = side == 0 ? "A" : "B";
             const std::string logs = folder + "/" + name + "-" + std::to_string(terms->load->plan.seed);
             Experiment experiment(*terms, side == 0 ? build : wishes.vs, logs);
-            const double length = std::chrono::duration<double>(terms->load->plan.length).count();
+            const double length = std::chrono::duration<double>(terms->load->plan.duration).count();
             auto result = experiment.run(
                 [&](double now, const Load& load) {
                     if (shows)
@@ -244,13 +244,14 @@
 
 int drawTrace(const std::string& path, const std::string& to) {
     const auto terms = readLoad(kdl::parseFile(path), path, false);
-    const auto plan = makePlan(terms->plan);
+    const auto plan = makeRequestSchedule(terms->plan);
     TraceWriter writer(to, terms->plan.requestClasses);
     std::uint64_t count = 0;
     for (; const auto planned = plan->next(); ++count) writer.add(*planned);
     if (!writer.close()) throw std::runtime_error(to + " can't be written whole");
     std::cout << count << " commands\n";
-    if (plan->skipped() > 0) std::cout << plan->skipped() << " lines of the trace could not be read\n";
+    if (plan->skippedLines() > 0)
+        std::cout << plan->skippedLines() << " lines of the trace could not be read\n";
     return 0;
 }
 
--- a/src/loadtest/request_schedule.cpp
+++ b/src/loadtest/request_schedule.cpp
@@ -14,64 +14,65 @@
 
 namespace {
 
-Duration nanos(double seconds) {
+Duration durationOf(double seconds) {
     return Duration(static_cast<std::int64_t>(std::clamp(seconds, 0.0, 9e9) * 1e9));
 }
-double secondsIn(Duration time) { return std::chrono::duration<double>(time).count(); }
+double toSeconds(Duration time) { return std::chrono::duration<double>(time).count(); }
 
-class DrawnPlan : public Plan {
+class GeneratedSchedule : public RequestSchedule {
 public:
-    explicit DrawnPlan(const PlanTerms& terms)
-        : terms_(terms),
-          tenants_(terms.tenants, terms.tenantSkew),
-          subjects_(terms.subjects, terms.subjectSkew),
-          requestClassRandom_(makeRandomGenerator(terms.seed, RandomStream::RequestClasses)),
-          tenantRandom_(makeRandomGenerator(terms.seed, RandomStream::Tenants)),
-          subjectRandom_(makeRandomGenerator(terms.seed, RandomStream::Subjects)),
-          bodyRandom_(makeRandomGenerator(terms.seed, RandomStream::Bodies)),
-          workRandom_(makeRandomGenerator(terms.seed, RandomStream::Work)),
-          hintRandom_(makeRandomGenerator(terms.seed, RandomStream::Hints)),
-          attemptTimeoutRandom_(makeRandomGenerator(terms.seed, RandomStream::AttemptTimeouts)) {
-        kdl::NodeReader rate(*terms.rate);
-        arrivals_ = std::make_unique<ArrivalGenerator>(LoadCurve::fromNode(rate, terms.seed), terms.spacing,
-                                                       terms.seed, terms.length);
+    explicit GeneratedSchedule(const RequestScheduleConfig& config)
+        : config_(config),
+          tenants_(config.tenantCount, config.tenantSkew),
+          subjects_(config.subjectCount, config.subjectSkew),
+          requestClassRandom_(makeRandomGenerator(config.seed, RandomStream::RequestClasses)),
+          tenantRandom_(makeRandomGenerator(config.seed, RandomStream::Tenants)),
+          subjectRandom_(makeRandomGenerator(config.seed, RandomStream::Subjects)),
+          bodyRandom_(makeRandomGenerator(config.seed, RandomStream::Bodies)),
+          workRandom_(makeRandomGenerator(config.seed, RandomStream::Work)),
+          hintRandom_(makeRandomGenerator(config.seed, RandomStream::Hints)),
+          attemptTimeoutRandom_(makeRandomGenerator(config.seed, RandomStream::AttemptTimeouts)) {
+        kdl::NodeReader rate(*config.rateNode);
+        arrivals_ = std::make_unique<ArrivalGenerator>(LoadCurve::fromNode(rate, config.seed), config.spacing,
+                                                       config.seed, config.duration);
         rate.rejectUnknown();
         double sum = 0;
-        for (const RequestClassLoad& requestClass : terms.requestClasses)
+        for (const RequestClassLoad& requestClass : config.requestClasses)
             cumulativeShares_.push_back(sum += requestClass.share);
     }
 
-    std::optional<Planned> next() override {
+    std::optional<ScheduledRequest> next() override {
         const auto at = arrivals_->next();
         if (!at) return std::nullopt;
-        Planned planned;
-        planned.number = number_++;
-        planned.at = *at;
+        ScheduledRequest request;
+        request.number = number_++;
+        request.arrival = *at;
         const double drawn = drawUniform(requestClassRandom_) * cumulativeShares_.back();
-        planned.requestClass = static_cast<int>(std::min<std::ptrdiff_t>(
+        request.requestClass = static_cast<int>(std::min<std::ptrdiff_t>(
             std::upper_bound(cumulativeShares_.begin(), cumulativeShares_.end(), drawn) -
                 cumulativeShares_.begin(),
             static_cast<std::ptrdiff_t>(cumulativeShares_.size()) - 1));
         const RequestClassLoad& requestClass =
-            terms_.requestClasses[static_cast<std::size_t>(planned.requestClass)];
-        planned.tenant = tenants_.draw(tenantRandom_);
-        planned.subject = subjects_.draw(subjectRandom_);
-        planned.body =
-            static_cast<std::uint32_t>(std::clamp(requestClass.body.draw(bodyRandom_), 0.0, 2048.0));
-        planned.heldKb = std::clamp(requestClass.held.draw(bodyRandom_) / 1024, 0.1, 1999.0);
+            config_.requestClasses[static_cast<std::size_t>(request.requestClass)];
+        request.tenant = tenants_.draw(tenantRandom_);
+        request.subject = subjects_.draw(subjectRandom_);
+        request.bodyBytes =
+            static_cast<std::uint32_t>(std::clamp(requestClass.bodyBytes.draw(bodyRandom_), 0.0, 2048.0));
+        request.memoryKb = std::clamp(requestClass.memoryBytes.draw(bodyRandom_) / 1024, 0.1, 1999.0);
         const double work = requestClass.work.draw(workRandom_);
-        planned.work = nanos(work);
-        planned.call = nanos(requestClass.call.draw(workRandom_));
-        planned.fails = drawUniform(workRandom_) < requestClass.failing;
-        planned.hint = nanos(work * std::exp(requestClass.hintError * (2 * drawUniform(hintRandom_) - 1)));
+        request.work = durationOf(work);
+        request.callDuration = durationOf(requestClass.callDuration.draw(workRandom_));
+        request.runFails = drawUniform(workRandom_) < requestClass.failureFraction;
+        request.workHint =
+            durationOf(work * std::exp(requestClass.workHintError * (2 * drawUniform(hintRandom_) - 1)));
         const double attemptTimeout = requestClass.attemptTimeout.draw(attemptTimeoutRandom_);
-        planned.attemptTimeout = attemptTimeout > 0 ? nanos(attemptTimeout) : requestClass.timeout;
-        planned.rank = drawUniform(attemptTimeoutRandom_);
-        return planned;
+        request.attemptTimeout = attemptTimeout > 0 ? durationOf(attemptTimeout) : requestClass.timeout;
+        request.rank = drawUniform(attemptTimeoutRandom_);
+        return request;
     }
 
 private:
-    const PlanTerms terms_;
+    const RequestScheduleConfig config_;
     Zipf tenants_, subjects_;
     RandomGenerator requestClassRandom_, tenantRandom_, subjectRandom_, bodyRandom_, workRandom_, hintRandom_,
         attemptTimeoutRandom_;
@@ -82,126 +83,128 @@
 
 // Columns of a trace: a time may be given in any of these units, by the end of
 // its name.
-const std::vector<std::pair<std::string, double>> kEndings = {
+const std::vector<std::pair<std::string, double>> kUnitSuffixes = {
     {"_ns", 1}, {"_us", 1e3}, {"_ms", 1e6}, {"_s", 1e9}};
 
-class TracePlan : public Plan {
+class TraceSchedule : public RequestSchedule {
 public:
-    explicit TracePlan(const PlanTerms& terms)
-        : terms_(terms),
-          trace_(*terms.trace),
+    explicit TraceSchedule(const RequestScheduleConfig& config)
+        : config_(config),
+          trace_(*config.trace),
           in_(trace_.file),
-          random_(makeRandomGenerator(terms.seed, RandomStream::ArrivalTimes)) {
+          random_(makeRandomGenerator(config.seed, RandomStream::ArrivalTimes)) {
         if (!in_) throw kdl::DocumentError({trace_.file, 0, 0}, "the trace can't be opened");
-        for (std::size_t at = 0; at < terms.requestClasses.size(); ++at)
-            names_[terms.requestClasses[at].name] = static_cast<int>(at);
+        for (std::size_t at = 0; at < config.requestClasses.size(); ++at)
+            requestClassIndexes_[config.requestClasses[at].name] = static_cast<int>(at);
     }
 
     // Copies lie in the gap behind their original, so rows come out by time
     // through a short queue: it holds what lies before the row that was read
     // last.
-    std::optional<Planned> next() override {
-        while (!ended_ && (waiting_.empty() || waiting_.top().at > horizon_)) readRow();
-        if (waiting_.empty()) return std::nullopt;
-        Planned planned = waiting_.top();
-        waiting_.pop();
-        planned.number = number_++;
-        return planned;
+    std::optional<ScheduledRequest> next() override {
+        while (!ended_ && (ready_.empty() || ready_.top().arrival > readyUntil_)) readRow();
+        if (ready_.empty()) return std::nullopt;
+        ScheduledRequest request = ready_.top();
+        ready_.pop();
+        request.number = number_++;
+        return request;
     }
-    std::uint64_t skipped() const override { return skipped_; }
+    std::uint64_t skippedLines() const override { return skippedLines_; }
 
 private:
-    struct Later {
-        bool operator()(const Planned& a, const Planned& b) const {
-            return a.at != b.at ? a.at > b.at : a.number > b.number;
+    struct ArrivesLater {
+        bool operator()(const ScheduledRequest& a, const ScheduledRequest& b) const {
+            return a.arrival != b.arrival ? a.arrival > b.arrival : a.number > b.number;
         }
     };
     using Row = std::map<std::string, std::string>;
 
-    [[noreturn]] void bad(const std::string& what) const {
-        throw kdl::DocumentError({trace_.file, line_, 1}, what);
+    [[noreturn]] void throwError(const std::string& what) const {
+        throw kdl::DocumentError({trace_.file, lineNumber_, 1}, what);
     }
 
     void readRow() {
         std::string text;
         if (!std::getline(in_, text)) {
-            if (in_.bad()) bad("the trace can't be read on");
+            if (in_.bad()) throwError("the trace can't be read on");
             ended_ = true;
-            if (pending_) place(*pending_, Duration(std::chrono::milliseconds(10)));
+            if (pending_) enqueueCopies(*pending_, Duration(std::chrono::milliseconds(10)));
             pending_.reset();
             return;
         }
-        ++line_;
+        ++lineNumber_;
         if (!text.empty() && text.back() == '\r') text.pop_back();
         if (text.find_first_not_of(" \t") == text.npos) return;
         try {
             if (text.front() != '{' && columns_.empty()) return readHeader(text);
-            Planned planned = plannedOf(text.front() == '{' ? fromJson(text) : fromCsv(text));
-            if (planned.at < last_)
-                bad("a time before that of an earlier line was found, times that never "
+            ScheduledRequest request = toRequest(text.front() == '{' ? fromJson(text) : fromCsv(text));
+            if (request.arrival < lastTraceTime_)
+                throwError(
+                    "a time before that of an earlier line was found, times that never "
                     "go back were "
                     "expected");
-            last_ = planned.at;
-            if (planned.at < trace_.from || planned.at >= trace_.until) return;
-            planned.at = Duration(
-                std::llround(static_cast<double>((planned.at - trace_.from).count()) * trace_.stretch));
-            if (planned.at >= terms_.length) return;
-            if (pending_) place(*pending_, planned.at - pending_->at);
-            horizon_ = planned.at - Duration(1);
-            pending_ = planned;
+            lastTraceTime_ = request.arrival;
+            if (request.arrival < trace_.from || request.arrival >= trace_.until) return;
+            request.arrival = Duration(std::llround(
+                static_cast<double>((request.arrival - trace_.from).count()) * trace_.timeScale));
+            if (request.arrival >= config_.duration) return;
+            if (pending_) enqueueCopies(*pending_, request.arrival - pending_->arrival);
+            readyUntil_ = request.arrival - Duration(1);
+            pending_ = request;
         } catch (const kdl::DocumentError&) {
-            ++skipped_;
-            if (!trace_.skipBad || columnsBad_) throw;
+            ++skippedLines_;
+            if (!trace_.skipMalformed || headerMalformed_) throw;
         }
     }
 
-    void place(const Planned& planned, Duration gap) {
-        const double whole = std::floor(trace_.copies);
-        int copies = static_cast<int>(whole) + (drawUniform(random_) < trace_.copies - whole ? 1 : 0);
+    void enqueueCopies(const ScheduledRequest& request, Duration gap) {
+        const double whole = std::floor(trace_.meanCopies);
+        int copies = static_cast<int>(whole) + (drawUniform(random_) < trace_.meanCopies - whole ? 1 : 0);
         for (int copy = 0; copy < copies; ++copy) {
-            if (trace_.keep < 1 && drawUniform(random_) >= trace_.keep) continue;
-            Planned one = planned;
-            one.number = order_++;
+            if (trace_.keepProbability < 1 && drawUniform(random_) >= trace_.keepProbability) continue;
+            ScheduledRequest copied = request;
+            copied.number = copyNumber_++;
             if (copy > 0) {
-                one.at += Duration(static_cast<std::int64_t>(
+                copied.arrival += Duration(static_cast<std::int64_t>(
                     drawUniform(random_) *
                     static_cast<double>(std::min(gap, Duration(std::chrono::milliseconds(10))).count())));
-                one.subject += static_cast<std::uint64_t>(copy) << 40;  // another client's
+                copied.subject += static_cast<std::uint64_t>(copy) << 40;  // another client's
             }
-            waiting_.push(one);
+            ready_.push(copied);
         }
     }
 
     void readHeader(const std::string& text) {
-        columnsBad_ = true;
-        for (const std::string& name : split(text)) columns_.push_back(name);
+        headerMalformed_ = true;
+        for (const std::string& name : splitCsv(text)) columns_.push_back(name);
         Row known;
         for (const std::string& name : columns_) {
             std::string base = name;
-            for (const auto& [ending, factor] : kEndings)
-                if (name.ends_with(ending)) base = name.substr(0, name.size() - ending.size());
+            for (const auto& [suffix, factor] : kUnitSuffixes)
+                if (name.ends_with(suffix)) base = name.substr(0, name.size() - suffix.size());
             static const std::vector<std::string> kNames = {"time", "profile", "customer", "subject", "cost",
                                                             "size", "held_kb", "patience", "mark",    "hint",
                                                             "call", "rank",    "fails"};
             if (std::find(kNames.begin(), kNames.end(), base) == kNames.end())
-                bad("the column '" + name +
-                    "' was found, one of time_s, profile, customer, subject, cost_ms, "
-                    "size, "
-                    "held_kb, patience_ms, mark, hint_ms, call_ms, rank, fails was "
-                    "expected");
+                throwError("the column '" + name +
+                           "' was found, one of time_s, profile, customer, subject, cost_ms, "
+                           "size, "
+                           "held_kb, patience_ms, mark, hint_ms, call_ms, rank, fails was "
+                           "expected");
             static const std::vector<std::string> kTimes = {"time", "cost", "patience", "hint", "call"};
             if (base == name && std::find(kTimes.begin(), kTimes.end(), base) != kTimes.end())
-                bad("the column '" + name + "' was found without a unit, " + name +
-                    "_ns, _us, _ms or _s was expected");
+                throwError("the column '" + name + "' was found without a unit, " + name +
+                           "_ns, _us, _ms or _s was expected");
             known[base] = name;
         }
-        for (const char* need : {"time", "profile"})
-            if (!known.contains(need))
-                bad(std::string("no column '") + need + "' was found in the first line, one was expected");
-        columnsBad_ = false;
+        for (const char* required : {"time", "profile"})
+            if (!known.contains(required))
+                throwError(std::string("no column '") + required +
+                           "' was found in the first line, one was expected");
+        headerMalformed_ = false;
     }
 
-    static std::vector<std::string> split(const std::string& text) {
+    static std::vector<std::string> splitCsv(const std::string& text) {
         std::vector<std::string> parts(1);
         bool quoted = false;
         for (std::size_t at = 0; at < text.size(); ++at) {
@@ -219,10 +222,10 @@
     }
 
     Row fromCsv(const std::string& text) const {
-        const auto parts = split(text);
+        const auto parts = splitCsv(text);
         if (parts.size() != columns_.size())
-            bad(std::to_string(parts.size()) + " values were found, " + std::to_string(columns_.size()) +
-                " were expected as in the first line");
+            throwError(std::to_string(parts.size()) + " values were found, " +
+                       std::to_string(columns_.size()) + " were expected as in the first line");
         Row row;
         for (std::size_t at = 0; at < parts.size(); ++at) row[columns_[at]] = parts[at];
         return row;
@@ -230,55 +233,58 @@
 
     Row fromJson(const std::string& text) const {
         const auto all = nlohmann::json::parse(text, nullptr, false);
-        if (!all.is_object()) bad("a line that is no JSON object was found");
+        if (!all.is_object()) throwError("a line that is no JSON object was found");
         Row row;
         for (const auto& [name, value] : all.items())
             row[name] = value.is_string() ? value.get<std::string>() : value.dump();
         return row;
     }
 
-    double numberOf(const std::string& name, const std::string& text) const {
+    double readNumber(const std::string& name, const std::string& text) const {
         double value = 0;
         const char* const last = text.data() + text.size();
         const auto [end, error] = std::from_chars(text.data(), last, value);
         if (error != std::errc() || end != last || !std::isfinite(value) || value < 0)
-            bad("'" + text + "' was found under '" + name + "', a number of 0 or more was expected");
+            throwError("'" + text + "' was found under '" + name + "', a number of 0 or more was expected");
         return value;
     }
 
-    std::optional<double> valueOf(const Row& row, const std::string& base, bool time) const {
-        if (!time) {
+    std::optional<double> readColumn(const Row& row, const std::string& base, bool isTime) const {
+        if (!isTime) {
             const auto found = row.find(base);
             if (found == row.end() || found->second.empty()) return std::nullopt;
-            return numberOf(base, found->second);
+            return readNumber(base, found->second);
         }
-        for (const auto& [ending, factor] : kEndings) {
-            const auto found = row.find(base + ending);
+        for (const auto& [suffix, factor] : kUnitSuffixes) {
+            const auto found = row.find(base + suffix);
             if (found != row.end() && !found->second.empty())
-                return numberOf(base + ending, found->second) * factor;
+                return readNumber(base + suffix, found->second) * factor;
         }
         const auto bare = row.find(base);
         if (bare != row.end() && !bare->second.empty())
-            bad("'" + base + "' was found without a unit, " + base + "_ns, _us, _ms or _s was expected");
+            throwError("'" + base + "' was found without a unit, " + base +
+                       "_ns, _us, _ms or _s was expected");
         return std::nullopt;
     }
 
-    Planned plannedOf(const Row& row) const {
-        Planned planned;
-        const auto time = valueOf(row, "time", true);
-        if (!time) bad("no time was found, 'time_s' or one in ms, us or ns was expected");
-        planned.at = Duration(std::llround(*time));
+    ScheduledRequest toRequest(const Row& row) const {
+        ScheduledRequest request;
+        const auto time = readColumn(row, "time", true);
+        if (!time) throwError("no time was found, 'time_s' or one in ms, us or ns was expected");
+        request.arrival = Duration(std::llround(*time));
         const auto requestClass = row.find("profile");
-        const auto known = requestClass == row.end() ? names_.end() : names_.find(requestClass->second);
-        if (known == names_.end()) {
+        const auto known = requestClass == row.end() ? requestClassIndexes_.end()
+                                                     : requestClassIndexes_.find(requestClass->second);
+        if (known == requestClassIndexes_.end()) {
             std::string all;
-            for (const auto& [name, at] : names_) all += (all.empty() ? "" : ", ") + name;
-            bad("the profile '" + (requestClass == row.end() ? std::string() : requestClass->second) +
-                "' was found, one of " + all + " was expected");
+            for (const auto& [name, at] : requestClassIndexes_) all += (all.empty() ? "" : ", ") + name;
+            throwError("the profile '" + (requestClass == row.end() ? std::string() : requestClass->second) +
+                       "' was found, one of " + all + " was expected");
         }
-        planned.requestClass = known->second;
-        const RequestClassLoad& usual = terms_.requestClasses[static_cast<std::size_t>(planned.requestClass)];
-        const auto nameOrNumber = [&](const char* column) -> std::uint64_t {
+        request.requestClass = known->second;
+        const RequestClassLoad& requestClassLoad =
+            config_.requestClasses[static_cast<std::size_t>(request.requestClass)];
+        const auto hashOrNumber = [&](const char* column) -> std::uint64_t {
             const auto found = row.find(column);
             if (found == row.end() || found->second.empty()) return 0;
             std::uint64_t value = 0;
@@ -290,46 +296,48 @@
                 hash = (hash ^ static_cast<std::uint8_t>(byte)) * 1099511628211ULL;
             return hash;
         };
-        planned.tenant = nameOrNumber("customer");
-        planned.subject = nameOrNumber("subject");
-        const auto span = [&](const char* base, double otherwise) {
-            return Duration(std::llround(valueOf(row, base, true).value_or(otherwise * 1e9)));
+        request.tenant = hashOrNumber("customer");
+        request.subject = hashOrNumber("subject");
+        const auto duration = [&](const char* base, double fallback) {
+            return Duration(std::llround(readColumn(row, base, true).value_or(fallback * 1e9)));
         };
-        planned.work = span("cost", usual.work.mean());
-        planned.hint = span("hint", secondsIn(planned.work));
-        planned.call = span("call", usual.call.mean());
-        planned.attemptTimeout = span("patience", secondsIn(usual.timeout));
-        planned.body = static_cast<std::uint32_t>(
-            std::min(valueOf(row, "size", false).value_or(usual.body.mean()), 2048.0));
-        planned.heldKb =
-            std::clamp(valueOf(row, "held_kb", false).value_or(usual.held.mean() / 1024), 0.1, 1999.0);
-        planned.rank = std::min(valueOf(row, "rank", false).value_or(0.5), 0.9999);
-        planned.again = valueOf(row, "mark", false).value_or(0) != 0;
-        planned.fails = valueOf(row, "fails", false).value_or(0) != 0;
-        return planned;
+        request.work = duration("cost", requestClassLoad.work.mean());
+        request.workHint = duration("hint", toSeconds(request.work));
+        request.callDuration = duration("call", requestClassLoad.callDuration.mean());
+        request.attemptTimeout = duration("patience", toSeconds(requestClassLoad.timeout));
+        request.bodyBytes = static_cast<std::uint32_t>(
+            std::min(readColumn(row, "size", false).value_or(requestClassLoad.bodyBytes.mean()), 2048.0));
+        request.memoryKb =
+            std::clamp(readColumn(row, "held_kb", false).value_or(requestClassLoad.memoryBytes.mean() / 1024),
+                       0.1, 1999.0);
+        request.rank = std::min(readColumn(row, "rank", false).value_or(0.5), 0.9999);
+        request.isRetry = readColumn(row, "mark", false).value_or(0) != 0;
+        request.runFails = readColumn(row, "fails", false).value_or(0) != 0;
+        return request;
     }
 
-    const PlanTerms terms_;
-    const TraceTerms trace_;
+    const RequestScheduleConfig config_;
+    const TraceConfig trace_;
     std::ifstream in_;
     RandomGenerator random_;
-    std::map<std::string, int> names_;
+    std::map<std::string, int> requestClassIndexes_;
     std::vector<std::string> columns_;
-    std::priority_queue<Planned, std::vector<Planned>, Later> waiting_;  // of one gap of the trace
-    std::optional<Planned> pending_;                                     // its gap is not known yet
-    std::size_t line_ = 0;
-    Duration last_{0}, horizon_{-1};
-    std::uint64_t number_ = 0, order_ = 0, skipped_ = 0;
-    bool ended_ = false, columnsBad_ = false;
+    std::priority_queue<ScheduledRequest, std::vector<ScheduledRequest>, ArrivesLater>
+        ready_;                                // of one gap of the trace
+    std::optional<ScheduledRequest> pending_;  // its gap is not known yet
+    std::size_t lineNumber_ = 0;
+    Duration lastTraceTime_{0}, readyUntil_{-1};
+    std::uint64_t number_ = 0, copyNumber_ = 0, skippedLines_ = 0;
+    bool ended_ = false, headerMalformed_ = false;
 };
 
 }  // namespace
 
 std::string tenantName(std::uint64_t tenant) { return std::string("c").append(std::to_string(tenant)); }
 
-std::unique_ptr<Plan> makePlan(const PlanTerms& terms) {
-    if (terms.trace) return std::make_unique<TracePlan>(terms);
-    return std::make_unique<DrawnPlan>(terms);
+std::unique_ptr<RequestSchedule> makeRequestSchedule(const RequestScheduleConfig& config) {
+    if (config.trace) return std::make_unique<TraceSchedule>(config);
+    return std::make_unique<GeneratedSchedule>(config);
 }
 
 TraceWriter::TraceWriter(const std::string& path, const std::vector<RequestClassLoad>& requestClasses)
@@ -337,25 +345,26 @@
     if (!out_)
         throw kdl::DocumentError({path, 0, 0},
                                  "the trace can't be written: " + std::string(std::strerror(errno)));
-    for (const RequestClassLoad& requestClass : requestClasses) names_.push_back(requestClass.name);
+    for (const RequestClassLoad& requestClass : requestClasses)
+        requestClassNames_.push_back(requestClass.name);
     out_ << "time_ns,profile,customer,subject,cost_ns,hint_ns,call_ns,patience_"
             "ns,size,held_kb,rank,mark,"
             "fails\n";
 }
 
-void TraceWriter::add(const Planned& planned) {
+void TraceWriter::add(const ScheduledRequest& request) {
     char numbers[64];
-    std::snprintf(numbers, sizeof numbers, "%.17g,%.17g", planned.heldKb, planned.rank);
-    std::string name = names_[static_cast<std::size_t>(planned.requestClass)];
+    std::snprintf(numbers, sizeof numbers, "%.17g,%.17g", request.memoryKb, request.rank);
+    std::string name = requestClassNames_[static_cast<std::size_t>(request.requestClass)];
     if (name.find_first_of(",\"") != name.npos) {
         std::string quoted = "\"";
         for (const char byte : name) quoted += byte == '"' ? "\"\"" : std::string(1, byte);
         name = quoted + "\"";
     }
-    out_ << planned.at.count() << ',' << name << ',' << planned.tenant << ',' << planned.subject << ','
-         << planned.work.count() << ',' << planned.hint.count() << ',' << planned.call.count() << ','
-         << planned.attemptTimeout.count() << ',' << planned.body << ',' << numbers << ',' << planned.again
-         << ',' << planned.fails << '\n';
+    out_ << request.arrival.count() << ',' << name << ',' << request.tenant << ',' << request.subject << ','
+         << request.work.count() << ',' << request.workHint.count() << ',' << request.callDuration.count()
+         << ',' << request.attemptTimeout.count() << ',' << request.bodyBytes << ',' << numbers << ','
+         << request.isRetry << ',' << request.runFails << '\n';
 }
 
 bool TraceWriter::close() {
--- a/tests/loadtest/experiment_test.cpp
+++ b/tests/loadtest/experiment_test.cpp
@@ -147,13 +147,13 @@
     RequestClassLoad read, write;
     read.name = "read";
     write.name = "write";
-    write.repeat = Idempotency::None;
+    write.idempotency = Idempotency::None;
     return {read, write};
 }
-Planned planned(int requestClass, double kb = 20) {
-    Planned result;
+ScheduledRequest planned(int requestClass, double kb = 20) {
+    ScheduledRequest result;
     result.requestClass = requestClass;
-    result.heldKb = kb;
+    result.memoryKb = kb;
     return result;
 }
 std::uint64_t count(const InvariantChecker& checker, Rule rule) {
--- a/tests/loadtest/load_run_test.cpp
+++ b/tests/loadtest/load_run_test.cpp
@@ -36,9 +36,9 @@
     }
     return "none";
 }
-std::vector<Planned> all(const PlanTerms& terms) {
-    std::vector<Planned> result;
-    const auto plan = makePlan(terms);
+std::vector<ScheduledRequest> all(const RequestScheduleConfig& config) {
+    std::vector<ScheduledRequest> result;
+    const auto plan = makeRequestSchedule(config);
     while (const auto planned = plan->next()) result.push_back(*planned);
     return result;
 }
@@ -70,7 +70,7 @@
     EXPECT_GT(first.size(), 800U);
     EXPECT_LT(first.size(), 6000U);
     std::vector<double> each(20);
-    for (const Planned& planned : first) each[static_cast<std::size_t>(planned.at / 1s)] += 1;
+    for (const ScheduledRequest& planned : first) each[static_cast<std::size_t>(planned.arrival / 1s)] += 1;
     double mean = 0, square = 0;
     for (const double count : each) mean += count / 20, square += count * count / 20;
     EXPECT_GT((square - mean * mean) / mean, 5) << "a Poisson stream has 1";
@@ -124,17 +124,17 @@
     const auto drawn = all(terms->plan);
     {
         TraceWriter writer(path, terms->plan.requestClasses);
-        for (const Planned& planned : drawn) writer.add(planned);
+        for (const ScheduledRequest& planned : drawn) writer.add(planned);
         ASSERT_TRUE(writer.close());
     }
-    PlanTerms again = terms->plan;
-    again.trace = TraceTerms{};
+    RequestScheduleConfig again = terms->plan;
+    again.trace = TraceConfig{};
     again.trace->file = path;
     EXPECT_TRUE(all(again) == drawn);
     // Cut and stretched: what lies in the part, twice as slow.
-    again.trace->from = 1s, again.trace->until = 2s, again.trace->stretch = 2;
+    again.trace->from = 1s, again.trace->until = 2s, again.trace->timeScale = 2;
     std::size_t inPart = 0;
-    for (const Planned& planned : drawn) inPart += planned.at >= 1s && planned.at < 2s;
+    for (const ScheduledRequest& planned : drawn) inPart += planned.arrival >= 1s && planned.arrival < 2s;
     EXPECT_EQ(all(again).size(), inPart);
     std::remove(path.c_str());
 }
@@ -156,12 +156,12 @@
         EXPECT_EQ(std::string(problem.what()),
                   path + ":3:1: the profile 'nobody' was found, one of a was expected");
     }
-    terms->plan.trace->skipBad = true;
-    const auto plan = makePlan(terms->plan);
+    terms->plan.trace->skipMalformed = true;
+    const auto plan = makeRequestSchedule(terms->plan);
     int count = 0;
     while (plan->next()) ++count;
     EXPECT_EQ(count, 2);
-    EXPECT_EQ(plan->skipped(), 4U);
+    EXPECT_EQ(plan->skippedLines(), 4U);
     // A column without its unit can't be guessed, whatever is skipped.
     std::ofstream(path) << "time,profile\n1,a\n";
     EXPECT_THROW(all(terms->plan), kdl::DocumentError);
@@ -174,10 +174,10 @@
         "{\"time_s\":0.75,\"profile\":\"a\",\"patience_ms\":200,\"size\":99}\n");
     const auto rows = all(termsOf(std::string(kRequestClass) + "trace \"" + path + "\"")->plan);
     ASSERT_EQ(rows.size(), 2U);
-    EXPECT_TRUE(rows[0].again);
-    EXPECT_EQ(rows[1].at, 750ms);
+    EXPECT_TRUE(rows[0].isRetry);
+    EXPECT_EQ(rows[1].arrival, 750ms);
     EXPECT_EQ(rows[1].attemptTimeout, 200ms);
-    EXPECT_EQ(rows[1].body, 99U);
+    EXPECT_EQ(rows[1].bodyBytes, 99U);
     std::remove(path.c_str());
 }
 
@@ -191,9 +191,9 @@
         all(termsOf(std::string(kRequestClass) + "length 10s; trace \"" + path + "\" copies=3")->plan);
     EXPECT_EQ(rows.size(), 150U);
     for (std::size_t at = 0; at < rows.size(); ++at) {
-        EXPECT_LE(rows[at].at % 1s, 10ms);
+        EXPECT_LE(rows[at].arrival % 1s, 10ms);
         if (at > 0) {
-            EXPECT_GE(rows[at].at, rows[at - 1].at);
+            EXPECT_GE(rows[at].arrival, rows[at - 1].arrival);
         }
     }
     std::remove(path.c_str());
@@ -324,7 +324,7 @@
 // Counts for itself when each request was due, by the id of its first try.
 class Schedule : public Watcher {
 public:
-    void planned(const Planned& planned, Duration scheduled) override {
+    void planned(const ScheduledRequest& planned, Duration scheduled) override {
         const std::lock_guard hold(guard);
         due[planned.number] = scheduled;
     }
@@ -504,7 +504,7 @@
 // The worker itself gets no time for a while, as on a machine with too few cores.
 class Starves : public Watcher {
 public:
-    void planned(const Planned& planned, Duration) override {
+    void planned(const ScheduledRequest& planned, Duration) override {
         if (planned.number == 20) std::this_thread::sleep_for(300ms);
     }
 };
