--- a/src/loadtest/child_process.h
+++ b/src/loadtest/child_process.h
@@ -11,20 +11,20 @@
 
 namespace cottonwing::loadtest {
 
-class Process {
+class ChildProcess {
 public:
     // Its output is appended to the file. Throws std::runtime_error where it
     // can't be started.
-    Process(net::Loop& loop, const std::string& program, std::vector<std::string> arguments,
-            const std::map<std::string, std::string>& environment, const std::string& output,
-            std::function<void(int code, int signal)> ended);
-    ~Process();  // killed, if it is still there
-    Process(const Process&) = delete;
-    Process& operator=(const Process&) = delete;
+    ChildProcess(net::Loop& loop, const std::string& program, std::vector<std::string> arguments,
+                 const std::map<std::string, std::string>& environment, const std::string& output,
+                 std::function<void(int code, int signal)> onExit);
+    ~ChildProcess();  // killed, if it is still there
+    ChildProcess(const ChildProcess&) = delete;
+    ChildProcess& operator=(const ChildProcess&) = delete;
 
-    void signal(int number);
-    bool there() const;
-    int id() const;
+    void sendSignal(int number);
+    bool running() const;
+    int pid() const;
     // Of the system's books: seconds of CPU so far and resident megabytes; 0
     // where it is gone.
     double cpuSeconds() const;
--- a/src/loadtest/emulators/http_services.cpp
+++ b/src/loadtest/emulators/http_services.cpp
@@ -23,7 +23,7 @@
       held_(each.size()),
       pace_(loop, [this] { pump(); }) {
     listen();
-    pace_.ringAt(steadyNow() + kWatch);
+    pace_.startAt(steadyNow() + kWatch);
 }
 
 RecordsService::~RecordsService() {
@@ -88,7 +88,7 @@
     at->second.abandoned = true;
     due_.emplace(steadyNow() + terms_.linger, at->first);
     if (!at->second.serving) std::erase(waiting_, at->first);
-    pace_.ringAt(due_.begin()->first);
+    pace_.startAt(due_.begin()->first);
 }
 
 void RecordsService::drop(std::uint64_t number) {
@@ -113,7 +113,7 @@
         const double seconds = call.seconds * slow_ * (1 + terms_.crowdSlows * crowd);
         if (!call.hangs) due_.emplace(now + Duration(static_cast<std::int64_t>(seconds * 1e9)), number);
     }
-    if (!due_.empty()) pace_.ringAt(std::min(lookAt_, due_.begin()->first));
+    if (!due_.empty()) pace_.startAt(std::min(lookAt_, due_.begin()->first));
 }
 
 void RecordsService::end(std::uint64_t number, Duration now) {
@@ -140,7 +140,7 @@
         end(number, now);
     }
     watch(now);
-    pace_.ringAt(due_.empty() ? lookAt_ : std::min(lookAt_, due_.begin()->first));
+    pace_.startAt(due_.empty() ? lookAt_ : std::min(lookAt_, due_.begin()->first));
 }
 
 void RecordsService::watch(Duration now) {
@@ -191,7 +191,7 @@
                         visitor->reply(HttpDoor::reply(204, ""));
                     owed_.erase(owed_.begin());
                 }
-                if (!owed_.empty()) pace_.ringAt(owed_.begin()->first);
+                if (!owed_.empty()) pace_.startAt(owed_.begin()->first);
             }),
       door_(
           loop, at,
@@ -204,7 +204,7 @@
               const bool draining = request.body.find("draining") != request.body.npos;
               states_[request.path.substr(kPath.size())] = draining ? "draining" : "ready";
               owed_.emplace(steadyNow() + late_, visitor);
-              pace_.ringAt(owed_.begin()->first);
+              pace_.startAt(owed_.begin()->first);
           },
           [](HttpDoor::Visitor&) {}) {}
 
--- a/src/loadtest/emulators/http_services.h
+++ b/src/loadtest/emulators/http_services.h
@@ -86,7 +86,7 @@
     int serving_ = 0;
     Duration lookAt_{0}, upAt_{0};
     bool down_ = false;
-    Pace pace_;
+    PreciseTimer pace_;
 };
 
 class RegistryService {
@@ -103,7 +103,7 @@
     std::uint64_t reports_ = 0;
     std::map<std::string, std::string> states_;  // one a name
     std::multimap<Duration, std::weak_ptr<HttpDoor::Visitor>> owed_;
-    Pace pace_;
+    PreciseTimer pace_;
     HttpDoor door_;
 };
 
--- a/src/loadtest/emulators/scgi_server.cpp
+++ b/src/loadtest/emulators/scgi_server.cpp
@@ -55,7 +55,7 @@
     if (line.connection) line.connection->tryFlush();
     line.connection.reset();
     lines_.remove(self);
-    pace_.ringAt(steadyNow());
+    pace_.startAt(steadyNow());
 }
 
 void ScgiServer::whole(Line& line) {
@@ -114,9 +114,9 @@
             more = true;
     }
     if (more)
-        pace_.ringAt(now + 1ms);
+        pace_.startAt(now + 1ms);
     else if (!due_.empty())
-        pace_.ringAt(due_.begin()->first);
+        pace_.startAt(due_.begin()->first);
 }
 
 void ScgiServer::answer(Line& line) {
@@ -133,7 +133,7 @@
     if (terms_.fault == ScgiFault::FailsFast) bytes = scgi::writeReply(503, {}, "not now");
     line.connection->send(bytes);
     line.closes = true;
-    pace_.ringAt(steadyNow());
+    pace_.startAt(steadyNow());
 }
 
 }  // namespace cottonwing::loadtest
--- a/src/loadtest/emulators/scgi_server.h
+++ b/src/loadtest/emulators/scgi_server.h
@@ -75,7 +75,7 @@
     double workDone_ = 0;
     std::function<void(const std::string&, const std::string&)> told_;
     std::function<void(const std::string&)> endTold_;
-    Pace pace_;
+    PreciseTimer pace_;
     std::unique_ptr<net::Listener> listener_;
 };
 
--- a/src/loadtest/emulators/thrift_server.cpp
+++ b/src/loadtest/emulators/thrift_server.cpp
@@ -35,7 +35,7 @@
     : loop_(loop), terms_(terms), host_(at.host), start_(steadyNow()), pace_(loop, [this] { pump(); }) {
     listener_ = std::make_unique<net::Listener>(
         loop, at, [this](net::PendingConnection socket) { accept(socket); }, [] { return false; });
-    if (terms_.stallAt >= 0ns) pace_.ringAt(start_ + terms_.stallAt + terms_.stallFor);
+    if (terms_.stallAt >= 0ns) pace_.startAt(start_ + terms_.stallAt + terms_.stallFor);
 }
 
 Answering::~Answering() = default;
@@ -72,12 +72,12 @@
     if (terms_.silent) return;
     if (terms_.takes == 0ns) return answer(line, message.sequence, trace);
     owed_.emplace(steadyNow() + terms_.takes, Owed{line.weak_from_this(), message.sequence, trace});
-    pace_.ringAt(owed_.begin()->first);
+    pace_.startAt(owed_.begin()->first);
 }
 
 void Answering::pump() {
     const Duration now = steadyNow();
-    if (stalled(now)) return pace_.ringAt(start_ + terms_.stallAt + terms_.stallFor);
+    if (stalled(now)) return pace_.startAt(start_ + terms_.stallAt + terms_.stallFor);
     const auto all = std::vector<std::shared_ptr<Line>>(lines_.begin(), lines_.end());
     // What came while it stood is read now; else it has been read as it came.
     if (terms_.stallAt >= 0ns && !terms_.deaf)
@@ -88,7 +88,7 @@
         const auto line = owed.line.lock();
         if (line && line->connection) answer(*line, owed.sequence, owed.trace);
     }
-    if (!owed_.empty()) pace_.ringAt(owed_.begin()->first);
+    if (!owed_.empty()) pace_.startAt(owed_.begin()->first);
 }
 
 void Answering::answer(Line& line, std::int32_t sequence, const std::string& trace) {
--- a/src/loadtest/emulators/thrift_server.h
+++ b/src/loadtest/emulators/thrift_server.h
@@ -67,7 +67,7 @@
     std::multimap<Duration, Owed> owed_;      // emptied by time
     std::unordered_map<std::string, Entry> book_;
     std::uint64_t trackedRequests_ = 0, answers_ = 0, forgets_ = 0;
-    Pace pace_;
+    PreciseTimer pace_;
     std::unique_ptr<net::Listener> listener_;
 };
 
--- a/src/loadtest/emulators/worker_pool.cpp
+++ b/src/loadtest/emulators/worker_pool.cpp
@@ -51,7 +51,7 @@
     listen();
     cores_.start(upAt_);
     upSince_ = upAt_;
-    pace_.ringAt(upAt_);
+    pace_.startAt(upAt_);
 }
 
 WorkerPool::~WorkerPool() = default;
@@ -206,14 +206,14 @@
 void WorkerPool::pump() {
     if (gone_) return;
     const Duration now = steadyNow();
-    if (now < upAt_) return pace_.ringAt(upAt_);
+    if (now < upAt_) return pace_.startAt(upAt_);
     if (waitsBound_) sayBound(*std::exchange(waitsBound_, std::nullopt));
     reportEndedSegments(now);
     if (!rest_.empty() && now >= lookAt_) write("");
     watch(now);
     Duration next = lookAt_;
     if (const auto end = cores_.nextEnd()) next = std::min(next, *end);
-    pace_.ringAt(next);
+    pace_.startAt(next);
 }
 
 // The crowd that makes it fall over is a mean, so a sample every now and then
@@ -275,7 +275,7 @@
     crowdSum_ = 0;
     fell_ = false;
     listen();
-    pace_.ringAt(upAt_);
+    pace_.startAt(upAt_);
 }
 
 }  // namespace cottonwing::loadtest
--- a/src/loadtest/emulators/worker_pool.h
+++ b/src/loadtest/emulators/worker_pool.h
@@ -85,7 +85,7 @@
     std::deque<std::pair<Duration, double>> crowd_;  // of the last fallOver; emptied by time
     double crowdSum_ = 0;
     bool cold_ = false, boundOnce_ = false, gone_ = false, fell_ = false;
-    Pace pace_;
+    PreciseTimer pace_;
     std::unique_ptr<Link> link_, older_;
     std::unique_ptr<net::Listener> listener_;
 };
--- a/src/loadtest/experiment.cpp
+++ b/src/loadtest/experiment.cpp
@@ -164,7 +164,7 @@
     std::string name;
     net::Address listen, kiosks, pool, records, registry;
     std::unique_ptr<WorkerPool> workers;
-    std::unique_ptr<Process> process;
+    std::unique_ptr<ChildProcess> process;
     bool expectedToEnd = false, crashed = false, releasing = false;
     double cpuBefore = 0;
     std::vector<Sample> samples;
@@ -363,7 +363,7 @@
     backend.expectedToEnd = backend.crashed = false;
     backend.cpuBefore = 0;
     world_->checker.restarted(at);
-    backend.process = std::make_unique<Process>(
+    backend.process = std::make_unique<ChildProcess>(
         world_->loop, build_,
         gateway ? std::vector<std::string>{"serve", config} : std::vector<std::string>{},
         std::map<std::string, std::string>{
@@ -420,7 +420,7 @@
             break;
         case Fault::Kind::Stall:
             for (const std::size_t at : meant(fault))
-                world.backends[at].process->signal(begins ? SIGSTOP : SIGCONT);
+                world.backends[at].process->sendSignal(begins ? SIGSTOP : SIGCONT);
             break;
         case Fault::Kind::LinkBreak:
             if (begins)
@@ -428,14 +428,14 @@
             break;
         case Fault::Kind::Reload:
             if (begins)
-                for (const std::size_t at : meant(fault)) world.backends[at].process->signal(SIGHUP);
+                for (const std::size_t at : meant(fault)) world.backends[at].process->sendSignal(SIGHUP);
             break;
         case Fault::Kind::Crash:
             for (const std::size_t at : meant(fault)) {
                 Backend& backend = world.backends[at];
                 if (begins) {
                     backend.expectedToEnd = true;
-                    backend.process->signal(SIGKILL);
+                    backend.process->sendSignal(SIGKILL);
                     backend.workers->crash();
                 } else {
                     backend.workers->retryAfter(fault.cold);
@@ -456,7 +456,7 @@
     for (Backend& backend : world_->backends) {
         Sample sample;
         sample.at = at;
-        sample.there = backend.process->there();
+        sample.there = backend.process->running();
         const double cpu = backend.process->cpuSeconds();
         sample.cpu = std::max(0.0, cpu - backend.cpuBefore);
         backend.cpuBefore = cpu;
@@ -487,12 +487,12 @@
     const bool up = turnUntil(
         [&] {
             return std::all_of(world.backends.begin(), world.backends.end(), [this](const Backend& backend) {
-                return isUp(backend) || !backend.process->there();
+                return isUp(backend) || !backend.process->running();
             });
         },
         20s);
     for (const Backend& backend : world.backends)
-        if (!up || !backend.process->there() || !isUp(backend))
+        if (!up || !backend.process->running() || !isUp(backend))
             throw std::runtime_error(backend.name + " did not come up; its words are in " + folder_ + "/" +
                                      backend.name + ".log");
     turnUntil([] { return false; }, 300ms);
@@ -520,7 +520,7 @@
     std::size_t nextStep = 0;
     Duration nextSample = start;
     bool told = false, cut = false;
-    std::unique_ptr<Pace> pace;
+    std::unique_ptr<PreciseTimer> pace;
     const auto look = [&] {
         const Duration now = steadyNow();
         while (nextStep < steps.size() && now >= start + steps[nextStep].at) {
@@ -534,13 +534,13 @@
                 backend.releasing = true;
                 backend.startAgainAt = now + terms_.stop;
                 world.checker.notice(at, now, std::min(terms_.grace, terms_.stop / 2));
-                backend.process->signal(SIGTERM);
-            } else if (!backend.process->there() || now >= backend.startAgainAt) {
-                if (backend.process->there()) {
+                backend.process->sendSignal(SIGTERM);
+            } else if (!backend.process->running() || now >= backend.startAgainAt) {
+                if (backend.process->running()) {
                     world.notes.push_back(backend.name + " was there still at its stop and was killed");
                     world.checker.fellOver(at, "it did not leave before its stop");
                     backend.expectedToEnd = true;
-                    backend.process->signal(SIGKILL);
+                    backend.process->sendSignal(SIGKILL);
                 }
                 backend.workers->crash();
                 backend.workers->retryAfter(true);
@@ -561,10 +561,10 @@
         for (const RequestClassLoad& requestClass : terms_.load->plan.requestClasses)
             longest = std::max(longest, requestClass.timeout);
         if (now > start + terms_.load->plan.duration + longest + 5s && !std::exchange(cut, true)) load.cut();
-        if (!load.done()) pace->ringAt(now + (progress ? 100ms : 20ms));
+        if (!load.done()) pace->startAt(now + (progress ? 100ms : 20ms));
     };
-    pace = std::make_unique<Pace>(world.loop, look);
-    pace->ringAt(start);
+    pace = std::make_unique<PreciseTimer>(world.loop, look);
+    pace->startAt(start);
     turnUntil([&] { return load.done(); }, 24h);
     pace.reset();
     sample(secondsIn(steadyNow() - start));
@@ -578,13 +578,13 @@
     // The fleet leaves as it does on any notice.
     for (Backend& backend : world.backends) {
         backend.expectedToEnd = true;
-        backend.process->signal(SIGCONT);
-        backend.process->signal(SIGTERM);
+        backend.process->sendSignal(SIGCONT);
+        backend.process->sendSignal(SIGTERM);
     }
     const bool left = turnUntil(
         [&] {
             return std::none_of(world.backends.begin(), world.backends.end(),
-                                [](const Backend& b) { return b.process->there(); });
+                                [](const Backend& b) { return b.process->running(); });
         },
         terms_.stop);
     if (!left) done.figures["notes"].push_back("a backend did not leave before its stop at the end");
--- a/src/loadtest/latency_histogram.cpp
+++ b/src/loadtest/latency_histogram.cpp
@@ -7,59 +7,60 @@
 
 namespace bh = boost::histogram;
 
-Latencies::Latencies()
-    : table_(bh::make_histogram_with(bh::dense_storage<std::uint32_t>(), Axis(kBins, kLeast, kMost))) {}
+LatencyHistogram::LatencyHistogram()
+    : histogram_(bh::make_histogram_with(bh::dense_storage<std::uint32_t>(),
+                                         Axis(kBins, kMinSeconds, kMaxSeconds))) {}
 
-void Latencies::add(Duration time) {
+void LatencyHistogram::add(Duration time) {
     const double seconds = std::max(0.0, std::chrono::duration<double>(time).count());
     // Below the first bin it is told from nothing all the same; above the last
     // one the most tells.
-    table_(std::clamp(seconds, kLeast, kMost * (1 - 1e-9)));
+    histogram_(std::clamp(seconds, kMinSeconds, kMaxSeconds * (1 - 1e-9)));
     ++count_;
     sum_ += seconds;
-    least_ = std::min(least_, seconds);
-    most_ = std::max(most_, seconds);
+    min_ = std::min(min_, seconds);
+    max_ = std::max(max_, seconds);
 }
 
-void Latencies::add(const Latencies& other) {
-    table_ += other.table_;
+void LatencyHistogram::add(const LatencyHistogram& other) {
+    histogram_ += other.histogram_;
     count_ += other.count_;
     sum_ += other.sum_;
-    least_ = std::min(least_, other.least_);
-    most_ = std::max(most_, other.most_);
+    min_ = std::min(min_, other.min_);
+    max_ = std::max(max_, other.max_);
 }
 
-double Latencies::middle(int bin) const {
-    const auto edges = table_.axis(0).bin(bin);
-    return std::clamp(std::sqrt(edges.lower() * edges.upper()), least(), most());
+double LatencyHistogram::binCenter(int bin) const {
+    const auto edges = histogram_.axis(0).bin(bin);
+    return std::clamp(std::sqrt(edges.lower() * edges.upper()), min(), max());
 }
 
-double Latencies::quantile(double part) const {
+double LatencyHistogram::quantile(double fraction) const {
     if (count_ == 0) return 0;
-    const auto wanted =
-        static_cast<std::uint64_t>(std::ceil(std::clamp(part, 0.0, 1.0) * static_cast<double>(count_)));
-    if (wanted >= count_) return most_;
-    std::uint64_t seen = 0;
+    const auto targetRank =
+        static_cast<std::uint64_t>(std::ceil(std::clamp(fraction, 0.0, 1.0) * static_cast<double>(count_)));
+    if (targetRank >= count_) return max_;
+    std::uint64_t cumulativeCount = 0;
     for (int bin = 0; bin < kBins; ++bin) {
-        seen += table_.at(bin);
-        if (seen >= std::max<std::uint64_t>(wanted, 1)) return middle(bin);
+        cumulativeCount += histogram_.at(bin);
+        if (cumulativeCount >= std::max<std::uint64_t>(targetRank, 1)) return binCenter(bin);
     }
-    return most_;
+    return max_;
 }
 
-std::uint64_t Latencies::above(double seconds) const {
+std::uint64_t LatencyHistogram::countAbove(double seconds) const {
     std::uint64_t result = 0;
-    for (int bin = kBins - 1; bin >= 0 && table_.axis(0).bin(bin).lower() >= seconds; --bin)
-        result += table_.at(bin);
+    for (int bin = kBins - 1; bin >= 0 && histogram_.axis(0).bin(bin).lower() >= seconds; --bin)
+        result += histogram_.at(bin);
     return result;
 }
 
-std::vector<std::pair<double, double>> Latencies::tail() const {
+std::vector<std::pair<double, double>> LatencyHistogram::tail() const {
     std::vector<std::pair<double, double>> points;
     if (count_ == 0) return points;
-    for (double part = 1; part * static_cast<double>(count_) >= 1; part *= std::pow(10, -0.125))
-        points.emplace_back(part, quantile(1 - part));
-    points.emplace_back(1 / static_cast<double>(count_), most_);
+    for (double fraction = 1; fraction * static_cast<double>(count_) >= 1; fraction *= std::pow(10, -0.125))
+        points.emplace_back(fraction, quantile(1 - fraction));
+    points.emplace_back(1 / static_cast<double>(count_), max_);
     return points;
 }
 
--- a/src/loadtest/load_clients.cpp
+++ b/src/loadtest/load_clients.cpp
@@ -252,12 +252,12 @@
     if (next_ && habits_.closed == 0) at = std::min(at, start_ + next_->arrival);
     if (armed_ > 0ns && at >= armed_) return;
     armed_ = at;
-    pace_.ringAt(at);
+    pace_.startAt(at);
 }
 
 void Clients::soon() {
     armed_ = clocks_.steady();
-    pace_.ringAt(armed_);
+    pace_.startAt(armed_);
 }
 
 // Each worker reads the whole plan and takes the requests of its own clients,
@@ -420,7 +420,7 @@
     fields["order"] = text;
     if (requestClass.idempotency == Idempotency::Idempotent)
         fields["entity"] = hex16(routing::splitMix64(planned.subject));
-    return writeServe(request.sequence, fields, bodyOf(planned, requestClass.callsPerRun, request.first));
+    return writeServeCall(request.sequence, fields, bodyOf(planned, requestClass.callsPerRun, request.first));
 }
 
 std::string Clients::scgiOf(const TrackedRequest& request, Duration now) const {
@@ -505,7 +505,7 @@
     // A kiosk that gives up closes its connection: so it is told.
     const bool kiosk = line.kiosk;
     if (habits_.forgets && line.connection && !kiosk) {
-        line.connection->send(writeForget(++line.sequence, request.sequence));
+        line.connection->send(writeCancel(++line.sequence, request.sequence));
         ++tally_.links.forgets;
     }
     line.forgotten.insert(request.sequence);
@@ -537,7 +537,7 @@
             end == End::Completed ? requestClass.value : requestClass.value * requestClass.lateValueFraction;
         tally.earned += earned;
         stretch.earned += earned;
-        if (!stretch.latencies) stretch.latencies = std::make_unique<Latencies>();
+        if (!stretch.latencies) stretch.latencies = std::make_unique<LatencyHistogram>();
         stretch.latencies->add(took);
         progress_.completed.fetch_add(1, std::memory_order_relaxed);
     }
@@ -736,7 +736,7 @@
                 line->connection = std::make_unique<net::Connection>(loop_, habits_.targets[target], *line,
                                                                      net::BufferLimits{65536, 65536});
             }
-            line->connection->send(writeIsWell(++line->sequence, habits_.thorough));
+            line->connection->send(writeHealthCheck(++line->sequence, habits_.thorough));
             line->open.emplace(line->sequence, 0);
         }
 }
--- a/src/loadtest/load_clients.h
+++ b/src/loadtest/load_clients.h
@@ -139,7 +139,7 @@
         agenda_;                               // one entry an open request: its patience or its next try
     std::vector<std::unique_ptr<Line>> gone_;  // connections that ended; emptied each pump
     std::function<void()> doneTold_;
-    Pace pace_;
+    PreciseTimer pace_;
 };
 
 }  // namespace cottonwing::loadtest
--- a/src/loadtest/load_run.cpp
+++ b/src/loadtest/load_run.cpp
@@ -283,7 +283,7 @@
             net::Loop loop;
             Clients clients(loop, terms.habits, terms.plan, number, terms.workers, tally, progress, clocks,
                             watcher);
-            Bell bell(loop, [&] {
+            CrossThreadWakeup bell(loop, [&] {
                 if (cut)
                     clients.cut();
                 else if (stop)
@@ -315,7 +315,7 @@
     void say(std::atomic<bool>& what) {
         what = true;
         const std::lock_guard hold(guard);
-        if (theBell != nullptr) theBell->ring();
+        if (theBell != nullptr) theBell->wake();
     }
 
     Tally tally;
@@ -325,7 +325,7 @@
     const int number;
     std::atomic<bool> stop{false}, cut{false};
     std::mutex guard;
-    Bell* theBell = nullptr;
+    CrossThreadWakeup* theBell = nullptr;
     std::string fault;  // read once the thread has ended
     std::thread thread;
 };
@@ -390,11 +390,12 @@
         if (!worker->fault.empty()) result.valid = false, result.why = worker->fault;
     }
     result.length = std::min(steadyNow() - startedAt_, terms_.plan.duration);
-    const Latencies& lag = result.tally.lag;
+    const LatencyHistogram& lag = result.tally.lag;
     if (lag.count() > 0)
         result.withinShare =
-            1 - static_cast<double>(lag.above(std::chrono::duration<double>(terms_.sendWithin).count())) /
-                    static_cast<double>(lag.count());
+            1 -
+            static_cast<double>(lag.countAbove(std::chrono::duration<double>(terms_.sendWithin).count())) /
+                static_cast<double>(lag.count());
     if (result.valid && terms_.habits.closed == 0 && result.withinShare < terms_.sendShare) {
         char text[200];
         std::snprintf(text, sizeof text,
@@ -416,14 +417,14 @@
 
 namespace {
 
-Json latenciesOf(const Latencies& of) {
+Json latenciesOf(const LatencyHistogram& of) {
     return {{"count", of.count()},
             {"mean_ms", of.mean() * 1e3},
             {"p50_ms", of.quantile(0.5) * 1e3},
             {"p90_ms", of.quantile(0.9) * 1e3},
             {"p99_ms", of.quantile(0.99) * 1e3},
             {"p999_ms", of.quantile(0.999) * 1e3},
-            {"max_ms", of.most() * 1e3}};
+            {"max_ms", of.max() * 1e3}};
 }
 
 Json endsOf(const std::array<std::uint64_t, kEnds>& ends) {
@@ -525,7 +526,7 @@
     add("%-16s %9s %9s %7s %8s %9s %9s %8s %7s %9s %9s %9s %9s\n", "profile", "commands", "handled", "late",
         "bounced", "scrapped", "no answer", "conn lost", "unsent", "p50 ms", "p99 ms", "p99.9 ms", "max ms");
     const auto row = [&](const std::string& name, std::uint64_t planned,
-                         const std::array<std::uint64_t, kEnds>& ends, const Latencies& of) {
+                         const std::array<std::uint64_t, kEnds>& ends, const LatencyHistogram& of) {
         const auto n = [&](End end) {
             return static_cast<unsigned long long>(ends[static_cast<std::size_t>(end)]);
         };
@@ -534,7 +535,7 @@
             name.substr(0, 16).c_str(), static_cast<unsigned long long>(planned), n(End::Completed),
             n(End::Late), n(End::Rejected), n(End::Failed), n(End::NoAnswer), n(End::ConnectionLost),
             n(End::NeverSent), of.quantile(0.5) * 1e3, of.quantile(0.99) * 1e3, of.quantile(0.999) * 1e3,
-            of.most() * 1e3);
+            of.max() * 1e3);
     };
     std::array<std::uint64_t, kEnds> ends{};
     std::uint64_t tries = 0;
@@ -549,7 +550,7 @@
         "most %.3f ms (%.3f%% within "
         "%.1f ms)\n",
         static_cast<unsigned long long>(tries), tally.lag.quantile(0.5) * 1e3, tally.lag.quantile(0.99) * 1e3,
-        tally.lag.quantile(0.999) * 1e3, tally.lag.most() * 1e3, result.withinShare * 100,
+        tally.lag.quantile(0.999) * 1e3, tally.lag.max() * 1e3, result.withinShare * 100,
         static_cast<double>(terms.sendWithin.count()) / 1e6);
     if (tally.badLines > 0)
         add("%llu lines of the trace could not be read\n", static_cast<unsigned long long>(tally.badLines));
--- a/src/loadtest/load_statistics.cpp
+++ b/src/loadtest/load_statistics.cpp
@@ -39,7 +39,7 @@
     tries += other.tries, open += other.open;
     earned += other.earned, value += other.value;
     if (!other.latencies) return;
-    if (!latencies) latencies = std::make_unique<Latencies>();
+    if (!latencies) latencies = std::make_unique<LatencyHistogram>();
     latencies->add(*other.latencies);
 }
 
@@ -127,8 +127,8 @@
     for (const RequestClassStats& requestClass : requestClasses) sum += requestClass.earned;
     return sum;
 }
-Latencies Tally::completed() const {
-    Latencies all;
+LatencyHistogram Tally::completed() const {
+    LatencyHistogram all;
     for (const RequestClassStats& requestClass : requestClasses) all.add(requestClass.fromSchedule);
     return all;
 }
--- a/src/loadtest/load_statistics.h
+++ b/src/loadtest/load_statistics.h
@@ -22,7 +22,7 @@
     std::array<std::uint64_t, kEnds> ends{};
     std::uint64_t planned = 0, tries = 0;
     double value = 0, earned = 0;  // of all planned; of those completed
-    Latencies fromSchedule,
+    LatencyHistogram fromSchedule,
         fromWrite;  // of what was completed: no coordinated omission; and as a plain
                     // client counts
     std::uint64_t ended() const;
@@ -34,7 +34,7 @@
     std::array<std::uint64_t, kEnds> ends{};
     std::uint64_t tries = 0, open = 0;  // open: the most at once, of one worker
     double earned = 0, value = 0;
-    std::unique_ptr<Latencies> latencies;  // of what was completed
+    std::unique_ptr<LatencyHistogram> latencies;  // of what was completed
     void add(const Stretch& other);
 };
 
@@ -77,8 +77,8 @@
 struct Tally {
     explicit Tally(const std::vector<RequestClassLoad>& requestClasses);
     std::vector<RequestClassStats> requestClasses;
-    Latencies lag;  // from a request's time to the write of its first bytes, or to
-                    // when it was found that it can't be
+    LatencyHistogram lag;  // from a request's time to the write of its first bytes, or to
+                           // when it was found that it can't be
     Series series;
     Broken broken;
     Links links;
@@ -88,7 +88,7 @@
     std::uint64_t of(End end) const;
     double value() const;
     double earned() const;
-    Latencies completed() const;
+    LatencyHistogram completed() const;
 };
 
 }  // namespace cottonwing::loadtest
--- a/src/loadtest/main.cpp
+++ b/src/loadtest/main.cpp
@@ -118,16 +118,17 @@
     return all;
 }
 
-Json ratioJson(const Ratio& ratio) {
-    Json all = {{"mean", ratio.mean}, {"low", ratio.low}, {"pairs", ratio.pairs}, {"told", ratio.told}};
+Json ratioJson(const PairedRatio& ratio) {
+    Json all = {
+        {"mean", ratio.mean}, {"low", ratio.low}, {"pairs", ratio.pairs}, {"told", ratio.significant}};
     all["high"] = std::isfinite(ratio.high) ? Json(ratio.high) : Json("unbounded");
     return all;
 }
 
-std::string ratioText(const Ratio& ratio) {
+std::string ratioText(const PairedRatio& ratio) {
     char text[200];
     std::snprintf(text, sizeof text, "A over B: %.3f, 95%% interval %.3f to %.3f (%zu pairs)%s", ratio.mean,
-                  ratio.low, ratio.high, ratio.pairs, ratio.told ? "" : ": chance may explain it");
+                  ratio.low, ratio.high, ratio.pairs, ratio.significant ? "" : ": chance may explain it");
     return text;
 }
 
@@ -201,7 +202,7 @@
             results["plays"].push_back(std::move(result.figures));
         }
     if (!wishes.vs.empty()) {
-        const Ratio ratio = ratioOf(earned[0], earned[1]);
+        const PairedRatio ratio = compareInPairs(earned[0], earned[1]);
         results["ratio"] = ratioJson(ratio);
         if (wishes.json != "-") std::cout << ratioText(ratio) << "\n";
     }
@@ -238,7 +239,7 @@
             std::printf("%s: %.1f%% and %.1f%%\n", play.c_str(), share * 100, other->second * 100);
         }
     if (pairs[0].empty()) throw std::runtime_error("the two have no experiment with the same name and seed");
-    std::cout << ratioText(ratioOf(pairs[0], pairs[1])) << std::endl;
+    std::cout << ratioText(compareInPairs(pairs[0], pairs[1])) << std::endl;
     return 0;
 }
 
--- a/src/loadtest/paired_comparison.h
+++ b/src/loadtest/paired_comparison.h
@@ -7,15 +7,15 @@
 
 namespace cottonwing::loadtest {
 
-struct Ratio {
+struct PairedRatio {
     double mean = 1, low = 1,
            high = 1;  // of A over B: the geometric mean and its 95% interval
     std::size_t pairs = 0;
-    bool told = false;  // 1 lies outside the interval
+    bool significant = false;  // 1 lies outside the interval
 };
 
 // Pairs in the same order, each above 0; with one pair the interval is all
 // there is. By Student's t on the logarithms, as the days differ by factors.
-Ratio ratioOf(const std::vector<double>& a, const std::vector<double>& b);
+PairedRatio compareInPairs(const std::vector<double>& a, const std::vector<double>& b);
 
 }  // namespace cottonwing::loadtest
--- a/src/loadtest/precise_timer.h
+++ b/src/loadtest/precise_timer.h
@@ -11,13 +11,13 @@
 // The clock that never goes back.
 Duration steadyNow();
 
-class Pace {
+class PreciseTimer {
 public:
-    Pace(net::Loop& loop, std::function<void()> rings);
-    ~Pace();
-    Pace(const Pace&) = delete;
-    Pace& operator=(const Pace&) = delete;
-    void ringAt(Duration steady);  // the last call counts
+    PreciseTimer(net::Loop& loop, std::function<void()> onFire);
+    ~PreciseTimer();
+    PreciseTimer(const PreciseTimer&) = delete;
+    PreciseTimer& operator=(const PreciseTimer&) = delete;
+    void startAt(Duration deadline);  // the last call counts
     void stop();
 
 private:
@@ -26,13 +26,13 @@
 };
 
 // Rung from any thread, it rings on the loop's own.
-class Bell {
+class CrossThreadWakeup {
 public:
-    Bell(net::Loop& loop, std::function<void()> rings);
-    ~Bell();
-    Bell(const Bell&) = delete;
-    Bell& operator=(const Bell&) = delete;
-    void ring();
+    CrossThreadWakeup(net::Loop& loop, std::function<void()> onWake);
+    ~CrossThreadWakeup();
+    CrossThreadWakeup(const CrossThreadWakeup&) = delete;
+    CrossThreadWakeup& operator=(const CrossThreadWakeup&) = delete;
+    void wake();
 
 private:
     struct Handle;
--- a/src/loadtest/thrift_client_codec.h
+++ b/src/loadtest/thrift_client_codec.h
@@ -13,16 +13,16 @@
 struct ClientResponse {
     enum class Kind { Answer, Busy, Failed, Exception, Goaway } kind = Kind::Exception;
     std::int32_t sequence = 0;
-    bool health = false;  // an answer to isWell
+    bool isHealthCheck = false;  // an answer to isWell
     bool good = false;
     std::string body;
     thrift::Fields fields;
 };
 
 // Whole frames.
-std::string writeServe(std::int32_t sequence, const thrift::Fields& fields, std::string_view body);
-std::string writeForget(std::int32_t sequence, std::int32_t which);
-std::string writeIsWell(std::int32_t sequence, bool thorough);
+std::string writeServeCall(std::int32_t sequence, const thrift::Fields& fields, std::string_view body);
+std::string writeCancel(std::int32_t sequence, std::int32_t cancelledSequence);
+std::string writeHealthCheck(std::int32_t sequence, bool deep);
 
 // The content of one frame; nothing when it is none that a server of ours may
 // send.
--- a/tests/loadtest/experiment_test.cpp
+++ b/tests/loadtest/experiment_test.cpp
@@ -330,14 +330,14 @@
 // ---- a morning ------------------------------------------------------------------------------------------
 
 TEST(Ratios, TellChanceFromADifference) {
-    const Ratio same = ratioOf({0.50, 0.61, 0.55}, {0.52, 0.60, 0.54});
-    EXPECT_FALSE(same.told);
+    const PairedRatio same = compareInPairs({0.50, 0.61, 0.55}, {0.52, 0.60, 0.54});
+    EXPECT_FALSE(same.significant);
     EXPECT_NEAR(same.mean, 1, 0.02);
-    const Ratio better = ratioOf({0.66, 0.77, 0.71}, {0.60, 0.70, 0.65});
-    EXPECT_TRUE(better.told);
+    const PairedRatio better = compareInPairs({0.66, 0.77, 0.71}, {0.60, 0.70, 0.65});
+    EXPECT_TRUE(better.significant);
     EXPECT_NEAR(better.mean, 1.1, 0.01);
     EXPECT_GT(better.low, 1.05);
-    EXPECT_TRUE(std::isinf(ratioOf({1}, {2}).high));
+    EXPECT_TRUE(std::isinf(compareInPairs({1}, {2}).high));
 }
 
 constexpr const char* kMorning = R"(
--- a/tests/loadtest/load_run_test.cpp
+++ b/tests/loadtest/load_run_test.cpp
@@ -224,7 +224,7 @@
 
 RC_GTEST_PROP(Histograms, QuantilesAreWithinHalfAPercent, ()) {
     std::vector<std::int64_t> times;
-    Latencies one, other;
+    LatencyHistogram one, other;
     for (int n = 1 + upTo(300); n > 0; --n) {
         times.push_back(1000 + static_cast<std::int64_t>(std::pow(10, upTo(800) / 100.0)) * (1 + upTo(99)));
         (upTo(1) ? one : other).add(Duration(times.back()));
@@ -232,7 +232,7 @@
     one.add(other);
     std::sort(times.begin(), times.end());
     RC_ASSERT(one.count() == times.size());
-    RC_ASSERT(std::abs(one.most() * 1e9 - static_cast<double>(times.back())) < 1);
+    RC_ASSERT(std::abs(one.max() * 1e9 - static_cast<double>(times.back())) < 1);
     for (const double part : {0.0, 0.5, 0.9, 0.99, 1.0}) {
         const auto rank =
             static_cast<std::size_t>(std::max(1.0, std::ceil(part * static_cast<double>(times.size()))));
@@ -247,7 +247,7 @@
         Stretch& stretch = series.at(second * 1s);
         ++stretch.ends[0];
         stretch.open = std::max<std::uint64_t>(stretch.open, static_cast<std::uint64_t>(second % 7));
-        if (!stretch.latencies) stretch.latencies = std::make_unique<Latencies>();
+        if (!stretch.latencies) stretch.latencies = std::make_unique<LatencyHistogram>();
         stretch.latencies->add(1ms);
     }
     EXPECT_LE(series.stretches().size(), Series::kMost);
@@ -277,7 +277,7 @@
         thread_ = std::thread([this, terms, &bound] {
             net::Loop loop;
             Answering answering(loop, {"127.0.0.1", 0}, terms);
-            Bell bell(loop, [&] { loop.stop(); });
+            CrossThreadWakeup bell(loop, [&] { loop.stop(); });
             bell_ = &bell;
             bound.set_value(answering.address());
             loop.run();
@@ -289,7 +289,7 @@
     ~Elsewhere() { stop(); }
     void stop() {
         if (!thread_.joinable()) return;
-        bell_->ring();
+        bell_->wake();
         thread_.join();
     }
     std::string to() const { return "to \"" + at.host + ":" + std::to_string(at.port) + "\""; }
@@ -299,7 +299,7 @@
 
 private:
     std::thread thread_;
-    Bell* bell_ = nullptr;
+    CrossThreadWakeup* bell_ = nullptr;
 };
 
 void expectAddsUp(const LoadResult& result) {
@@ -379,7 +379,7 @@
         untilRead.push_back(std::chrono::duration<double>(read - due).count());
     }
     ASSERT_EQ(untilRead.size(), 1000U);
-    const Latencies told = result.tally.completed();
+    const LatencyHistogram told = result.tally.completed();
     for (const double part : {0.5, 0.99, 0.999, 1.0}) {
         EXPECT_NEAR(told.quantile(part) / exactQuantile(untilRead, part), 1, 0.01) << part;
         EXPECT_GT(told.quantile(part) / exactQuantile(untilSent, part), 0.99) << part;
@@ -498,7 +498,7 @@
     const LoadResult result = play(*terms, {}, clocks);
     expectAddsUp(result);
     EXPECT_EQ(result.tally.of(End::Completed), result.tally.planned());
-    EXPECT_LT(result.tally.completed().most(), 1.0);
+    EXPECT_LT(result.tally.completed().max(), 1.0);
 }
 
 // The worker itself gets no time for a while, as on a machine with too few cores.
@@ -521,7 +521,7 @@
     expectAddsUp(result);
     EXPECT_FALSE(result.valid);
     EXPECT_NE(result.why.find("were sent within 20.0 ms"), std::string::npos);
-    EXPECT_GT(result.tally.completed().most(), 0.2)
+    EXPECT_GT(result.tally.completed().max(), 0.2)
         << "its own lateness is in the latency of what it sent late";
 }
 
--- a/tests/soak/soak_run.cpp
+++ b/tests/soak/soak_run.cpp
@@ -129,7 +129,7 @@
 
 void SoakRun::at(Duration time, std::function<void()> what) {
     agenda_.at(time, [this, life = recorder_.lifeNumber(), what = std::move(what)] {
-        if (isCurrent(life) && process_ && process_->there()) what();
+        if (isCurrent(life) && process_ && process_->running()) what();
     });
 }
 
@@ -147,7 +147,7 @@
     registry_.behave(plan.registrySilent, plan.registryDelay);
     writeConfig(PlannedSignal::File::Same);
     recorder_.note("process", "starts, life " + std::to_string(number));
-    process_ = std::make_unique<loadtest::Process>(
+    process_ = std::make_unique<loadtest::ChildProcess>(
         loop_, program_, std::vector<std::string>{},
         std::map<std::string, std::string>{{"GW_NAME", "n3"},
                                            {"GW_LISTEN", textOf(listen_)},
@@ -219,7 +219,7 @@
 void SoakRun::sendSignal(const PlannedSignal& planned) {
     if (planned.number == SIGHUP) writeConfig(planned.file);
     recorder_.note("process", planned.number == SIGHUP ? "SIGHUP" : "SIGTERM");
-    process_->signal(planned.number);
+    process_->sendSignal(planned.number);
     ++signalsSent_;
     if (planned.number != SIGTERM || recorder_.life().terminated) return;
     const Duration now = net::unixNow();
@@ -237,7 +237,7 @@
         if (stoppedAt_ || left > 0ns) return killAfter(std::max<Duration>(left, kTick));
         recorder_.life().killed = now;
         recorder_.note("process", "SIGKILL");
-        process_->signal(SIGKILL);
+        process_->sendSignal(SIGKILL);
     });
 }
 
@@ -251,9 +251,9 @@
 void SoakRun::stopProcess(Duration length) {
     stoppedAt_ = net::unixNow();
     recorder_.note("process", "SIGSTOP");
-    process_->signal(SIGSTOP);
+    process_->sendSignal(SIGSTOP);
     at(*stoppedAt_ + length, [this] {
-        process_->signal(SIGCONT);
+        process_->sendSignal(SIGCONT);
         recorder_.note("process", "SIGCONT");
         endPause();
     });
@@ -269,7 +269,7 @@
     recorder_.life().killedOutright = true;
     recorder_.life().killed = net::unixNow();
     recorder_.note("process", "SIGKILL outright");
-    process_->signal(SIGKILL);
+    process_->sendSignal(SIGKILL);
     endPause();
 }
 
@@ -305,11 +305,11 @@
 }
 
 void SoakRun::observeProcess(Duration now) {
-    if (now < nextLook_ || !process_ || !process_->there()) return;
+    if (now < nextLook_ || !process_ || !process_->running()) return;
     nextLook_ = now + kLookInterval;
     Life& life = recorder_.life();
     life.mostMemoryMb = std::max(life.mostMemoryMb, process_->memoryMb());
-    life.mostDescriptors = std::max(life.mostDescriptors, descriptorsOf(process_->id()));
+    life.mostDescriptors = std::max(life.mostDescriptors, descriptorsOf(process_->pid()));
 }
 
 std::string SoakRun::logOf(std::size_t life) const {
--- a/tests/soak/soak_run.h
+++ b/tests/soak/soak_run.h
@@ -65,7 +65,7 @@
     DependencyPeer dependency_;
     RegistryPeer registry_;
     Clients clients_;
-    std::unique_ptr<loadtest::Process> process_;
+    std::unique_ptr<loadtest::ChildProcess> process_;
     net::Timer timer_;
     net::Address listen_;
     Duration lastTick_{0}, nextLook_{0};
