--- a/src/loadtest/child_process.cpp
+++ b/src/loadtest/child_process.cpp
@@ -24,8 +24,7 @@
     : handle_(new Handle{{}, std::move(onExit), false, true}) {
     std::vector<std::string> variables;
     for (const auto& [name, value] : environment) variables.push_back(name + "=" + value);
-    // What the tools around a build need of ours: sanitizers' options, and where
-    // libraries are.
+    // Variables that are passed on because builds with sanitizers or local libraries need them.
     for (const char* name : {"PATH", "ASAN_OPTIONS", "UBSAN_OPTIONS", "LD_LIBRARY_PATH", "TMPDIR"})
         if (const char* value = std::getenv(name)) variables.push_back(std::string(name) + "=" + value);
     std::vector<char*> environmentPointers;
@@ -85,7 +84,7 @@
     std::ifstream in("/proc/" + std::to_string(pid()) + "/stat");
     std::string all;
     std::getline(in, all);
-    const std::size_t end = all.rfind(')');  // the name may hold blanks
+    const std::size_t end = all.rfind(')');  // the process name may contain spaces
     if (!handle_->there || end == all.npos) return 0;
     long long user = 0, system = 0;
     if (std::sscanf(all.c_str() + end + 1, " %*c %*d %*d %*d %*d %*d %*u %*u %*u %*u %*u %lld %lld", &user,
--- a/src/loadtest/child_process.h
+++ b/src/loadtest/child_process.h
@@ -1,5 +1,5 @@
-// A process that we started: told by signals, looked at through the system's
-// own files, waited for.
+/// @file
+/// A child process: started, signalled, measured through /proc and waited for.
 #pragma once
 
 #include <functional>
@@ -11,23 +11,26 @@
 
 namespace cottonwing::loadtest {
 
+/// Runs one program; its exit is reported on the loop.
 class ChildProcess {
 public:
-    // Its output is appended to the file. Throws std::runtime_error where it
-    // can't be started.
+    /// Starts the program. Standard output and standard error are appended to the file `output`. The callback
+    /// is not called if the object is destroyed first. Throws std::runtime_error if the file can't be opened
+    /// or the program can't be started.
     ChildProcess(net::Loop& loop, const std::string& program, std::vector<std::string> arguments,
                  const std::map<std::string, std::string>& environment, const std::string& output,
                  std::function<void(int code, int signal)> onExit);
-    ~ChildProcess();  // killed, if it is still there
+    /// Kills the process if it is still running.
+    ~ChildProcess();
     ChildProcess(const ChildProcess&) = delete;
     ChildProcess& operator=(const ChildProcess&) = delete;
 
     void sendSignal(int number);
     bool running() const;
     int pid() const;
-    // Of the system's books: seconds of CPU so far and resident megabytes; 0
-    // where it is gone.
+    /// The CPU time used so far, user and system; 0 if the process has ended.
     double cpuSeconds() const;
+    /// The resident memory in MiB; 0 if the process has ended.
     double memoryMb() const;
 
 private:
--- a/src/loadtest/latency_histogram.cpp
+++ b/src/loadtest/latency_histogram.cpp
@@ -13,8 +13,8 @@
 
 void LatencyHistogram::add(Duration time) {
     const double seconds = std::max(0.0, std::chrono::duration<double>(time).count());
-    // Below the first bin it is told from nothing all the same; above the last
-    // one the most tells.
+    // Values outside the range are counted in the first and the last bin. Below the first bin they are
+    // indistinguishable from 0 anyway; above the last bin, the exact maximum is kept.
     histogram_(std::clamp(seconds, kMinSeconds, kMaxSeconds * (1 - 1e-9)));
     ++count_;
     sum_ += seconds;
--- a/src/loadtest/latency_histogram.h
+++ b/src/loadtest/latency_histogram.h
@@ -1,6 +1,6 @@
-// A histogram of times: logarithmic bins that are 0.4% wide, from a microsecond
-// to a thousand seconds, in bounded memory. Least, most, count and sum are
-// exact.
+/// @file
+/// A latency histogram with bounded memory: logarithmic bins that are 0.4% wide, from 1 µs to 1000 s.
+/// Minimum, maximum, count and sum are exact.
 #pragma once
 
 #include <boost/histogram.hpp>
@@ -12,25 +12,25 @@
 
 namespace cottonwing::loadtest {
 
+/// All quantiles and bounds are in seconds; they are 0 if the histogram is empty.
 class LatencyHistogram {
 public:
-    static constexpr double kMinSeconds = 1e-6, kMaxSeconds = 1e3;  // seconds
-    static constexpr int kBins = 5190;                              // so that a bin is 0.4% wide
+    static constexpr double kMinSeconds = 1e-6, kMaxSeconds = 1e3;
+    static constexpr int kBins = 5190;  // makes a bin 0.4% wide
 
     LatencyHistogram();
     void add(Duration time);
     void add(const LatencyHistogram& other);
     std::uint64_t count() const { return count_; }
-    // In seconds; 0 where nothing was added. A quantile is off by half a bin at
-    // most.
+    /// The error is at most half the width of a bin.
     double quantile(double fraction) const;
     double min() const { return count_ == 0 ? 0 : min_; }
     double max() const { return max_; }
     double mean() const { return count_ == 0 ? 0 : sum_ / static_cast<double>(count_); }
-    // How many took longer than that, to the width of a bin.
+    /// The number of latencies above a limit, accurate to the width of a bin.
     std::uint64_t countAbove(double seconds) const;
-    // For a tail curve: (part of all that took longer, seconds), a point a
-    // quarter of a decade or less.
+    /// The points of a tail curve: (fraction of all latencies that were longer, seconds), at most a quarter
+    /// of a decade apart.
     std::vector<std::pair<double, double>> tail() const;
 
 private:
--- a/src/loadtest/load_curve.cpp
+++ b/src/loadtest/load_curve.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr double kSliceSeconds = 1e-3;  // seconds for which a rate is taken to stand still
+constexpr double kSliceSeconds = 1e-3;  // the rate is taken as constant within a slice
 
 double readRateOrFactor(const kdl::Value& value, bool allowFactors) {
     if (allowFactors && value.kind == kdl::Value::Kind::Number && (value.unit.empty() || value.unit == "%"))
@@ -31,7 +31,7 @@
         return on ? onRate : offRate;
     }
     double onRate = 0, offRate = 0, meanOnSeconds = 1, meanOffSeconds = 1, stateEndSeconds = 0;
-    bool on = true;  // begins off: the first look turns it
+    bool on = true;  // the first call of at() toggles it, so a burst curve begins in the off state
     RandomGenerator random;
 };
 
@@ -150,9 +150,9 @@
     remainingIntegral_ = spacing_ == Spacing::Poisson ? drawExponential(random_) : 0.5;
 }
 
-// The time at which the integral of the rate has grown by what is owed: 1 for
-// even spacing, exponential for Poisson; piece by piece, each with the rate in
-// its middle.
+// An arrival occurs each time the integral of the rate has grown by 1 (even spacing) or by an exponentially
+// distributed amount of mean 1 (Poisson). The integral is computed slice by slice with the rate at the middle
+// of the slice.
 std::optional<Duration> ArrivalGenerator::next() {
     while (true) {
         if (seconds_ >= sliceEndSeconds_) {
--- a/src/loadtest/paired_comparison.cpp
+++ b/src/loadtest/paired_comparison.cpp
@@ -8,7 +8,7 @@
 namespace cottonwing::loadtest {
 
 PairedRatio compareInPairs(const std::vector<double>& a, const std::vector<double>& b) {
-    constexpr double kMinValue = 1e-9;  // nothing earned is no reason for no figure
+    constexpr double kMinValue = 1e-9;  // a result of 0 must not make the ratio undefined
     PairedRatio ratio;
     ratio.pairs = std::min(a.size(), b.size());
     if (ratio.pairs == 0) return ratio;
--- a/src/loadtest/precise_timer.cpp
+++ b/src/loadtest/precise_timer.cpp
@@ -49,7 +49,7 @@
 }
 
 void PreciseTimer::startAt(Duration deadline) {
-    const std::int64_t at = std::max<std::int64_t>(deadline.count(), 1);  // 0 would stop it
+    const std::int64_t at = std::max<std::int64_t>(deadline.count(), 1);  // 0 would disarm the timer
     itimerspec when{};
     when.it_value.tv_sec = static_cast<time_t>(at / 1000000000);
     when.it_value.tv_nsec = static_cast<long>(at % 1000000000);
--- a/src/loadtest/precise_timer.h
+++ b/src/loadtest/precise_timer.h
@@ -1,5 +1,6 @@
-// A timer finer than the loop's whole milliseconds, on the system's own: wakes
-// within some tens of microseconds.
+/// @file
+/// A timer on timerfd that is finer than the loop's whole milliseconds: it fires within some tens of
+/// microseconds of its deadline. Also a wake-up of the loop from other threads.
 #pragma once
 
 #include <functional>
@@ -8,16 +9,20 @@
 
 namespace cottonwing::loadtest {
 
-// The clock that never goes back.
+/// The time of the monotonic clock.
 Duration steadyNow();
 
+/// Fires once per startAt(). Does not keep the loop running.
 class PreciseTimer {
 public:
+    /// The callback runs on the loop and may destroy the timer. Throws std::runtime_error if the system has
+    /// no timer left.
     PreciseTimer(net::Loop& loop, std::function<void()> onFire);
     ~PreciseTimer();
     PreciseTimer(const PreciseTimer&) = delete;
     PreciseTimer& operator=(const PreciseTimer&) = delete;
-    void startAt(Duration deadline);  // the last call counts
+    /// Schedules the timer for a time of steadyNow(); replaces an earlier deadline that has not been reached.
+    void startAt(Duration deadline);
     void stop();
 
 private:
@@ -25,13 +30,14 @@
     Handle* handle_;
 };
 
-// Rung from any thread, it rings on the loop's own.
+/// Runs a callback on the loop's thread on request of any thread.
 class CrossThreadWakeup {
 public:
     CrossThreadWakeup(net::Loop& loop, std::function<void()> onWake);
     ~CrossThreadWakeup();
     CrossThreadWakeup(const CrossThreadWakeup&) = delete;
     CrossThreadWakeup& operator=(const CrossThreadWakeup&) = delete;
+    /// May be called from any thread; calls before the callback has run may be merged into one.
     void wake();
 
 private:
--- a/src/loadtest/random_distributions.cpp
+++ b/src/loadtest/random_distributions.cpp
@@ -6,7 +6,8 @@
 namespace cottonwing::loadtest {
 
 namespace {
-constexpr double kP99StandardDeviations = 2.3263478740408408;  // standard deviations above the median
+constexpr double kP99StandardDeviations =
+    2.3263478740408408;  // the 99th percentile of the standard normal distribution
 }
 
 RandomGenerator makeRandomGenerator(std::uint64_t seed, RandomStream stream, std::uint64_t number) {
@@ -105,7 +106,7 @@
             return std::exp(a_ + b_ * radius * std::cos(angle));
         }
         case Kind::Pareto: {
-            const double tail = std::pow(a_ / max_, b_);  // left out, so that nothing is above the largest
+            const double tail = std::pow(a_ / max_, b_);  // the part above the maximum, which is cut off
             return a_ / std::pow(1 - drawUniform(random) * (1 - tail), 1 / b_);
         }
     }
@@ -128,8 +129,7 @@
     }
 }
 
-// Rejection-inversion for monotone discrete distributions, as Hörmann and
-// Derflinger published it (1996).
+// Rejection-inversion for monotone discrete distributions (Hörmann and Derflinger, 1996).
 Zipf::Zipf(std::uint64_t count, double exponent)
     : count_(std::max<std::uint64_t>(count, 1)), exponent_(exponent) {
     integralFirst_ = integral(1.5) - 1;
--- a/src/loadtest/request_schedule.cpp
+++ b/src/loadtest/request_schedule.cpp
@@ -81,8 +81,7 @@
     std::uint64_t number_ = 0;
 };
 
-// Columns of a trace: a time may be given in any of these units, by the end of
-// its name.
+// The unit of a time column of a trace is given by the suffix of its name.
 const std::vector<std::pair<std::string, double>> kUnitSuffixes = {
     {"_ns", 1}, {"_us", 1e3}, {"_ms", 1e6}, {"_s", 1e9}};
 
@@ -98,9 +97,8 @@
             requestClassIndexes_[config.requestClasses[at].name] = static_cast<int>(at);
     }
 
-    // Copies lie in the gap behind their original, so rows come out by time
-    // through a short queue: it holds what lies before the row that was read
-    // last.
+    // Copies are placed in the gap after their original. A short queue puts them in order of time: a request
+    // leaves it once all rows up to its arrival time have been read.
     std::optional<ScheduledRequest> next() override {
         while (!ended_ && (ready_.empty() || ready_.top().arrival > readyUntil_)) readRow();
         if (ready_.empty()) return std::nullopt;
@@ -168,7 +166,8 @@
                 copied.arrival += Duration(static_cast<std::int64_t>(
                     drawUniform(random_) *
                     static_cast<double>(std::min(gap, Duration(std::chrono::milliseconds(10))).count())));
-                copied.subject += static_cast<std::uint64_t>(copy) << 40;  // another client's
+                // A copy belongs to another client.
+                copied.subject += static_cast<std::uint64_t>(copy) << 40;
             }
             ready_.push(copied);
         }
@@ -323,8 +322,8 @@
     std::map<std::string, int> requestClassIndexes_;
     std::vector<std::string> columns_;
     std::priority_queue<ScheduledRequest, std::vector<ScheduledRequest>, ArrivesLater>
-        ready_;                                // of one gap of the trace
-    std::optional<ScheduledRequest> pending_;  // its gap is not known yet
+        ready_;                                // ordered by arrival; holds one gap of the trace
+    std::optional<ScheduledRequest> pending_;  // the gap after it is known once the next row is read
     std::size_t lineNumber_ = 0;
     Duration lastTraceTime_{0}, readyUntil_{-1};
     std::uint64_t number_ = 0, copyNumber_ = 0, skippedLines_ = 0;
--- a/src/loadtest/thrift_client_codec.cpp
+++ b/src/loadtest/thrift_client_codec.cpp
@@ -48,8 +48,7 @@
     if (kind == kException) return response;
     if (kind != kReply || (name != "serve" && name != "isWell")) return std::nullopt;
     bool seen = false, complete = true;
-    // The result is a struct with one field: the answer, or one of the
-    // exceptions.
+    // The result is a struct with a single field: the answer, or one of the declared exceptions.
     in.fields([&](std::int16_t id, std::uint8_t type) {
         if (type != kStruct || id < 0 || id > 2 || seen) return false;
         seen = true;
