--- a/src/loadtest/load_curve.cpp
+++ b/src/loadtest/load_curve.cpp
@@ -57,7 +57,7 @@
     const auto need = [&](const char* name) -> const kdl::Value& {
         if (const kdl::Value* value = in.property(name)) return *value;
         throw kdl::DocumentError(node.location, "'" + node.name + "' was found without '" + name + "='",
-                                 "'" + std::string(name) + "=' was expected behind it");
+                                 "'" + std::string(name) + "=' was expected after it");
     };
     const auto rateOf = [&](const char* name) { return readRateOrFactor(need(name), allowFactors); };
     const auto timeOf = [&](const char* name) { return secondsOf(need(name)); };
@@ -111,9 +111,9 @@
     } else if (node.name == "times") {
         result = readCombined(in, true, allowFactors, seed, number);
     } else {
-        throw kdl::DocumentError(node.location, "'" + node.name + "' was found",
-                                 "one of steady, ramp, climb, spike, wave, steps, "
-                                 "bursts, plus, times was expected");
+        throw kdl::DocumentError(
+            node.location, "'" + node.name + "' was found",
+            "one of steady, ramp, climb, spike, wave, steps, bursts, plus, times was expected");
     }
     in.rejectUnknown();
     return result;
@@ -127,10 +127,9 @@
         result->parts.push_back(
             readCurve(*part, allowFactors || (multiply && !result->parts.empty()), seed, number));
     if (result->parts.empty())
-        throw kdl::DocumentError(node.node().location,
-                                 "'" + node.node().name + "' was found with nothing in it",
-                                 "one of steady, ramp, climb, spike, wave, steps, "
-                                 "bursts, plus, times was expected in it");
+        throw kdl::DocumentError(
+            node.node().location, "'" + node.node().name + "' was found without children",
+            "one of steady, ramp, climb, spike, wave, steps, bursts, plus, times was expected in it");
     return result;
 }
 
--- a/src/loadtest/precise_timer.cpp
+++ b/src/loadtest/precise_timer.cpp
@@ -25,7 +25,7 @@
     handle_->descriptor = timerfd_create(CLOCK_MONOTONIC, TFD_NONBLOCK | TFD_CLOEXEC);
     if (handle_->descriptor < 0) {
         delete handle_;
-        throw std::runtime_error(std::string("timer: ") + std::strerror(errno));
+        throw std::runtime_error(std::string("a timer can't be created: ") + std::strerror(errno));
     }
     uv_poll_init(loop.uvLoop(), &handle_->poll, handle_->descriptor);
     handle_->poll.data = handle_;
--- a/src/loadtest/precise_timer.h
+++ b/src/loadtest/precise_timer.h
@@ -15,8 +15,8 @@
 /// Fires once per startAt(). Does not keep the loop running.
 class PreciseTimer {
 public:
-    /// The callback runs on the loop and may destroy the timer. Throws std::runtime_error if the system has
-    /// no timer left.
+    /// The callback runs on the loop and may destroy the timer. Throws std::runtime_error if the timer
+    /// can't be created.
     PreciseTimer(net::Loop& loop, std::function<void()> onFire);
     ~PreciseTimer();
     PreciseTimer(const PreciseTimer&) = delete;
--- a/src/loadtest/random_distributions.cpp
+++ b/src/loadtest/random_distributions.cpp
@@ -47,7 +47,7 @@
     const auto need = [&](const char* name) -> const kdl::Value& {
         if (const kdl::Value* value = node.property(name)) return *value;
         throw kdl::DocumentError(first.location, "'" + first.text + "' was found without '" + name + "='",
-                                 "'" + std::string(name) + "=' was expected behind it");
+                                 "'" + std::string(name) + "=' was expected after it");
     };
     const auto positive = [&](const kdl::Value& value, double number) {
         if (!(number > 0))
@@ -57,12 +57,12 @@
     };
     switch (result.kind_) {
         case Kind::Uniform:
-            result.a_ = readValue(node.argument(1, "the least value"));
-            result.b_ = readValue(node.argument(2, "the largest value"));
+            result.a_ = readValue(node.argument(1, "the minimum"));
+            result.b_ = readValue(node.argument(2, "the maximum"));
             if (result.b_ < result.a_)
                 throw kdl::DocumentError(node.argument(2, "").location,
-                                         "the largest value was found below the least one",
-                                         "the least one was expected first");
+                                         "a maximum below the minimum was found",
+                                         "the minimum was expected first");
             break;
         case Kind::Exponential:
             result.a_ = positive(need("mean"), readValue(need("mean")));
@@ -82,9 +82,8 @@
             result.b_ = positive(need("shape"), kdl::number(need("shape")));
             result.max_ = readValue(need("most"));
             if (result.max_ <= result.a_)
-                throw kdl::DocumentError(need("most").location,
-                                         "a largest value not above the least one was found",
-                                         "a larger one was expected");
+                throw kdl::DocumentError(need("most").location, "'most' was found not above 'least'",
+                                         "a larger 'most' was expected");
             break;
         case Kind::Constant:
             break;
--- a/src/loadtest/request_schedule.cpp
+++ b/src/loadtest/request_schedule.cpp
@@ -124,7 +124,7 @@
     void readRow() {
         std::string text;
         if (!std::getline(in_, text)) {
-            if (in_.bad()) throwError("the trace can't be read on");
+            if (in_.bad()) throwError("the trace can't be read: input error after this line");
             ended_ = true;
             if (pending_) enqueueCopies(*pending_, Duration(std::chrono::milliseconds(10)));
             pending_.reset();
@@ -138,9 +138,8 @@
             ScheduledRequest request = toRequest(text.front() == '{' ? fromJson(text) : fromCsv(text));
             if (request.arrival < lastTraceTime_)
                 throwError(
-                    "a time before that of an earlier line was found, times that never "
-                    "go back were "
-                    "expected");
+                    "a time before that of an earlier line was found, "
+                    "times in ascending order were expected");
             lastTraceTime_ = request.arrival;
             if (request.arrival < trace_.from || request.arrival >= trace_.until) return;
             request.arrival = Duration(std::llround(
@@ -186,10 +185,8 @@
                                                             "call", "rank",    "fails"};
             if (std::find(kNames.begin(), kNames.end(), base) == kNames.end())
                 throwError("the column '" + name +
-                           "' was found, one of time_s, profile, customer, subject, cost_ms, "
-                           "size, "
-                           "held_kb, patience_ms, mark, hint_ms, call_ms, rank, fails was "
-                           "expected");
+                           "' was found, one of time_s, profile, customer, subject, cost_ms, size, "
+                           "held_kb, patience_ms, mark, hint_ms, call_ms, rank, fails was expected");
             static const std::vector<std::string> kTimes = {"time", "cost", "patience", "hint", "call"};
             if (base == name && std::find(kTimes.begin(), kTimes.end(), base) != kTimes.end())
                 throwError("the column '" + name + "' was found without a unit, " + name +
@@ -199,7 +196,7 @@
         for (const char* required : {"time", "profile"})
             if (!known.contains(required))
                 throwError(std::string("no column '") + required +
-                           "' was found in the first line, one was expected");
+                           "' was found in the header, one was expected");
         headerMalformed_ = false;
     }
 
@@ -224,7 +221,7 @@
         const auto parts = splitCsv(text);
         if (parts.size() != columns_.size())
             throwError(std::to_string(parts.size()) + " values were found, " +
-                       std::to_string(columns_.size()) + " were expected as in the first line");
+                       std::to_string(columns_.size()) + " were expected as in the header");
         Row row;
         for (std::size_t at = 0; at < parts.size(); ++at) row[columns_[at]] = parts[at];
         return row;
@@ -232,7 +229,8 @@
 
     Row fromJson(const std::string& text) const {
         const auto all = nlohmann::json::parse(text, nullptr, false);
-        if (!all.is_object()) throwError("a line that is no JSON object was found");
+        if (!all.is_object())
+            throwError("a line that is not a JSON object was found, a JSON object was expected");
         Row row;
         for (const auto& [name, value] : all.items())
             row[name] = value.is_string() ? value.get<std::string>() : value.dump();
@@ -269,7 +267,8 @@
     ScheduledRequest toRequest(const Row& row) const {
         ScheduledRequest request;
         const auto time = readColumn(row, "time", true);
-        if (!time) throwError("no time was found, 'time_s' or one in ms, us or ns was expected");
+        if (!time)
+            throwError("no time was found, a value in one of time_s, time_ms, time_us, time_ns was expected");
         request.arrival = Duration(std::llround(*time));
         const auto requestClass = row.find("profile");
         const auto known = requestClass == row.end() ? requestClassIndexes_.end()
@@ -346,9 +345,8 @@
                                  "the trace can't be written: " + std::string(std::strerror(errno)));
     for (const RequestClassLoad& requestClass : requestClasses)
         requestClassNames_.push_back(requestClass.name);
-    out_ << "time_ns,profile,customer,subject,cost_ns,hint_ns,call_ns,patience_"
-            "ns,size,held_kb,rank,mark,"
-            "fails\n";
+    out_ << "time_ns,profile,customer,subject,cost_ns,hint_ns,call_ns,patience_ns,size,"
+            "held_kb,rank,mark,fails\n";
 }
 
 void TraceWriter::add(const ScheduledRequest& request) {
