--- a/src/loadtest/load_curve.cpp
+++ b/src/loadtest/load_curve.cpp
@@ -49,45 +49,47 @@
 };
 
 std::unique_ptr<LoadCurve> readCombined(kdl::NodeReader& node, bool multiply, bool allowFactors,
-                                        std::uint64_t seed, std::uint64_t& number);
+                                        std::uint64_t seed, std::uint64_t& burstCount);
 
 std::unique_ptr<LoadCurve> readCurve(const kdl::Node& node, bool allowFactors, std::uint64_t seed,
-                                     std::uint64_t& number) {
+                                     std::uint64_t& burstCount) {
     kdl::NodeReader in(node);
-    const auto need = [&](const char* name) -> const kdl::Value& {
+    const auto requireProperty = [&](const char* name) -> const kdl::Value& {
         if (const kdl::Value* value = in.property(name)) return *value;
         throw kdl::DocumentError(node.location, "'" + node.name + "' was found without '" + name + "='",
                                  "'" + std::string(name) + "=' was expected after it");
     };
-    const auto rateOf = [&](const char* name) { return readRateOrFactor(need(name), allowFactors); };
-    const auto timeOf = [&](const char* name) { return secondsOf(need(name)); };
-    const auto timeOr = [&](const char* name, double otherwise) {
+    const auto requireRate = [&](const char* name) {
+        return readRateOrFactor(requireProperty(name), allowFactors);
+    };
+    const auto requireSeconds = [&](const char* name) { return secondsOf(requireProperty(name)); };
+    const auto secondsOr = [&](const char* name, double fallback) {
         const kdl::Value* const value = in.property(name);
-        return value == nullptr ? otherwise : secondsOf(*value);
+        return value == nullptr ? fallback : secondsOf(*value);
     };
     std::unique_ptr<LoadCurve> result;
     if (node.name == "steady") {
         const double rate = readRateOrFactor(in.argument(0, "a rate such as 200/s"), allowFactors);
         result = std::make_unique<FormulaCurve>([rate](double) { return rate; });
     } else if (node.name == "ramp" || node.name == "climb") {
-        const double from = rateOf("from"), to = rateOf("to"), at = timeOr("at", 0),
-                     over = std::max(timeOf("over"), 1e-9);
+        const double from = requireRate("from"), to = requireRate("to"), at = secondsOr("at", 0),
+                     over = std::max(requireSeconds("over"), 1e-9);
         const bool smooth = node.name == "climb";
         result = std::make_unique<FormulaCurve>([=](double t) {
             const double x = std::clamp((t - at) / over, 0.0, 1.0);
             return from + (to - from) * (smooth ? x * x * (3 - 2 * x) : x);
         });
     } else if (node.name == "spike") {
-        const double to = rateOf("to"), at = timeOf("at"), rise = timeOr("rise", 0), hold = timeOf("hold"),
-                     fall = timeOr("fall", 0);
+        const double to = requireRate("to"), at = requireSeconds("at"), rise = secondsOr("rise", 0),
+                     hold = requireSeconds("hold"), fall = secondsOr("fall", 0);
         result = std::make_unique<FormulaCurve>([=](double t) {
             if (t < at || t >= at + rise + hold + fall) return 0.0;
             if (t < at + rise) return to * (t - at) / rise;
             return t < at + rise + hold ? to : to * (at + rise + hold + fall - t) / fall;
         });
     } else if (node.name == "wave") {
-        const double mean = rateOf("mean"), swing = rateOf("swing"),
-                     period = std::max(timeOf("period"), 1e-6);
+        const double mean = requireRate("mean"), swing = requireRate("swing"),
+                     period = std::max(requireSeconds("period"), 1e-6);
         result = std::make_unique<FormulaCurve>(
             [=](double t) { return mean + swing * std::sin(2 * M_PI * t / period); });
     } else if (node.name == "steps") {
@@ -95,21 +97,22 @@
         for (const kdl::Value* value : in.remainingArguments(0))
             rates.push_back(readRateOrFactor(*value, allowFactors));
         if (rates.empty()) in.argument(0, "one rate or more");
-        const double each = std::max(timeOf("each"), 1e-9);
+        const double stepSeconds = std::max(requireSeconds("each"), 1e-9);
         result = std::make_unique<FormulaCurve>([=](double t) {
-            return rates[std::min(static_cast<std::size_t>(std::max(0.0, t / each)), rates.size() - 1)];
+            return rates[std::min(static_cast<std::size_t>(std::max(0.0, t / stepSeconds)),
+                                  rates.size() - 1)];
         });
     } else if (node.name == "bursts") {
         auto bursts = std::make_unique<BurstCurve>();
-        bursts->onRate = rateOf("on"), bursts->offRate = rateOf("off");
-        bursts->meanOnSeconds = std::max(timeOf("stay-on"), 1e-6),
-        bursts->meanOffSeconds = std::max(timeOf("stay-off"), 1e-6);
-        bursts->random = makeRandomGenerator(seed, RandomStream::Bursts, ++number);
+        bursts->onRate = requireRate("on"), bursts->offRate = requireRate("off");
+        bursts->meanOnSeconds = std::max(requireSeconds("stay-on"), 1e-6),
+        bursts->meanOffSeconds = std::max(requireSeconds("stay-off"), 1e-6);
+        bursts->random = makeRandomGenerator(seed, RandomStream::Bursts, ++burstCount);
         result = std::move(bursts);
     } else if (node.name == "plus") {
-        result = readCombined(in, false, allowFactors, seed, number);
+        result = readCombined(in, false, allowFactors, seed, burstCount);
     } else if (node.name == "times") {
-        result = readCombined(in, true, allowFactors, seed, number);
+        result = readCombined(in, true, allowFactors, seed, burstCount);
     } else {
         throw kdl::DocumentError(
             node.location, "'" + node.name + "' was found",
@@ -120,12 +123,12 @@
 }
 
 std::unique_ptr<LoadCurve> readCombined(kdl::NodeReader& node, bool multiply, bool allowFactors,
-                                        std::uint64_t seed, std::uint64_t& number) {
+                                        std::uint64_t seed, std::uint64_t& burstCount) {
     auto result = std::make_unique<CombinedCurve>();
     result->multiply = multiply;
     for (const kdl::Node* part : node.allChildren())
         result->parts.push_back(
-            readCurve(*part, allowFactors || (multiply && !result->parts.empty()), seed, number));
+            readCurve(*part, allowFactors || (multiply && !result->parts.empty()), seed, burstCount));
     if (result->parts.empty())
         throw kdl::DocumentError(
             node.node().location, "'" + node.node().name + "' was found without children",
@@ -136,8 +139,8 @@
 }  // namespace
 
 std::unique_ptr<LoadCurve> LoadCurve::fromNode(kdl::NodeReader& node, std::uint64_t seed) {
-    std::uint64_t number = 0;
-    return readCombined(node, false, false, seed, number);
+    std::uint64_t burstCount = 0;
+    return readCombined(node, false, false, seed, burstCount);
 }
 
 ArrivalGenerator::ArrivalGenerator(std::unique_ptr<LoadCurve> curve, Spacing spacing, std::uint64_t seed,
@@ -159,9 +162,9 @@
             sliceEndSeconds_ = std::min(endSeconds_, seconds_ + kSliceSeconds);
             rate_ = curve_->at((seconds_ + sliceEndSeconds_) / 2);
         }
-        const double left = (sliceEndSeconds_ - seconds_) * rate_;
-        if (left < remainingIntegral_) {
-            remainingIntegral_ -= left;
+        const double sliceIntegral = (sliceEndSeconds_ - seconds_) * rate_;
+        if (sliceIntegral < remainingIntegral_) {
+            remainingIntegral_ -= sliceIntegral;
             seconds_ = sliceEndSeconds_;
             continue;
         }
--- a/src/loadtest/random_distributions.cpp
+++ b/src/loadtest/random_distributions.cpp
@@ -44,7 +44,7 @@
     if (!named) return constant(readValue(first));
     Distribution result;
     result.kind_ = kdl::NodeReader::choice(first, kKinds);
-    const auto need = [&](const char* name) -> const kdl::Value& {
+    const auto requireProperty = [&](const char* name) -> const kdl::Value& {
         if (const kdl::Value* value = node.property(name)) return *value;
         throw kdl::DocumentError(first.location, "'" + first.text + "' was found without '" + name + "='",
                                  "'" + std::string(name) + "=' was expected after it");
@@ -65,24 +65,25 @@
                                          "the minimum was expected first");
             break;
         case Kind::Exponential:
-            result.a_ = positive(need("mean"), readValue(need("mean")));
+            result.a_ = positive(requireProperty("mean"), readValue(requireProperty("mean")));
             break;
         case Kind::Lognormal: {
-            const double median = positive(need("median"), readValue(need("median"))),
-                         p99 = readValue(need("p99"));
+            const double median = positive(requireProperty("median"), readValue(requireProperty("median"))),
+                         p99 = readValue(requireProperty("p99"));
             if (p99 < median)
-                throw kdl::DocumentError(need("p99").location, "a p99 below the median was found",
+                throw kdl::DocumentError(requireProperty("p99").location, "a p99 below the median was found",
                                          "at least the median was expected");
             result.a_ = std::log(median);
             result.b_ = std::log(p99 / median) / kP99StandardDeviations;
             break;
         }
         case Kind::Pareto:
-            result.a_ = positive(need("least"), readValue(need("least")));
-            result.b_ = positive(need("shape"), kdl::number(need("shape")));
-            result.max_ = readValue(need("most"));
+            result.a_ = positive(requireProperty("least"), readValue(requireProperty("least")));
+            result.b_ = positive(requireProperty("shape"), kdl::number(requireProperty("shape")));
+            result.max_ = readValue(requireProperty("most"));
             if (result.max_ <= result.a_)
-                throw kdl::DocumentError(need("most").location, "'most' was found not above 'least'",
+                throw kdl::DocumentError(requireProperty("most").location,
+                                         "'most' was found not above 'least'",
                                          "a larger 'most' was expected");
             break;
         case Kind::Constant:
--- a/src/loadtest/request_schedule.cpp
+++ b/src/loadtest/request_schedule.cpp
@@ -155,8 +155,9 @@
     }
 
     void enqueueCopies(const ScheduledRequest& request, Duration gap) {
-        const double whole = std::floor(trace_.meanCopies);
-        int copies = static_cast<int>(whole) + (drawUniform(random_) < trace_.meanCopies - whole ? 1 : 0);
+        const double wholeCopies = std::floor(trace_.meanCopies);
+        int copies =
+            static_cast<int>(wholeCopies) + (drawUniform(random_) < trace_.meanCopies - wholeCopies ? 1 : 0);
         for (int copy = 0; copy < copies; ++copy) {
             if (trace_.keepProbability < 1 && drawUniform(random_) >= trace_.keepProbability) continue;
             ScheduledRequest copied = request;
@@ -175,26 +176,28 @@
     void readHeader(const std::string& text) {
         headerMalformed_ = true;
         for (const std::string& name : splitCsv(text)) columns_.push_back(name);
-        Row known;
+        Row columnByBaseName;
         for (const std::string& name : columns_) {
-            std::string base = name;
+            std::string baseName = name;
             for (const auto& [suffix, factor] : kUnitSuffixes)
-                if (name.ends_with(suffix)) base = name.substr(0, name.size() - suffix.size());
-            static const std::vector<std::string> kNames = {"time", "profile", "customer", "subject", "cost",
-                                                            "size", "held_kb", "patience", "mark",    "hint",
-                                                            "call", "rank",    "fails"};
-            if (std::find(kNames.begin(), kNames.end(), base) == kNames.end())
+                if (name.ends_with(suffix)) baseName = name.substr(0, name.size() - suffix.size());
+            static const std::vector<std::string> kColumnNames = {
+                "time",     "profile", "customer", "subject", "cost", "size", "held_kb",
+                "patience", "mark",    "hint",     "call",    "rank", "fails"};
+            if (std::find(kColumnNames.begin(), kColumnNames.end(), baseName) == kColumnNames.end())
                 throwError("the column '" + name +
                            "' was found, one of time_s, profile, customer, subject, cost_ms, size, "
                            "held_kb, patience_ms, mark, hint_ms, call_ms, rank, fails was expected");
-            static const std::vector<std::string> kTimes = {"time", "cost", "patience", "hint", "call"};
-            if (base == name && std::find(kTimes.begin(), kTimes.end(), base) != kTimes.end())
+            static const std::vector<std::string> kTimeColumnNames = {"time", "cost", "patience", "hint",
+                                                                      "call"};
+            if (baseName == name && std::find(kTimeColumnNames.begin(), kTimeColumnNames.end(), baseName) !=
+                                        kTimeColumnNames.end())
                 throwError("the column '" + name + "' was found without a unit, " + name +
                            "_ns, _us, _ms or _s was expected");
-            known[base] = name;
+            columnByBaseName[baseName] = name;
         }
         for (const char* required : {"time", "profile"})
-            if (!known.contains(required))
+            if (!columnByBaseName.contains(required))
                 throwError(std::string("no column '") + required +
                            "' was found in the header, one was expected");
         headerMalformed_ = false;
@@ -246,20 +249,20 @@
         return value;
     }
 
-    std::optional<double> readColumn(const Row& row, const std::string& base, bool isTime) const {
+    std::optional<double> readColumn(const Row& row, const std::string& baseName, bool isTime) const {
         if (!isTime) {
-            const auto found = row.find(base);
+            const auto found = row.find(baseName);
             if (found == row.end() || found->second.empty()) return std::nullopt;
-            return readNumber(base, found->second);
+            return readNumber(baseName, found->second);
         }
         for (const auto& [suffix, factor] : kUnitSuffixes) {
-            const auto found = row.find(base + suffix);
+            const auto found = row.find(baseName + suffix);
             if (found != row.end() && !found->second.empty())
-                return readNumber(base + suffix, found->second) * factor;
+                return readNumber(baseName + suffix, found->second) * factor;
         }
-        const auto bare = row.find(base);
+        const auto bare = row.find(baseName);
         if (bare != row.end() && !bare->second.empty())
-            throwError("'" + base + "' was found without a unit, " + base +
+            throwError("'" + baseName + "' was found without a unit, " + baseName +
                        "_ns, _us, _ms or _s was expected");
         return std::nullopt;
     }
@@ -282,7 +285,7 @@
         request.requestClass = known->second;
         const RequestClassLoad& requestClassLoad =
             config_.requestClasses[static_cast<std::size_t>(request.requestClass)];
-        const auto hashOrNumber = [&](const char* column) -> std::uint64_t {
+        const auto numberOrHash = [&](const char* column) -> std::uint64_t {
             const auto found = row.find(column);
             if (found == row.end() || found->second.empty()) return 0;
             std::uint64_t value = 0;
@@ -294,10 +297,10 @@
                 hash = (hash ^ static_cast<std::uint8_t>(byte)) * 1099511628211ULL;
             return hash;
         };
-        request.tenant = hashOrNumber("customer");
-        request.subject = hashOrNumber("subject");
-        const auto duration = [&](const char* base, double fallback) {
-            return Duration(std::llround(readColumn(row, base, true).value_or(fallback * 1e9)));
+        request.tenant = numberOrHash("customer");
+        request.subject = numberOrHash("subject");
+        const auto duration = [&](const char* baseName, double fallback) {
+            return Duration(std::llround(readColumn(row, baseName, true).value_or(fallback * 1e9)));
         };
         request.work = duration("cost", requestClassLoad.work.mean());
         request.workHint = duration("hint", toSeconds(request.work));
