--- a/src/loadtest/child_process.cpp
+++ b/src/loadtest/child_process.cpp
@@ -85,7 +85,7 @@
     std::string all;
     std::getline(in, all);
     const std::size_t end = all.rfind(')');  // the process name may contain spaces
-    if (!handle_->there || end == all.npos) return 0;
+    if (!handle_->running || end == all.npos) return 0;
     long long user = 0, system = 0;
     if (std::sscanf(all.c_str() + end + 1, " %*c %*d %*d %*d %*d %*d %*u %*u %*u %*u %*u %lld %lld", &user,
                     &system) != 2)
@@ -96,7 +96,7 @@
 double ChildProcess::memoryMb() const {
     std::ifstream in("/proc/" + std::to_string(pid()) + "/statm");
     double pages = 0, resident = 0;
-    if (!handle_->there || !(in >> pages >> resident)) return 0;
+    if (!handle_->running || !(in >> pages >> resident)) return 0;
     return resident * static_cast<double>(sysconf(_SC_PAGESIZE)) / (1 << 20);
 }
 
--- a/src/loadtest/load_run.cpp
+++ b/src/loadtest/load_run.cpp
@@ -501,7 +501,7 @@
                                   {"p50_ms", quantile(0.5)},
                                   {"p99_ms", quantile(0.99)},
                                   {"p999_ms", quantile(0.999)},
-                                  {"max_ms", stretch.latencies ? stretch.latencies->most() * 1e3 : 0}});
+                                  {"max_ms", stretch.latencies ? stretch.latencies->max() * 1e3 : 0}});
     }
     all["tail"] = Json::array();
     for (const auto& [part, seconds] : tally.completed().tail()) all["tail"].push_back({part, seconds * 1e3});
