--- a/src/loadtest/request_schedule.cpp
+++ b/src/loadtest/request_schedule.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-Duration durationOf(double seconds) {
+Duration fromSeconds(double seconds) {
     return Duration(static_cast<std::int64_t>(std::clamp(seconds, 0.0, 9e9) * 1e9));
 }
 double toSeconds(Duration time) { return std::chrono::duration<double>(time).count(); }
@@ -60,13 +60,13 @@
             static_cast<std::uint32_t>(std::clamp(requestClass.bodyBytes.draw(bodyRandom_), 0.0, 2048.0));
         request.memoryKb = std::clamp(requestClass.memoryBytes.draw(bodyRandom_) / 1024, 0.1, 1999.0);
         const double work = requestClass.work.draw(workRandom_);
-        request.work = durationOf(work);
-        request.callDuration = durationOf(requestClass.callDuration.draw(workRandom_));
+        request.work = fromSeconds(work);
+        request.callDuration = fromSeconds(requestClass.callDuration.draw(workRandom_));
         request.runFails = drawUniform(workRandom_) < requestClass.failureFraction;
         request.workHint =
-            durationOf(work * std::exp(requestClass.workHintError * (2 * drawUniform(hintRandom_) - 1)));
+            fromSeconds(work * std::exp(requestClass.workHintError * (2 * drawUniform(hintRandom_) - 1)));
         const double attemptTimeout = requestClass.attemptTimeout.draw(attemptTimeoutRandom_);
-        request.attemptTimeout = attemptTimeout > 0 ? durationOf(attemptTimeout) : requestClass.timeout;
+        request.attemptTimeout = attemptTimeout > 0 ? fromSeconds(attemptTimeout) : requestClass.timeout;
         request.rank = drawUniform(attemptTimeoutRandom_);
         return request;
     }
