--- a/src/loadtest/precise_timer.cpp
+++ b/src/loadtest/precise_timer.cpp
@@ -33,7 +33,7 @@
         Handle& fired = *static_cast<Handle*>(poll->data);
         std::uint64_t times = 0;
         if (read(fired.descriptor, &times, sizeof times) != static_cast<ssize_t>(sizeof times)) return;
-        const auto onFire = fired.onFire;  // the callback may destroy the timer
+        const auto onFire = fired.onFire;  // a copy, because the callback may destroy the timer
         net::Loop::of(poll->loop).runGuarded(onFire);
     });
     uv_unref(reinterpret_cast<uv_handle_t*>(&handle_->poll));
