--- a/src/loadtest/experiment.cpp
+++ b/src/loadtest/experiment.cpp
@@ -152,8 +152,8 @@
     std::vector<kdl::Node> loads;
     for (const kdl::Node& node : document)
         if (node.name == "load") loads.push_back(node);
-    terms->load = readLoad(loads, path, false);
-    terms->records.seed = terms->load->plan.seed;
+    terms->load = readLoadConfig(loads, path, false);
+    terms->records.seed = terms->load->schedule.seed;
     return terms;
 }
 
@@ -176,7 +176,7 @@
 
 struct Experiment::World {
     explicit World(const WorldTerms& terms)
-        : checker(terms.load->plan.requestClasses, 60s, terms.pool.heapKb, terms.runFactor) {}
+        : checker(terms.load->schedule.requestClasses, 60s, terms.pool.heapKb, terms.runFactor) {}
     net::Loop loop;
     InvariantChecker checker;
     std::vector<Backend> backends;
@@ -244,7 +244,7 @@
     const auto text = [](const net::Address& address) {
         return address.host + ":" + std::to_string(address.port);
     };
-    const RequestScheduleConfig& plan = terms_.load->plan;
+    const RequestScheduleConfig& plan = terms_.load->schedule;
     Json settings, classes = Json::array(), calls = Json::array(), poorer = Json::array(),
                    tenants = Json::array();
     bool any = false;
@@ -283,12 +283,12 @@
                                {"dep_share", terms_.records.share},
                                {"halt", "suspend"},
                                {"heap_kb", terms_.pool.heapKb},
-                               {"idle_us", micros(terms_.load->habits.closesIdle)},
+                               {"idle_us", micros(terms_.load->client.idleTimeout)},
                                {"linger_us", micros(terms_.records.linger)},
                                {"own_stats", {"core_use", "on_cores", "heap_share", "links"}},
                                {"readiness", true},
                                {"run_factor", terms_.runFactor},
-                               {"senders", terms_.load->habits.clients},
+                               {"senders", terms_.load->client.clients},
                                {"signal", "share_of"}};
     char seed[20];
     std::snprintf(seed, sizeof seed, "%016llx",
@@ -309,7 +309,7 @@
 // The file that a gateway is started with.
 std::string Experiment::gatewayOf(std::size_t at) const {
     const Backend& backend = world_->backends[at];
-    const RequestScheduleConfig& plan = terms_.load->plan;
+    const RequestScheduleConfig& plan = terms_.load->schedule;
     const auto millis = [](Duration time) { return std::to_string(time / 1ms) + "ms"; };
     const auto quoted = [](const net::Address& address) {
         return "\"" + address.host + ":" + std::to_string(address.port) + "\"";
@@ -468,7 +468,7 @@
     }
 }
 
-ExperimentResult Experiment::run(const std::function<void(double, const Load&)>& progress,
+ExperimentResult Experiment::run(const std::function<void(double, const LoadRun&)>& progress,
                                  const bool* interrupted) {
     World& world = *world_;
     // Up: each has bound its pool. What the first health checks see then is a
@@ -498,11 +498,11 @@
     turnUntil([] { return false; }, 300ms);
 
     for (const Backend& backend : world.backends) {
-        terms_.load->habits.targets.push_back(backend.listen);
-        terms_.load->habits.kiosks.push_back(backend.kiosks);
+        terms_.load->client.targets.push_back(backend.listen);
+        terms_.load->client.scgiTargets.push_back(backend.kiosks);
     }
-    std::vector<Watcher*> watchers = {&world.checker};
-    Load load(*terms_.load, watchers);
+    std::vector<RequestObserver*> observers = {&world.checker};
+    LoadRun load(*terms_.load, observers);
     const Duration start = steadyNow() + 100ms;
     load.start(start);
 
@@ -558,9 +558,10 @@
         if (interrupted != nullptr && *interrupted && !std::exchange(told, true)) load.stop();
         // What hangs past every timeout is cut off, and told as what it is.
         Duration longest{0};
-        for (const RequestClassLoad& requestClass : terms_.load->plan.requestClasses)
+        for (const RequestClassLoad& requestClass : terms_.load->schedule.requestClasses)
             longest = std::max(longest, requestClass.timeout);
-        if (now > start + terms_.load->plan.duration + longest + 5s && !std::exchange(cut, true)) load.cut();
+        if (now > start + terms_.load->schedule.duration + longest + 5s && !std::exchange(cut, true))
+            load.abort();
         if (!load.done()) pace->startAt(now + (progress ? 100ms : 20ms));
     };
     pace = std::make_unique<PreciseTimer>(world.loop, look);
@@ -597,16 +598,17 @@
     all["name"] = terms_.name;
     all["about"] = terms_.about;
     all["build"] = build_;
-    all["load"] = jsonOf(result, *terms_.load);
+    all["load"] = toJson(result, *terms_.load);
     const auto counts = world.checker.counts();
-    std::uint64_t sum = result.tally.broken.all();
+    std::uint64_t sum = result.statistics.violations.total();
     Json broken;
     for (std::size_t rule = 0; rule < kRules; ++rule) {
         broken[nameOf(static_cast<Rule>(rule))] = counts[rule];
         sum += counts[rule];
     }
-    broken["lost"] = counts[static_cast<std::size_t>(Rule::Lost)] + result.tally.broken.lost;
-    broken["answers"] = result.tally.broken.all() - result.tally.broken.lost;
+    broken["lost"] =
+        counts[static_cast<std::size_t>(Rule::Lost)] + result.statistics.violations.lostResponses;
+    broken["answers"] = result.statistics.violations.total() - result.statistics.violations.lostResponses;
     int crashes = 0;
     for (const Backend& backend : world.backends) crashes += backend.crashes;
     broken["crashes"] = crashes;
@@ -614,7 +616,8 @@
     broken["examples"] = Json::array();
     for (const Violation& violation : world.checker.violations())
         broken["examples"].push_back(std::string(nameOf(violation.rule)) + ": " + violation.what);
-    for (const std::string& example : result.tally.broken.examples) broken["examples"].push_back(example);
+    for (const std::string& example : result.statistics.violations.examples)
+        broken["examples"].push_back(example);
     all["broken"] = broken;
     double work = 0;
     all["backends"] = Json::array();
--- a/src/loadtest/experiment.h
+++ b/src/loadtest/experiment.h
@@ -57,7 +57,7 @@
     double runFactor = 4;
     Duration registryLate{0};  // its answers
     std::vector<Fault> faults;
-    std::unique_ptr<LoadTerms> load;
+    std::unique_ptr<LoadConfig> load;
 };
 
 // Throws kdl::DocumentError.
@@ -85,7 +85,7 @@
     Experiment(const WorldTerms& terms, std::string build, std::string folder);
     ~Experiment();
     // progress: seconds from the start, the load, called ten times a second.
-    ExperimentResult run(const std::function<void(double, const Load&)>& progress = {},
+    ExperimentResult run(const std::function<void(double, const LoadRun&)>& progress = {},
                          const bool* interrupted = nullptr);
 
 private:
--- a/src/loadtest/invariants/invariant_checker.cpp
+++ b/src/loadtest/invariants/invariant_checker.cpp
@@ -49,8 +49,8 @@
     }
 }
 
-void InvariantChecker::sent(const ScheduledRequest& planned, const std::string& trace,
-                            const std::string& first, std::size_t target) {
+void InvariantChecker::onAttemptSent(const ScheduledRequest& planned, const std::string& trace,
+                                     const std::string& first, std::size_t target) {
     const std::lock_guard hold(guard_);
     const Duration now = steadyNow();
     forgetOld(now);
@@ -65,7 +65,7 @@
     order_.emplace_back(now, trace);
 }
 
-void InvariantChecker::answered(const std::string& trace, ClientResponse::Kind kind) {
+void InvariantChecker::onResponse(const std::string& trace, ClientResponse::Kind kind) {
     const std::lock_guard hold(guard_);
     const auto at = tries_.find(trace);
     if (at == tries_.end()) return;
@@ -75,7 +75,7 @@
         violation(Rule::Lost, trace + " was handled without a run");
 }
 
-void InvariantChecker::released(const std::string& trace) {
+void InvariantChecker::onAttemptReleased(const std::string& trace) {
     const std::lock_guard hold(guard_);
     const auto at = tries_.find(trace);
     if (at == tries_.end()) return;
@@ -109,9 +109,10 @@
     return at == memory_.end() ? 0 : at->second;
 }
 
-void InvariantChecker::ended(const ScheduledRequest& planned, const std::string&, End end) {
+void InvariantChecker::onRequestEnded(const ScheduledRequest& planned, const std::string&,
+                                      RequestOutcome outcome) {
     const std::lock_guard hold(guard_);
-    if (end == End::Completed || end == End::Late)
+    if (outcome == RequestOutcome::Completed || outcome == RequestOutcome::Late)
         completedWork_ += std::chrono::duration<double>(planned.work).count();
 }
 
--- a/src/loadtest/invariants/invariant_checker.h
+++ b/src/loadtest/invariants/invariant_checker.h
@@ -24,7 +24,7 @@
     std::string what;  // with the request's id and the instance
 };
 
-class InvariantChecker : public Watcher {
+class InvariantChecker : public RequestObserver {
 public:
     // Entries are dropped this long after their try was sent. heapKb: what the
     // requests of one instance may take, runFactor times as much while they run.
@@ -32,11 +32,12 @@
                      double runFactor);
 
     // Clients.
-    void sent(const ScheduledRequest& planned, const std::string& trace, const std::string& first,
-              std::size_t target) override;
-    void answered(const std::string& trace, ClientResponse::Kind kind) override;
-    void released(const std::string& trace) override;
-    void ended(const ScheduledRequest& planned, const std::string& lastTrace, End end) override;
+    void onAttemptSent(const ScheduledRequest& planned, const std::string& trace, const std::string& first,
+                       std::size_t target) override;
+    void onResponse(const std::string& trace, ClientResponse::Kind kind) override;
+    void onAttemptReleased(const std::string& trace) override;
+    void onRequestEnded(const ScheduledRequest& planned, const std::string& lastTrace,
+                        RequestOutcome outcome) override;
 
     // Emulators; all times are of the steady clock.
     void spawned(std::size_t instance, const std::string& trace, const std::string& first, Duration now);
--- a/src/loadtest/load_clients.cpp
+++ b/src/loadtest/load_clients.cpp
@@ -16,20 +16,23 @@
 
 namespace {
 
-constexpr std::size_t kDispatchAtOnce = 512;  // between two looks at the sockets
-constexpr std::size_t kForgottenKept = 256;   // sequence numbers of a connection whose answer may still come
-constexpr Duration kCrossing = 50ms;          // a close may cross what was written within this time before it
-constexpr Duration kLate = 50ms;    // an answer is owed until the patience is over, and this much longer
-constexpr Duration kSweep = 100ms;  // connections are looked at this often, health checks begun
-constexpr Duration kUseful = 5ms;   // less time than this is not worth an attempt
-
-std::string hex16(std::uint64_t number) {
+constexpr std::size_t kMaxRequestsPerWakeup = 512;  // between two looks at the sockets
+constexpr std::size_t kMaxTimedOutSequences =
+    256;                                     // sequence numbers of a connection whose answer may still come
+constexpr Duration kCloseRaceWindow = 50ms;  // a close may cross what was written within this time before it
+constexpr Duration kResponseGracePeriod =
+    50ms;  // an answer is owed until the patience is over, and this much longer
+constexpr Duration kConnectionSweepInterval =
+    100ms;                                 // connections are looked at this often, health checks begun
+constexpr Duration kMinAttemptTime = 5ms;  // less time than this is not worth an attempt
+
+std::string toHex(std::uint64_t number) {
     char text[17];
     std::snprintf(text, sizeof text, "%016llx", static_cast<unsigned long long>(number));
     return text;
 }
 
-std::optional<double> numberIn(const thrift::Fields& fields, const char* name) {
+std::optional<double> numericField(const thrift::Fields& fields, const char* name) {
     const auto found = fields.find(name);
     if (found == fields.end()) return std::nullopt;
     double value = 0;
@@ -41,703 +44,750 @@
 
 }  // namespace
 
-std::string traceOf(std::uint64_t seed, std::uint64_t number, int attempt) {
+std::string attemptTraceId(std::uint64_t seed, std::uint64_t number, int attempt) {
     // splitMix64() takes no two numbers to one, and a seed shifts all of a run's
     // numbers alike.
-    return hex16(
+    return toHex(
         routing::splitMix64(routing::splitMix64(seed) + number * 16 + static_cast<std::uint64_t>(attempt)));
 }
 
-std::string bodyOf(const ScheduledRequest& planned, int calls, const std::string& firstTrace) {
+std::string requestBody(const ScheduledRequest& scheduled, int calls, const std::string& firstTraceId) {
     char head[120];
-    std::snprintf(head, sizeof head, "cw1 %s %lld %d %lld %d;", firstTrace.c_str(),
-                  static_cast<long long>(planned.work / 1us), calls,
-                  static_cast<long long>(planned.callDuration / 1us), planned.runFails ? 1 : 0);
+    std::snprintf(head, sizeof head, "cw1 %s %lld %d %lld %d;", firstTraceId.c_str(),
+                  static_cast<long long>(scheduled.work / 1us), calls,
+                  static_cast<long long>(scheduled.callDuration / 1us), scheduled.runFails ? 1 : 0);
     std::string body = head;
-    if (body.size() < planned.bodyBytes) body.resize(planned.bodyBytes, '.');
+    if (body.size() < scheduled.bodyBytes) body.resize(scheduled.bodyBytes, '.');
     return body;
 }
 
 // One connection to one server.
-struct Clients::Line : net::ConnectionHandler {
-    Line(Clients& all, std::size_t theClient, std::size_t theTarget, bool theCheck)
-        : owner(all), client(theClient), target(theTarget), check(theCheck) {}
-    void arrived(net::Connection& from) override {
-        if (kiosk) return arrivedScgi(from);
+struct LoadClients::ServerConnection : net::ConnectionHandler {
+    ServerConnection(LoadClients& loadClients, std::size_t ofClient, std::size_t toTarget,
+                     bool forHealthChecks)
+        : owner(loadClients), clientIndex(ofClient), target(toTarget), healthCheck(forHealthChecks) {}
+    void arrived(net::Connection& connection) override {
+        if (usesScgi) return readScgiReply(connection);
         std::size_t length = 0;
-        while (connection != nullptr) {
-            const auto state = thrift::peekFrame(from.input(), length);
+        while (socket != nullptr) {
+            const auto state = thrift::peekFrame(connection.input(), length);
             if (state == thrift::FrameState::Partial) return;
-            std::optional<ClientResponse> said;
+            std::optional<ClientResponse> response;
             if (state == thrift::FrameState::Complete) {
-                said = readClientResponse(from.input().peek(4 + length, scratch).substr(4));
-                from.input().drop(4 + length);
+                response = readClientResponse(connection.input().peek(4 + length, frameBuffer).substr(4));
+                connection.input().drop(4 + length);
             }
-            if (!said) {
-                owner.tally_.broken.note(owner.tally_.broken.unreadable,
-                                         "an answer that can't be read, of server " + std::to_string(target));
-                return owner.lineEnded(*this, net::ConnectionEnd::Malformed);
+            if (!response) {
+                owner.statistics_.violations.record(
+                    owner.statistics_.violations.unreadableResponses,
+                    "an answer that can't be read, of server " + std::to_string(target));
+                return owner.handleConnectionEnd(*this, net::ConnectionEnd::Malformed);
             }
-            owner.clientResponse(*this, std::move(*said));
+            owner.handleResponse(*this, std::move(*response));
         }
     }
-    void arrivedScgi(net::Connection& from) {
-        while (connection && !from.input().empty()) {
-            const std::string_view piece = from.input().front();
-            const auto state = reply.read(piece);
-            from.input().drop(piece.size());
-            if (state != scgi::ReplyReader::State::Partial && from.input().empty()) return whole();
+    void readScgiReply(net::Connection& connection) {
+        while (socket && !connection.input().empty()) {
+            const std::string_view piece = connection.input().front();
+            const auto state = replyReader.read(piece);
+            connection.input().drop(piece.size());
+            if (state != scgi::ReplyReader::State::Partial && connection.input().empty())
+                return handleScgiReply();
         }
     }
     // 503 was turned away before it ran, what else is no success has failed.
-    void whole() {
-        if (reply.state() != scgi::ReplyReader::State::Complete) {
-            owner.tally_.broken.note(owner.tally_.broken.unreadable,
-                                     "an SCGI reply that can't be read, of server " + std::to_string(target));
-            return owner.lineEnded(*this, net::ConnectionEnd::Malformed);
+    void handleScgiReply() {
+        if (replyReader.state() != scgi::ReplyReader::State::Complete) {
+            owner.statistics_.violations.record(
+                owner.statistics_.violations.unreadableResponses,
+                "an SCGI reply that can't be read, of server " + std::to_string(target));
+            return owner.handleConnectionEnd(*this, net::ConnectionEnd::Malformed);
         }
-        ClientResponse said;
-        said.sequence = 1;
-        const int status = reply.reply().status;
-        said.kind = status < 400    ? ClientResponse::Kind::Answer
-                    : status == 503 ? ClientResponse::Kind::Busy
-                                    : ClientResponse::Kind::Failed;
-        said.good = status < 400;
-        said.body = reply.reply().body;
-        if (const auto pause = scgi::findHeader(reply.reply().headers, "x-retry-after-ms"))
-            said.fields["pause"] = *pause;
-        if (scgi::findHeader(reply.reply().headers, "x-nowhere-else")) said.fields["terminal"] = "1";
+        ClientResponse response;
+        response.sequence = 1;
+        const int status = replyReader.reply().status;
+        response.kind = status < 400    ? ClientResponse::Kind::Answer
+                        : status == 503 ? ClientResponse::Kind::Busy
+                                        : ClientResponse::Kind::Failed;
+        response.good = status < 400;
+        response.body = replyReader.reply().body;
+        if (const auto retryAfterMs = scgi::findHeader(replyReader.reply().headers, "x-retry-after-ms"))
+            response.fields["pause"] = *retryAfterMs;
+        if (scgi::findHeader(replyReader.reply().headers, "x-nowhere-else"))
+            response.fields["terminal"] = "1";
         // A server that is tired says 503 of its own, and may have begun: only ours
         // tell when to come back.
-        if (said.kind == ClientResponse::Kind::Busy && !said.fields.contains("pause"))
-            said.kind = ClientResponse::Kind::Failed;
-        owner.clientResponse(*this, std::move(said));
+        if (response.kind == ClientResponse::Kind::Busy && !response.fields.contains("pause"))
+            response.kind = ClientResponse::Kind::Failed;
+        owner.handleResponse(*this, std::move(response));
     }
     void ended(net::Connection&, net::ConnectionEnd end) override {
-        if (kiosk && end == net::ConnectionEnd::PeerClosed &&
-            reply.connectionEnded() == scgi::ReplyReader::State::Complete)
-            return whole();
-        owner.lineEnded(*this, end);
+        if (usesScgi && end == net::ConnectionEnd::PeerClosed &&
+            replyReader.connectionEnded() == scgi::ReplyReader::State::Complete)
+            return handleScgiReply();
+        owner.handleConnectionEnd(*this, end);
     }
 
-    Clients& owner;
-    const std::size_t client, target;
-    const bool check;
-    bool kiosk = false;
-    scgi::ReplyReader reply{1 << 20};
-    std::unique_ptr<net::Connection> connection;
-    std::unordered_map<std::int32_t, std::uint64_t> open;  // by sequence number; emptied by answers and ends
-    std::unordered_set<std::int32_t> forgotten;            // emptied by answers, the oldest past a bound
-    std::deque<std::int32_t> forgottenOrder;
-    std::int32_t sequence = 0;
-    bool goaway = false;
-    Duration begun{0}, used{0};
-    std::string scratch;
+    LoadClients& owner;
+    const std::size_t clientIndex, target;
+    const bool healthCheck;
+    bool usesScgi = false;
+    scgi::ReplyReader replyReader{1 << 20};
+    std::unique_ptr<net::Connection> socket;
+    std::unordered_map<std::int32_t, std::uint64_t>
+        openRequests;                                    // by sequence number; emptied by answers and ends
+    std::unordered_set<std::int32_t> timedOutSequences;  // emptied by answers, the oldest past a bound
+    std::deque<std::int32_t> timedOutOrder;
+    std::int32_t lastSequence = 0;
+    bool draining = false;
+    Duration openedAt{0}, lastUsedAt{0};
+    std::string frameBuffer;
 };
 
-struct Clients::Client {
-    Client(const Habits& habits, std::size_t theNumber, std::uint64_t seed)
-        : number(theNumber),
-          chance(static_cast<std::mt19937::result_type>(
-              routing::splitMix64(seed ^ (theNumber + 1) * 0x9E3779B9))),
-          choice(habits.way),
-          members(habits.members),
-          budget(habits.attempts),
-          lines(habits.targets.size()),
-          checks(habits.targets.size()),
-          waiting(habits.targets.size()) {
-        for (std::size_t at = 0; at < habits.targets.size(); ++at) members.add();
+struct LoadClients::Client {
+    Client(const ClientConfig& config, std::size_t clientNumber, std::uint64_t seed)
+        : number(clientNumber),
+          random(static_cast<std::mt19937::result_type>(
+              routing::splitMix64(seed ^ (clientNumber + 1) * 0x9E3779B9))),
+          loadBalancer(config.loadBalancingPolicy),
+          outlierDetector(config.outlierDetection),
+          retryBudget(config.retryPolicy),
+          connections(config.targets.size()),
+          healthCheckConnections(config.targets.size()),
+          queuedRequests(config.targets.size()) {
+        for (std::size_t at = 0; at < config.targets.size(); ++at) outlierDetector.add();
         // Clients of one fleet do not all begin their round with the same server.
-        for (std::size_t at = 0; at < habits.targets.size(); ++at)
-            choice.add((at + theNumber) % habits.targets.size());
+        for (std::size_t at = 0; at < config.targets.size(); ++at)
+            loadBalancer.add((at + clientNumber) % config.targets.size());
     }
     const std::size_t number;
-    std::mt19937 chance;
-    routing::LoadBalancer choice;
-    routing::OutlierDetector members;
-    routing::RetryBudget budget;
-    std::vector<std::vector<std::unique_ptr<Line>>> lines;  // by target
-    std::vector<std::unique_ptr<Line>> checks;
+    std::mt19937 random;
+    routing::LoadBalancer loadBalancer;
+    routing::OutlierDetector outlierDetector;
+    routing::RetryBudget retryBudget;
+    std::vector<std::vector<std::unique_ptr<ServerConnection>>> connections;  // by target
+    std::vector<std::unique_ptr<ServerConnection>> healthCheckConnections;
     std::vector<std::deque<std::uint64_t>>
-        waiting;  // for room on a connection, by target; emptied by it and by time
+        queuedRequests;  // for room on a connection, by target; emptied by it and by time
 };
 
-Clients::Clients(net::Loop& loop, Habits habits, const RequestScheduleConfig& plan, int worker, int workers,
-                 Tally& tally, Progress& progress, Clocks clocks, Watcher* watcher)
+LoadClients::LoadClients(net::Loop& loop, ClientConfig config, const RequestScheduleConfig& scheduleConfig,
+                         int workerIndex, int workerCount, LoadStatistics& statistics, LoadProgress& progress,
+                         Clocks clocks, RequestObserver* observer)
     : loop_(loop),
-      habits_(std::move(habits)),
-      terms_(plan),
-      worker_(worker),
-      workers_(workers),
-      tally_(tally),
+      config_(std::move(config)),
+      scheduleConfig_(scheduleConfig),
+      workerIndex_(workerIndex),
+      workerCount_(workerCount),
+      statistics_(statistics),
       progress_(progress),
       clocks_(std::move(clocks)),
-      watcher_(watcher),
-      plan_(makeRequestSchedule(plan)),
-      pace_(loop, [this] { pump(); }) {
-    for (int number = worker; number < habits_.clients; number += workers)
-        clients_.push_back(std::make_unique<Client>(habits_, static_cast<std::size_t>(number), plan.seed));
+      observer_(observer),
+      schedule_(makeRequestSchedule(scheduleConfig)),
+      wakeupTimer_(loop, [this] { processDueWork(); }) {
+    for (int number = workerIndex; number < config_.clients; number += workerCount)
+        clients_.push_back(
+            std::make_unique<Client>(config_, static_cast<std::size_t>(number), scheduleConfig.seed));
 }
 
-Clients::~Clients() = default;
+LoadClients::~LoadClients() = default;
 
-void Clients::start(Duration steady) {
-    start_ = steady;
-    nextCheck_ = clocks_.steady();
+void LoadClients::start(Duration startTime) {
+    start_ = startTime;
+    nextHealthCheck_ = clocks_.steady();
     started_ = true;
-    next_ = plan_->next();
-    pump();
+    nextRequest_ = schedule_->next();
+    processDueWork();
 }
 
-void Clients::stop() {
+void LoadClients::stop() {
     stopped_ = true;
-    next_.reset();
-    pump();
+    nextRequest_.reset();
+    processDueWork();
 }
 
-void Clients::cut() {
+void LoadClients::abort() {
     stopped_ = true;
-    next_.reset();
+    nextRequest_.reset();
     const Duration now = clocks_.steady();
-    std::vector<std::uint64_t> all;
-    for (const auto& [id, request] : open_) all.push_back(id);
-    for (const std::uint64_t id : all) {
-        TrackedRequest& request = open_.at(id);
-        const End end =
-            request.everSent ? (request.line != nullptr ? End::NoAnswer : request.worst) : End::NeverSent;
-        if (request.line != nullptr) detach(request, std::nullopt, now);
-        finish(id, end, now);
+    std::vector<std::uint64_t> ids;
+    for (const auto& [id, request] : openRequests_) ids.push_back(id);
+    for (const std::uint64_t id : ids) {
+        TrackedRequest& request = openRequests_.at(id);
+        const RequestOutcome outcome =
+            request.everSent
+                ? (request.connection != nullptr ? RequestOutcome::NoAnswer : request.lastOutcome)
+                : RequestOutcome::NeverSent;
+        if (request.connection != nullptr) releaseAttempt(request, std::nullopt, now);
+        finishRequest(id, outcome, now);
     }
-    pump();
+    processDueWork();
 }
 
-void Clients::pump() {
+void LoadClients::processDueWork() {
     if (!started_ || done_) return;
-    armed_ = 0ns;
-    gone_.clear();
+    wakeupAt_ = 0ns;
+    closedConnections_.clear();
     const Duration now = clocks_.steady();
-    dispatch(now);
-    while (!agenda_.empty() && agenda_.begin()->first <= now) {
-        const std::uint64_t id = agenda_.begin()->second;
-        TrackedRequest& request = open_.at(id);
-        if (request.line != nullptr || request.queued)
-            patienceOver(id, now);
+    startScheduledRequests(now);
+    while (!requestTimers_.empty() && requestTimers_.begin()->first <= now) {
+        const std::uint64_t id = requestTimers_.begin()->second;
+        TrackedRequest& request = openRequests_.at(id);
+        if (request.connection != nullptr || request.queued)
+            handleTimeout(id, now);
         else
-            begin(id, now);
+            startAttempt(id, now);
     }
-    check(now);
-    tally_.badLines = plan_->skippedLines();
-    if (!next_ && open_.empty()) {
+    maintainConnections(now);
+    statistics_.unreadableTraceLines = schedule_->skippedLines();
+    if (!nextRequest_ && openRequests_.empty()) {
         done_ = true;
         progress_.done = true;
         for (auto& client : clients_) {
-            for (auto& lines : client->lines) {
-                for (auto& line : lines) line->connection->tryFlush();  // a forget may wait there
-                lines.clear();
+            for (auto& connections : client->connections) {
+                for (auto& connection : connections)
+                    connection->socket->tryFlush();  // a forget may wait there
+                connections.clear();
             }
-            for (auto& line : client->checks) line.reset();
+            for (auto& connection : client->healthCheckConnections) connection.reset();
         }
-        pace_.stop();
-        if (doneTold_) doneTold_();
+        wakeupTimer_.stop();
+        if (onDone_) onDone_();
         return;
     }
-    wake();
+    armWakeup();
 }
 
 // An earlier ring than is needed does no harm, so the timer is set anew only
 // for one that is earlier still.
-void Clients::wake() {
-    Duration at = nextSweep_;
-    if (!agenda_.empty()) at = std::min(at, agenda_.begin()->first);
-    if (next_ && habits_.closed == 0) at = std::min(at, start_ + next_->arrival);
-    if (armed_ > 0ns && at >= armed_) return;
-    armed_ = at;
-    pace_.startAt(at);
+void LoadClients::armWakeup() {
+    Duration at = nextConnectionSweep_;
+    if (!requestTimers_.empty()) at = std::min(at, requestTimers_.begin()->first);
+    if (nextRequest_ && config_.closedLoopConcurrency == 0) at = std::min(at, start_ + nextRequest_->arrival);
+    if (wakeupAt_ > 0ns && at >= wakeupAt_) return;
+    wakeupAt_ = at;
+    wakeupTimer_.startAt(at);
 }
 
-void Clients::soon() {
-    armed_ = clocks_.steady();
-    pace_.startAt(armed_);
+void LoadClients::wakeSoon() {
+    wakeupAt_ = clocks_.steady();
+    wakeupTimer_.startAt(wakeupAt_);
 }
 
 // Each worker reads the whole plan and takes the requests of its own clients,
 // so that what is sent does not turn on the number of workers.
-void Clients::dispatch(Duration now) {
-    std::size_t taken = 0;
-    while (next_) {
-        const auto client = next_->number % static_cast<std::uint64_t>(habits_.clients);
-        const bool mine = static_cast<int>(client % static_cast<std::uint64_t>(workers_)) == worker_;
-        if (mine) {
-            if (habits_.closed > 0) {
-                const int share = habits_.closed / workers_ + (worker_ < habits_.closed % workers_ ? 1 : 0);
-                if (open_.size() >= static_cast<std::size_t>(share) || now >= start_ + terms_.duration) {
-                    if (now >= start_ + terms_.duration) next_.reset();
+void LoadClients::startScheduledRequests(Duration now) {
+    std::size_t started = 0;
+    while (nextRequest_) {
+        const auto client = nextRequest_->number % static_cast<std::uint64_t>(config_.clients);
+        const bool ownedByWorker =
+            static_cast<int>(client % static_cast<std::uint64_t>(workerCount_)) == workerIndex_;
+        if (ownedByWorker) {
+            if (config_.closedLoopConcurrency > 0) {
+                const int workerConcurrency =
+                    config_.closedLoopConcurrency / workerCount_ +
+                    (workerIndex_ < config_.closedLoopConcurrency % workerCount_ ? 1 : 0);
+                if (openRequests_.size() >= static_cast<std::size_t>(workerConcurrency) ||
+                    now >= start_ + scheduleConfig_.duration) {
+                    if (now >= start_ + scheduleConfig_.duration) nextRequest_.reset();
                     return;
                 }
-                take(*next_, now, now);
+                startRequest(*nextRequest_, now, now);
             } else {
-                if (start_ + next_->arrival > now) return;
-                take(*next_, start_ + next_->arrival, now);
+                if (start_ + nextRequest_->arrival > now) return;
+                startRequest(*nextRequest_, start_ + nextRequest_->arrival, now);
             }
             // Behind its time it still looks at the sockets now and then: answers
             // must not wait for the backlog.
-            if (++taken >= kDispatchAtOnce) {
-                next_ = plan_->next();
-                return soon();
+            if (++started >= kMaxRequestsPerWakeup) {
+                nextRequest_ = schedule_->next();
+                return wakeSoon();
             }
         }
-        next_ = plan_->next();
+        nextRequest_ = schedule_->next();
     }
 }
 
-void Clients::take(const ScheduledRequest& planned, Duration scheduled, Duration now) {
+void LoadClients::startRequest(const ScheduledRequest& scheduled, Duration scheduledAt, Duration now) {
     const RequestClassLoad& requestClass =
-        terms_.requestClasses[static_cast<std::size_t>(planned.requestClass)];
-    RequestClassStats& tally = tally_.requestClasses[static_cast<std::size_t>(planned.requestClass)];
-    ++tally.planned;
-    tally.value += requestClass.value;
-    progress_.planned.fetch_add(1, std::memory_order_relaxed);
-    if (watcher_ != nullptr) watcher_->planned(planned, scheduled);
-    const std::uint64_t id = planned.number;
-    TrackedRequest& request = open_[id];
-    request.planned = planned;
+        scheduleConfig_.requestClasses[static_cast<std::size_t>(scheduled.requestClass)];
+    RequestClassStatistics& classStatistics =
+        statistics_.requestClasses[static_cast<std::size_t>(scheduled.requestClass)];
+    ++classStatistics.scheduled;
+    classStatistics.offeredValue += requestClass.value;
+    progress_.scheduled.fetch_add(1, std::memory_order_relaxed);
+    if (observer_ != nullptr) observer_->onScheduled(scheduled, scheduledAt);
+    const std::uint64_t id = scheduled.number;
+    TrackedRequest& request = openRequests_[id];
     request.scheduled = scheduled;
-    request.stopsAt = scheduled + std::min(requestClass.timeout, planned.attemptTimeout);
-    request.client =
-        (planned.number % static_cast<std::uint64_t>(habits_.clients)) / static_cast<std::uint64_t>(workers_);
-    request.first = traceOf(terms_.seed, id, 0);
-    Stretch& stretch = tally_.series.at(scheduled - start_);
-    stretch.open = std::max<std::uint64_t>(stretch.open, open_.size());
-    stretch.value += requestClass.value;
-    if (open_.size() > habits_.openMost) {
-        tally_.lag.add(now - scheduled);
-        return finish(id, End::NeverSent, now);
+    request.scheduledAt = scheduledAt;
+    request.deadline = scheduledAt + std::min(requestClass.timeout, scheduled.attemptTimeout);
+    request.clientIndex = (scheduled.number % static_cast<std::uint64_t>(config_.clients)) /
+                          static_cast<std::uint64_t>(workerCount_);
+    request.firstTraceId = attemptTraceId(scheduleConfig_.seed, id, 0);
+    Interval& interval = statistics_.series.at(scheduledAt - start_);
+    interval.maxOpenRequests = std::max<std::uint64_t>(interval.maxOpenRequests, openRequests_.size());
+    interval.offeredValue += requestClass.value;
+    if (openRequests_.size() > config_.maxOpenRequests) {
+        statistics_.sendDelay.add(now - scheduledAt);
+        return finishRequest(id, RequestOutcome::NeverSent, now);
     }
-    begin(id, now);
+    startAttempt(id, now);
 }
 
-void Clients::agenda(std::uint64_t id, TrackedRequest& request, Duration due) {
-    agenda_.erase({request.due, id});
-    request.due = due;
-    agenda_.emplace(due, id);
+void LoadClients::setRequestTimer(std::uint64_t id, TrackedRequest& request, Duration at) {
+    requestTimers_.erase({request.timerAt, id});
+    request.timerAt = at;
+    requestTimers_.emplace(at, id);
 }
 
-void Clients::begin(std::uint64_t id, Duration now) {
-    TrackedRequest& request = open_.at(id);
-    Client& client = *clients_[request.client];
-    if (now >= request.stopsAt) return finish(id, request.everSent ? request.worst : End::NeverSent, now);
-    const auto usable = [&](std::size_t at) { return client.members.isUsable(at, now); };
-    const auto chosen = client.choice.choose(request.planned.subject, request.target, usable, client.chance);
+void LoadClients::startAttempt(std::uint64_t id, Duration now) {
+    TrackedRequest& request = openRequests_.at(id);
+    Client& client = *clients_[request.clientIndex];
+    if (now >= request.deadline)
+        return finishRequest(id, request.everSent ? request.lastOutcome : RequestOutcome::NeverSent, now);
+    const auto usable = [&](std::size_t at) { return client.outlierDetector.isUsable(at, now); };
+    const auto chosen =
+        client.loadBalancer.choose(request.scheduled.subject, request.target, usable, client.random);
     ++request.attempts;
     if (!chosen) {
         // Nobody may be used just now: it waits like one that was turned away
         // before it began.
-        return tryFailed(id, now, ExecutionState::NotStarted, End::NeverSent);
+        return handleAttemptFailure(id, now, ExecutionState::NotStarted, RequestOutcome::NeverSent);
     }
     request.target = *chosen;
-    if (put(id, request, *chosen, now)) return;
+    if (sendAttempt(id, request, *chosen, now)) return;
     request.queued = true;
-    client.waiting[*chosen].push_back(id);
-    agenda(id, request, request.stopsAt);
+    client.queuedRequests[*chosen].push_back(id);
+    setRequestTimer(id, request, request.deadline);
 }
 
 // The connection with the fewest requests on it, a new one where all are busy
 // and one more may be opened.
-Clients::Line* Clients::lineFor(Client& client, std::size_t target) {
-    auto& lines = client.lines[target];
-    Line* best = nullptr;
+LoadClients::ServerConnection* LoadClients::selectConnection(Client& client, std::size_t target) {
+    auto& connections = client.connections[target];
+    ServerConnection* best = nullptr;
     std::size_t usable = 0;
-    for (const auto& line : lines) {
-        if (line->goaway) continue;
+    for (const auto& connection : connections) {
+        if (connection->draining) continue;
         ++usable;
-        if (best == nullptr || line->open.size() < best->open.size()) best = line.get();
+        if (best == nullptr || connection->openRequests.size() < best->openRequests.size())
+            best = connection.get();
     }
-    if (best != nullptr && (best->open.empty() || usable >= static_cast<std::size_t>(habits_.connections)))
-        return best->open.size() < static_cast<std::size_t>(habits_.openEach) ? best : nullptr;
-    if (usable >= static_cast<std::size_t>(habits_.connections)) return nullptr;
-    auto line =
-        std::make_unique<Line>(*this, client.number / static_cast<std::size_t>(workers_), target, false);
-    line->begun = line->used = clocks_.steady();
-    line->connection = std::make_unique<net::Connection>(loop_, habits_.targets[target], *line,
-                                                         net::BufferLimits{1 << 20, 1 << 20});
-    ++tally_.links.opened;
-    lines.push_back(std::move(line));
-    return lines.back().get();
+    if (best != nullptr &&
+        (best->openRequests.empty() || usable >= static_cast<std::size_t>(config_.maxConnectionsPerTarget)))
+        return best->openRequests.size() < static_cast<std::size_t>(config_.maxRequestsPerConnection)
+                   ? best
+                   : nullptr;
+    if (usable >= static_cast<std::size_t>(config_.maxConnectionsPerTarget)) return nullptr;
+    auto connection = std::make_unique<ServerConnection>(
+        *this, client.number / static_cast<std::size_t>(workerCount_), target, false);
+    connection->openedAt = connection->lastUsedAt = clocks_.steady();
+    connection->socket = std::make_unique<net::Connection>(loop_, config_.targets[target], *connection,
+                                                           net::BufferLimits{1 << 20, 1 << 20});
+    ++statistics_.connections.opened;
+    connections.push_back(std::move(connection));
+    return connections.back().get();
 }
 
-bool Clients::put(std::uint64_t id, TrackedRequest& request, std::size_t target, Duration now) {
-    Client& client = *clients_[request.client];
-    const bool kiosk = terms_.requestClasses[static_cast<std::size_t>(request.planned.requestClass)].usesScgi;
-    Line* const line = kiosk ? kioskLine(client, target) : lineFor(client, target);
-    if (line == nullptr) return false;
+bool LoadClients::sendAttempt(std::uint64_t id, TrackedRequest& request, std::size_t target, Duration now) {
+    Client& client = *clients_[request.clientIndex];
+    const bool usesScgi =
+        scheduleConfig_.requestClasses[static_cast<std::size_t>(request.scheduled.requestClass)].usesScgi;
+    ServerConnection* const connection =
+        usesScgi ? openScgiConnection(client, target) : selectConnection(client, target);
+    if (connection == nullptr) return false;
     request.queued = false;
-    request.trace = request.sentAgain ? traceOf(terms_.seed, id, request.attempts + 7)
-                                      : traceOf(terms_.seed, id, request.attempts - 1);
-    request.line = line;
-    request.sequence = ++line->sequence;
-    request.written = now;
+    request.traceId = request.resent ? attemptTraceId(scheduleConfig_.seed, id, request.attempts + 7)
+                                     : attemptTraceId(scheduleConfig_.seed, id, request.attempts - 1);
+    request.connection = connection;
+    request.sequence = ++connection->lastSequence;
+    request.sentAt = now;
     if (!request.everSent) {
-        request.firstWritten = now;
-        tally_.lag.add(now - request.scheduled);
+        request.firstSentAt = now;
+        statistics_.sendDelay.add(now - request.scheduledAt);
     }
     request.everSent = true;
-    const ScheduledRequest& planned = request.planned;
-    if (kiosk)
-        line->connection->send(scgiOf(request, now));
+    const ScheduledRequest& scheduled = request.scheduled;
+    if (usesScgi)
+        connection->socket->send(scgiMessage(request, now));
     else
-        line->connection->send(thriftOf(request, client.number, now));
-
-    line->open.emplace(request.sequence, id);
-    line->used = now;
-    client.choice.requestStarted(target);
-    client.members.requestStarted(target, now);
-    ++tally_.requestClasses[static_cast<std::size_t>(planned.requestClass)].tries;
-    ++tally_.series.at(request.scheduled - start_).tries;
-    if (watcher_ != nullptr) watcher_->sent(planned, request.trace, request.first, target);
-    agenda(id, request, request.stopsAt);
+        connection->socket->send(thriftMessage(request, client.number, now));
+
+    connection->openRequests.emplace(request.sequence, id);
+    connection->lastUsedAt = now;
+    client.loadBalancer.requestStarted(target);
+    client.outlierDetector.requestStarted(target, now);
+    ++statistics_.requestClasses[static_cast<std::size_t>(scheduled.requestClass)].attempts;
+    ++statistics_.series.at(request.scheduledAt - start_).attempts;
+    if (observer_ != nullptr)
+        observer_->onAttemptSent(scheduled, request.traceId, request.firstTraceId, target);
+    setRequestTimer(id, request, request.deadline);
     return true;
 }
 
-std::string Clients::thriftOf(const TrackedRequest& request, std::size_t client, Duration now) const {
-    const ScheduledRequest& planned = request.planned;
+std::string LoadClients::thriftMessage(const TrackedRequest& request, std::size_t clientNumber,
+                                       Duration now) const {
+    const ScheduledRequest& scheduled = request.scheduled;
     const RequestClassLoad& requestClass =
-        terms_.requestClasses[static_cast<std::size_t>(planned.requestClass)];
-    const Duration born = clocks_.unix();
+        scheduleConfig_.requestClasses[static_cast<std::size_t>(scheduled.requestClass)];
+    const Duration createdAt = clocks_.unix();
     thrift::Fields fields;
     fields["route"] = requestClass.claimedClass.empty() ? requestClass.name : requestClass.claimedClass;
-    fields["trace"] = request.trace;
-    fields["born"] = std::to_string(born / 1ms);
-    fields["client"] = std::to_string(client);
-    fields["customer"] = tenantName(planned.tenant);
-    fields["patience"] = std::to_string(std::max<std::int64_t>(1, (request.stopsAt - now) / 1ms));
-    if (planned.isRetry || request.attempts > 1) fields["redo"] = "1";
+    fields["trace"] = request.traceId;
+    fields["born"] = std::to_string(createdAt / 1ms);
+    fields["client"] = std::to_string(clientNumber);
+    fields["customer"] = tenantName(scheduled.tenant);
+    fields["patience"] = std::to_string(std::max<std::int64_t>(1, (request.deadline - now) / 1ms));
+    if (scheduled.isRetry || request.attempts > 1) fields["redo"] = "1";
     char text[32];
-    std::snprintf(text, sizeof text, "%.2f", static_cast<double>(planned.workHint.count()) / 1e6);
+    std::snprintf(text, sizeof text, "%.2f", static_cast<double>(scheduled.workHint.count()) / 1e6);
     fields["weight"] = text;
-    std::snprintf(text, sizeof text, "%.1f", planned.memoryKb);
+    std::snprintf(text, sizeof text, "%.1f", scheduled.memoryKb);
     fields["size"] = text;
-    std::snprintf(text, sizeof text, "%.4f", std::min(planned.rank, 0.9999));
+    std::snprintf(text, sizeof text, "%.4f", std::min(scheduled.rank, 0.9999));
     fields["order"] = text;
     if (requestClass.idempotency == Idempotency::Idempotent)
-        fields["entity"] = hex16(routing::splitMix64(planned.subject));
-    return writeServeCall(request.sequence, fields, bodyOf(planned, requestClass.callsPerRun, request.first));
+        fields["entity"] = toHex(routing::splitMix64(scheduled.subject));
+    return writeServeCall(request.sequence, fields,
+                          requestBody(scheduled, requestClass.callsPerRun, request.firstTraceId));
 }
 
-std::string Clients::scgiOf(const TrackedRequest& request, Duration now) const {
-    const ScheduledRequest& planned = request.planned;
+std::string LoadClients::scgiMessage(const TrackedRequest& request, Duration now) const {
+    const ScheduledRequest& scheduled = request.scheduled;
     const RequestClassLoad& requestClass =
-        terms_.requestClasses[static_cast<std::size_t>(planned.requestClass)];
+        scheduleConfig_.requestClasses[static_cast<std::size_t>(scheduled.requestClass)];
     scgi::Headers headers = {
         {"REQUEST_METHOD", "POST"},
         {"REQUEST_URI",
          "/" + (requestClass.claimedClass.empty() ? requestClass.name : requestClass.claimedClass) + "/" +
-             std::to_string(planned.subject)},
-        {"HTTP_X_TRACE", request.trace},
-        {"HTTP_X_CUSTOMER", tenantName(planned.tenant)},
-        {"HTTP_X_PATIENCE_MS", std::to_string(std::max<std::int64_t>(1, (request.stopsAt - now) / 1ms))}};
+             std::to_string(scheduled.subject)},
+        {"HTTP_X_TRACE", request.traceId},
+        {"HTTP_X_CUSTOMER", tenantName(scheduled.tenant)},
+        {"HTTP_X_PATIENCE_MS", std::to_string(std::max<std::int64_t>(1, (request.deadline - now) / 1ms))}};
     char text[32];
-    std::snprintf(text, sizeof text, "%.2f", static_cast<double>(planned.workHint.count()) / 1e6);
+    std::snprintf(text, sizeof text, "%.2f", static_cast<double>(scheduled.workHint.count()) / 1e6);
     headers.emplace_back("HTTP_X_COST_MS", text);
-    if (planned.isRetry || request.attempts > 1) headers.emplace_back("HTTP_X_REDO", "1");
-    return scgi::writeRequest(headers, bodyOf(planned, requestClass.callsPerRun, request.first));
+    if (scheduled.isRetry || request.attempts > 1) headers.emplace_back("HTTP_X_REDO", "1");
+    return scgi::writeRequest(headers,
+                              requestBody(scheduled, requestClass.callsPerRun, request.firstTraceId));
 }
 
 // A connection of its own for each request, as the protocol has it.
-Clients::Line* Clients::kioskLine(Client& client, std::size_t target) {
-    auto line =
-        std::make_unique<Line>(*this, client.number / static_cast<std::size_t>(workers_), target, false);
-    line->kiosk = true;
-    line->goaway = true;  // nothing more goes on it
-    line->begun = line->used = clocks_.steady();
-    line->connection = std::make_unique<net::Connection>(loop_, habits_.kiosks[target], *line,
-                                                         net::BufferLimits{1 << 20, 1 << 20});
-    ++tally_.links.opened;
-    client.lines[target].push_back(std::move(line));
-    return client.lines[target].back().get();
+LoadClients::ServerConnection* LoadClients::openScgiConnection(Client& client, std::size_t target) {
+    auto connection = std::make_unique<ServerConnection>(
+        *this, client.number / static_cast<std::size_t>(workerCount_), target, false);
+    connection->usesScgi = true;
+    connection->draining = true;  // nothing more goes on it
+    connection->openedAt = connection->lastUsedAt = clocks_.steady();
+    connection->socket = std::make_unique<net::Connection>(loop_, config_.scgiTargets[target], *connection,
+                                                           net::BufferLimits{1 << 20, 1 << 20});
+    ++statistics_.connections.opened;
+    client.connections[target].push_back(std::move(connection));
+    return client.connections[target].back().get();
 }
 
 // A request's place on its connection and with its server is given back.
-void Clients::detach(TrackedRequest& request, std::optional<Duration> took, Duration now) {
-    if (request.line == nullptr) return;
-    if (watcher_ != nullptr) watcher_->released(request.trace);
-    clients_[request.client]->choice.requestEnded(*request.target, took, now);
-    request.line->open.erase(request.sequence);
-    request.line->used = now;
-    request.line = nullptr;
+void LoadClients::releaseAttempt(TrackedRequest& request, std::optional<Duration> latency, Duration now) {
+    if (request.connection == nullptr) return;
+    if (observer_ != nullptr) observer_->onAttemptReleased(request.traceId);
+    clients_[request.clientIndex]->loadBalancer.requestEnded(*request.target, latency, now);
+    request.connection->openRequests.erase(request.sequence);
+    request.connection->lastUsedAt = now;
+    request.connection = nullptr;
 }
 
-void Clients::tryFailed(std::uint64_t id, Duration now, ExecutionState began, End how,
-                        std::optional<Duration> retryAfter, bool noRetryElsewhere) {
-    TrackedRequest& request = open_.at(id);
-    Client& client = *clients_[request.client];
-    request.worst = how;
-    client.budget.recordFailure();
-    routing::FailedAttempt tried;
-    tried.idempotency =
-        terms_.requestClasses[static_cast<std::size_t>(request.planned.requestClass)].idempotency;
-    tried.execution = began;
-    tried.attempts = request.attempts;
-    tried.previousDelay = request.waited;
-    tried.retryAfter = retryAfter;
-    tried.noRetryElsewhere = noRetryElsewhere;
-    tried.deadline = request.stopsAt;
-    tried.minAttemptTime = kUseful;
-    const auto verdict = routing::decideRetry(habits_.attempts, client.budget, tried, now, client.chance);
-    ++tally_.links.notAgain[static_cast<std::size_t>(verdict.reason)];
-    if (verdict.reason != routing::RetryDecisionReason::Retry || (stopped_ && habits_.closed > 0))
-        return finish(id, how, now);
-    request.waited = verdict.retryAt - now;
-    agenda(id, request, verdict.retryAt);
+void LoadClients::handleAttemptFailure(std::uint64_t id, Duration now, ExecutionState execution,
+                                       RequestOutcome outcome, std::optional<Duration> retryAfter,
+                                       bool noRetryElsewhere) {
+    TrackedRequest& request = openRequests_.at(id);
+    Client& client = *clients_[request.clientIndex];
+    request.lastOutcome = outcome;
+    client.retryBudget.recordFailure();
+    routing::FailedAttempt failedAttempt;
+    failedAttempt.idempotency =
+        scheduleConfig_.requestClasses[static_cast<std::size_t>(request.scheduled.requestClass)].idempotency;
+    failedAttempt.execution = execution;
+    failedAttempt.attempts = request.attempts;
+    failedAttempt.previousDelay = request.previousDelay;
+    failedAttempt.retryAfter = retryAfter;
+    failedAttempt.noRetryElsewhere = noRetryElsewhere;
+    failedAttempt.deadline = request.deadline;
+    failedAttempt.minAttemptTime = kMinAttemptTime;
+    const auto decision =
+        routing::decideRetry(config_.retryPolicy, client.retryBudget, failedAttempt, now, client.random);
+    ++statistics_.connections.retryDecisions[static_cast<std::size_t>(decision.reason)];
+    if (decision.reason != routing::RetryDecisionReason::Retry ||
+        (stopped_ && config_.closedLoopConcurrency > 0))
+        return finishRequest(id, outcome, now);
+    request.previousDelay = decision.retryAt - now;
+    setRequestTimer(id, request, decision.retryAt);
 }
 
-void Clients::patienceOver(std::uint64_t id, Duration now) {
-    TrackedRequest& request = open_.at(id);
-    if (request.queued) return finish(id, request.everSent ? request.worst : End::NeverSent, now);
-    Line& line = *request.line;
+void LoadClients::handleTimeout(std::uint64_t id, Duration now) {
+    TrackedRequest& request = openRequests_.at(id);
+    if (request.queued)
+        return finishRequest(id, request.everSent ? request.lastOutcome : RequestOutcome::NeverSent, now);
+    ServerConnection& connection = *request.connection;
     // The server owes its answer until the patience is over; what crosses that
     // moment is nobody's fault. One that is told to forget owes nothing, so such
     // a client waits a little before it says so.
-    if (now < request.stopsAt + kLate) return agenda(id, request, request.stopsAt + kLate);
-    if (line.connection && line.connection->isOpen())
-        tally_.broken.note(tally_.broken.lost,
-                           "no answer to " + request.trace + " of server " + std::to_string(line.target));
-    clients_[request.client]->members.recordFailure(*request.target, now, clients_[request.client]->chance);
+    if (now < request.deadline + kResponseGracePeriod)
+        return setRequestTimer(id, request, request.deadline + kResponseGracePeriod);
+    if (connection.socket && connection.socket->isOpen())
+        statistics_.violations.record(
+            statistics_.violations.lostResponses,
+            "no answer to " + request.traceId + " of server " + std::to_string(connection.target));
+    clients_[request.clientIndex]->outlierDetector.recordFailure(*request.target, now,
+                                                                 clients_[request.clientIndex]->random);
     // A kiosk that gives up closes its connection: so it is told.
-    const bool kiosk = line.kiosk;
-    if (habits_.forgets && line.connection && !kiosk) {
-        line.connection->send(writeCancel(++line.sequence, request.sequence));
-        ++tally_.links.forgets;
+    const bool usesScgi = connection.usesScgi;
+    if (config_.cancelsTimedOutRequests && connection.socket && !usesScgi) {
+        connection.socket->send(writeCancel(++connection.lastSequence, request.sequence));
+        ++statistics_.connections.cancelMessages;
     }
-    line.forgotten.insert(request.sequence);
-    line.forgottenOrder.push_back(request.sequence);
-    if (line.forgottenOrder.size() > kForgottenKept) {
-        line.forgotten.erase(line.forgottenOrder.front());
-        line.forgottenOrder.pop_front();
+    connection.timedOutSequences.insert(request.sequence);
+    connection.timedOutOrder.push_back(request.sequence);
+    if (connection.timedOutOrder.size() > kMaxTimedOutSequences) {
+        connection.timedOutSequences.erase(connection.timedOutOrder.front());
+        connection.timedOutOrder.pop_front();
     }
-    detach(request, std::nullopt, now);
-    finish(id, End::NoAnswer, now);
-    if (kiosk) lineEnded(line, net::ConnectionEnd::Unused);
+    releaseAttempt(request, std::nullopt, now);
+    finishRequest(id, RequestOutcome::NoAnswer, now);
+    if (usesScgi) handleConnectionEnd(connection, net::ConnectionEnd::Unused);
 }
 
-void Clients::finish(std::uint64_t id, End end, Duration now) {
-    const auto at = open_.find(id);
+void LoadClients::finishRequest(std::uint64_t id, RequestOutcome outcome, Duration now) {
+    const auto at = openRequests_.find(id);
     TrackedRequest& request = at->second;
     const RequestClassLoad& requestClass =
-        terms_.requestClasses[static_cast<std::size_t>(request.planned.requestClass)];
-    RequestClassStats& tally = tally_.requestClasses[static_cast<std::size_t>(request.planned.requestClass)];
-    if (!request.everSent && end == End::NeverSent && open_.size() <= habits_.openMost)
-        tally_.lag.add(now - request.scheduled);
-    const Duration took = now - request.scheduled;
-    if (end == End::Completed && took > requestClass.latencyObjective) end = End::Late;
-    Stretch& stretch = tally_.series.at(request.scheduled - start_);
-    if (end == End::Completed || end == End::Late) {
-        tally.fromSchedule.add(took);
-        tally.fromWrite.add(now - request.firstWritten);
-        const double earned =
-            end == End::Completed ? requestClass.value : requestClass.value * requestClass.lateValueFraction;
-        tally.earned += earned;
-        stretch.earned += earned;
-        if (!stretch.latencies) stretch.latencies = std::make_unique<LatencyHistogram>();
-        stretch.latencies->add(took);
+        scheduleConfig_.requestClasses[static_cast<std::size_t>(request.scheduled.requestClass)];
+    RequestClassStatistics& classStatistics =
+        statistics_.requestClasses[static_cast<std::size_t>(request.scheduled.requestClass)];
+    if (!request.everSent && outcome == RequestOutcome::NeverSent &&
+        openRequests_.size() <= config_.maxOpenRequests)
+        statistics_.sendDelay.add(now - request.scheduledAt);
+    const Duration latency = now - request.scheduledAt;
+    if (outcome == RequestOutcome::Completed && latency > requestClass.latencyObjective)
+        outcome = RequestOutcome::Late;
+    Interval& interval = statistics_.series.at(request.scheduledAt - start_);
+    if (outcome == RequestOutcome::Completed || outcome == RequestOutcome::Late) {
+        classStatistics.latencyFromSchedule.add(latency);
+        classStatistics.latencyFromWrite.add(now - request.firstSentAt);
+        const double earnedValue = outcome == RequestOutcome::Completed
+                                       ? requestClass.value
+                                       : requestClass.value * requestClass.lateValueFraction;
+        classStatistics.earnedValue += earnedValue;
+        interval.earnedValue += earnedValue;
+        if (!interval.latencies) interval.latencies = std::make_unique<LatencyHistogram>();
+        interval.latencies->add(latency);
         progress_.completed.fetch_add(1, std::memory_order_relaxed);
     }
-    ++tally.ends[static_cast<std::size_t>(end)];
-    ++stretch.ends[static_cast<std::size_t>(end)];
+    ++classStatistics.outcomes[static_cast<std::size_t>(outcome)];
+    ++interval.outcomes[static_cast<std::size_t>(outcome)];
     progress_.ended.fetch_add(1, std::memory_order_relaxed);
-    if (watcher_ != nullptr) watcher_->ended(request.planned, request.trace, end);
-    if (request.queued) std::erase(clients_[request.client]->waiting[*request.target], id);
-    agenda_.erase({request.due, id});
-    open_.erase(at);
+    if (observer_ != nullptr) observer_->onRequestEnded(request.scheduled, request.traceId, outcome);
+    if (request.queued) std::erase(clients_[request.clientIndex]->queuedRequests[*request.target], id);
+    requestTimers_.erase({request.timerAt, id});
+    openRequests_.erase(at);
 }
 
-void Clients::sendWaiting(Client& client, std::size_t target, Duration now) {
-    auto& waiting = client.waiting[target];
-    while (!waiting.empty()) {
-        const std::uint64_t id = waiting.front();
-        TrackedRequest& request = open_.at(id);
-        if (!put(id, request, target, now)) return;
-        waiting.pop_front();
+void LoadClients::sendQueuedRequests(Client& client, std::size_t target, Duration now) {
+    auto& queuedRequests = client.queuedRequests[target];
+    while (!queuedRequests.empty()) {
+        const std::uint64_t id = queuedRequests.front();
+        TrackedRequest& request = openRequests_.at(id);
+        if (!sendAttempt(id, request, target, now)) return;
+        queuedRequests.pop_front();
     }
 }
 
-void Clients::clientResponse(Line& line, ClientResponse&& said) {
+void LoadClients::handleResponse(ServerConnection& connection, ClientResponse&& response) {
     const Duration now = clocks_.steady();
-    Client& client = *clients_[line.client];
-    if (habits_.honoursAdvice)
-        if (const auto advice = numberIn(said.fields, "advice"))
-            client.choice.setWeight(line.target, std::clamp(*advice, 0.05, 4.0));
-    if (said.kind == ClientResponse::Kind::Goaway) {
-        line.goaway = true;
-        ++tally_.links.goaways;
-        if (line.open.empty()) lineEnded(line, net::ConnectionEnd::Unused);
+    Client& client = *clients_[connection.clientIndex];
+    if (config_.honorsServerWeight)
+        if (const auto weight = numericField(response.fields, "advice"))
+            client.loadBalancer.setWeight(connection.target, std::clamp(*weight, 0.05, 4.0));
+    if (response.kind == ClientResponse::Kind::Goaway) {
+        connection.draining = true;
+        ++statistics_.connections.goaways;
+        if (connection.openRequests.empty()) handleConnectionEnd(connection, net::ConnectionEnd::Unused);
         return;
     }
-    if (line.check) {
-        const bool good = said.kind == ClientResponse::Kind::Answer && said.good;
-        ++tally_.links.checks;
-        tally_.links.badChecks += !good;
-        line.open.clear();
-        client.members.recordHealthCheck(line.target, good, now, client.chance);
+    if (connection.healthCheck) {
+        const bool healthy = response.kind == ClientResponse::Kind::Answer && response.good;
+        ++statistics_.connections.healthChecks;
+        statistics_.connections.failedHealthChecks += !healthy;
+        connection.openRequests.clear();
+        client.outlierDetector.recordHealthCheck(connection.target, healthy, now, client.random);
         return;
     }
-    const auto found = line.open.find(said.sequence);
-    if (found == line.open.end()) {
-        if (line.forgotten.erase(said.sequence) > 0) return;
-        const std::string where = " with sequence number " + std::to_string(said.sequence) + ", of server " +
-                                  std::to_string(line.target);
-        if (said.sequence >= 1 && said.sequence <= line.sequence)
-            tally_.broken.note(tally_.broken.twice, "a second answer" + where);
+    const auto found = connection.openRequests.find(response.sequence);
+    if (found == connection.openRequests.end()) {
+        if (connection.timedOutSequences.erase(response.sequence) > 0) return;
+        const std::string where = " with sequence number " + std::to_string(response.sequence) +
+                                  ", of server " + std::to_string(connection.target);
+        if (response.sequence >= 1 && response.sequence <= connection.lastSequence)
+            statistics_.violations.record(statistics_.violations.duplicateResponses,
+                                          "a second answer" + where);
         else
-            tally_.broken.note(tally_.broken.toNothing, "an answer to nothing" + where);
+            statistics_.violations.record(statistics_.violations.unknownSequences,
+                                          "an answer to nothing" + where);
         return;
     }
     const std::uint64_t id = found->second;
-    TrackedRequest& request = open_.at(id);
-    if (watcher_ != nullptr) watcher_->answered(request.trace, said.kind);
-    const Duration took = now - request.written;
-    const std::size_t target = line.target;
-    switch (said.kind) {
+    TrackedRequest& request = openRequests_.at(id);
+    if (observer_ != nullptr) observer_->onResponse(request.traceId, response.kind);
+    const Duration latency = now - request.sentAt;
+    const std::size_t target = connection.target;
+    switch (response.kind) {
         case ClientResponse::Kind::Answer: {
-            detach(request, took, now);
-            client.members.recordSuccess(target, now);
-            const std::string expected = "ok " + request.trace;
-            if (habits_.checksResults && said.body.substr(0, expected.size()) != expected) {
-                tally_.broken.note(tally_.broken.wrongResult,
-                                   "a result that no run made for " + request.trace);
-                finish(id, End::Failed, now);
+            releaseAttempt(request, latency, now);
+            client.outlierDetector.recordSuccess(target, now);
+            const std::string expected = "ok " + request.traceId;
+            if (config_.verifiesResults && response.body.substr(0, expected.size()) != expected) {
+                statistics_.violations.record(statistics_.violations.wrongResults,
+                                              "a result that no run made for " + request.traceId);
+                finishRequest(id, RequestOutcome::Failed, now);
                 break;
             }
-            client.budget.recordSuccess();
-            finish(id, End::Completed, now);
+            client.retryBudget.recordSuccess();
+            finishRequest(id, RequestOutcome::Completed, now);
             break;
         }
         case ClientResponse::Kind::Busy: {
-            detach(request, std::nullopt, now);
-            client.members.recordSuccess(target, now);  // it is well enough to turn away
+            releaseAttempt(request, std::nullopt, now);
+            client.outlierDetector.recordSuccess(target, now);  // it is well enough to turn away
             std::optional<Duration> retryAfter;
-            if (const auto pause = numberIn(said.fields, "pause"))
-                retryAfter = Duration(static_cast<std::int64_t>(std::min(*pause, 1e9) * 1e6));
-            tryFailed(id, now, ExecutionState::NotStarted, End::Rejected, retryAfter,
-                      said.fields.contains("terminal"));
+            if (const auto retryAfterMs = numericField(response.fields, "pause"))
+                retryAfter = Duration(static_cast<std::int64_t>(std::min(*retryAfterMs, 1e9) * 1e6));
+            handleAttemptFailure(id, now, ExecutionState::NotStarted, RequestOutcome::Rejected, retryAfter,
+                                 response.fields.contains("terminal"));
             break;
         }
         case ClientResponse::Kind::Failed:
         case ClientResponse::Kind::Exception:
         case ClientResponse::Kind::Goaway:
-            detach(request, std::nullopt, now);
-            client.members.recordFailure(target, now, client.chance);
-            tryFailed(id, now, ExecutionState::Unknown, End::Failed);
+            releaseAttempt(request, std::nullopt, now);
+            client.outlierDetector.recordFailure(target, now, client.random);
+            handleAttemptFailure(id, now, ExecutionState::Unknown, RequestOutcome::Failed);
             break;
     }
-    if (line.goaway && line.open.empty()) return lineEnded(line, net::ConnectionEnd::Unused);
-    sendWaiting(client, target, now);
+    if (connection.draining && connection.openRequests.empty())
+        return handleConnectionEnd(connection, net::ConnectionEnd::Unused);
+    sendQueuedRequests(client, target, now);
     // From here the agenda may have an earlier entry than the timer, or nothing
     // is left to wait for.
-    if (habits_.closed > 0 || (!next_ && open_.empty()))
-        soon();
+    if (config_.closedLoopConcurrency > 0 || (!nextRequest_ && openRequests_.empty()))
+        wakeSoon();
     else
-        wake();
+        armWakeup();
 }
 
-void Clients::lineEnded(Line& line, net::ConnectionEnd end) {
+void LoadClients::handleConnectionEnd(ServerConnection& connection, net::ConnectionEnd end) {
     const Duration now = clocks_.steady();
-    Client& client = *clients_[line.client];
-    const std::size_t target = line.target;
-    const bool refused =
+    Client& client = *clients_[connection.clientIndex];
+    const std::size_t target = connection.target;
+    const bool connectFailed =
         end == net::ConnectionEnd::ConnectRefused || end == net::ConnectionEnd::ConnectTimedOut;
-    if (refused)
-        ++tally_.links.refused;
+    if (connectFailed)
+        ++statistics_.connections.connectFailures;
     else if (end == net::ConnectionEnd::Unused)
-        ++tally_.links.idleClosed;
+        ++statistics_.connections.closedUnused;
     else if (end == net::ConnectionEnd::PeerClosed)
-        ++tally_.links.closed;
+        ++statistics_.connections.closedByPeer;
     else
-        ++tally_.links.reset;
-    line.connection.reset();
+        ++statistics_.connections.reset;
+    connection.socket.reset();
     // The object goes with the next pump: the callback that led here may still
     // look at it.
-    if (line.check) {
-        if (!line.open.empty() || refused) {
-            ++tally_.links.checks, ++tally_.links.badChecks;
-            client.members.recordHealthCheck(target, false, now, client.chance);
+    if (connection.healthCheck) {
+        if (!connection.openRequests.empty() || connectFailed) {
+            ++statistics_.connections.healthChecks, ++statistics_.connections.failedHealthChecks;
+            client.outlierDetector.recordHealthCheck(target, false, now, client.random);
         }
-        gone_.push_back(std::move(client.checks[target]));
+        closedConnections_.push_back(std::move(client.healthCheckConnections[target]));
     } else {
-        auto& lines = client.lines[target];
-        const auto place =
-            std::find_if(lines.begin(), lines.end(), [&](const auto& each) { return each.get() == &line; });
-        gone_.push_back(std::move(*place));
-        lines.erase(place);
+        auto& connections = client.connections[target];
+        const auto place = std::find_if(connections.begin(), connections.end(),
+                                        [&](const auto& each) { return each.get() == &connection; });
+        closedConnections_.push_back(std::move(*place));
+        connections.erase(place);
     }
-    const auto open = std::move(line.open);
-    line.open.clear();
-    bool booked = false;
-    for (const auto& [sequence, id] : open) {
-        if (line.check) continue;
-        const auto at = open_.find(id);
-        if (at == open_.end()) continue;
+    const auto interrupted = std::move(connection.openRequests);
+    connection.openRequests.clear();
+    bool failureRecorded = false;
+    for (const auto& [sequence, id] : interrupted) {
+        if (connection.healthCheck) continue;
+        const auto at = openRequests_.find(id);
+        if (at == openRequests_.end()) continue;
         TrackedRequest& request = at->second;
-        detach(request, std::nullopt, now);
+        releaseAttempt(request, std::nullopt, now);
         // What may run once only is sent again only where the server has said that
         // it takes no more there.
-        const bool harmless =
-            line.goaway ||
-            terms_.requestClasses[static_cast<std::size_t>(request.planned.requestClass)].idempotency ==
-                Idempotency::Idempotent;
-        const bool crossed = !refused && !line.kiosk && harmless && now - request.written < kCrossing &&
-                             !request.sentAgain &&
-                             (end == net::ConnectionEnd::PeerClosed || end == net::ConnectionEnd::Reset);
-        if (crossed) {
-            request.sentAgain = true;
-            ++tally_.links.sentAgain;
-            request.worst = End::ConnectionLost;
-            if (!put(id, request, target, now)) agenda(id, request, now);
+        const bool safeToResend =
+            connection.draining ||
+            scheduleConfig_.requestClasses[static_cast<std::size_t>(request.scheduled.requestClass)]
+                    .idempotency == Idempotency::Idempotent;
+        const bool closedDuringSend =
+            !connectFailed && !connection.usesScgi && safeToResend &&
+            now - request.sentAt < kCloseRaceWindow && !request.resent &&
+            (end == net::ConnectionEnd::PeerClosed || end == net::ConnectionEnd::Reset);
+        if (closedDuringSend) {
+            request.resent = true;
+            ++statistics_.connections.resent;
+            request.lastOutcome = RequestOutcome::ConnectionLost;
+            if (!sendAttempt(id, request, target, now)) setRequestTimer(id, request, now);
             continue;
         }
         // One broken connection is one sign, however many requests were on it.
-        if (!std::exchange(booked, true)) client.members.recordFailure(target, now, client.chance);
-        tryFailed(id, now, refused ? ExecutionState::NotStarted : ExecutionState::Unknown,
-                  End::ConnectionLost);
+        if (!std::exchange(failureRecorded, true))
+            client.outlierDetector.recordFailure(target, now, client.random);
+        handleAttemptFailure(id, now, connectFailed ? ExecutionState::NotStarted : ExecutionState::Unknown,
+                             RequestOutcome::ConnectionLost);
     }
-    sendWaiting(client, target, now);
-    soon();
+    sendQueuedRequests(client, target, now);
+    wakeSoon();
 }
 
-void Clients::check(Duration now) {
-    if (now < nextSweep_) return;
-    nextSweep_ = now + kSweep;
-    const bool checks = habits_.checksEvery > 0ns && now >= nextCheck_;
-    if (checks) nextCheck_ = now + habits_.checksEvery;
+void LoadClients::maintainConnections(Duration now) {
+    if (now < nextConnectionSweep_) return;
+    nextConnectionSweep_ = now + kConnectionSweepInterval;
+    const bool healthChecksDue = config_.healthCheckInterval > 0ns && now >= nextHealthCheck_;
+    if (healthChecksDue) nextHealthCheck_ = now + config_.healthCheckInterval;
     for (auto& client : clients_)
-        for (std::size_t target = 0; target < habits_.targets.size(); ++target) {
+        for (std::size_t target = 0; target < config_.targets.size(); ++target) {
             // Connections that hang in opening or that nobody has used for long are
             // closed.
-            auto& lines = client->lines[target];
-            for (std::size_t at = 0; at < lines.size();) {
-                Line& line = *lines[at];
-                const bool hangs = !line.connection->isOpen() && now - line.begun > habits_.connectsWithin;
-                const bool idle = line.open.empty() && now - line.used > habits_.closesIdle;
-                if (hangs)
-                    lineEnded(line, net::ConnectionEnd::ConnectTimedOut);
+            auto& connections = client->connections[target];
+            for (std::size_t at = 0; at < connections.size();) {
+                ServerConnection& connection = *connections[at];
+                const bool connectTimedOut =
+                    !connection.socket->isOpen() && now - connection.openedAt > config_.connectTimeout;
+                const bool idle =
+                    connection.openRequests.empty() && now - connection.lastUsedAt > config_.idleTimeout;
+                if (connectTimedOut)
+                    handleConnectionEnd(connection, net::ConnectionEnd::ConnectTimedOut);
                 else if (idle)
-                    lineEnded(line, net::ConnectionEnd::Unused);
+                    handleConnectionEnd(connection, net::ConnectionEnd::Unused);
                 else
                     ++at;
             }
-            if (!checks) continue;
-            auto& line = client->checks[target];
-            if (line && !line->open.empty()) {  // the one before has had no answer
-                lineEnded(*line, net::ConnectionEnd::TimedOut);
+            if (!healthChecksDue) continue;
+            auto& connection = client->healthCheckConnections[target];
+            if (connection && !connection->openRequests.empty()) {  // the one before has had no answer
+                handleConnectionEnd(*connection, net::ConnectionEnd::TimedOut);
             }
-            if (!line) {
-                line = std::make_unique<Line>(*this, client->number / static_cast<std::size_t>(workers_),
-                                              target, true);
-                line->begun = line->used = now;
-                line->connection = std::make_unique<net::Connection>(loop_, habits_.targets[target], *line,
-                                                                     net::BufferLimits{65536, 65536});
+            if (!connection) {
+                connection = std::make_unique<ServerConnection>(
+                    *this, client->number / static_cast<std::size_t>(workerCount_), target, true);
+                connection->openedAt = connection->lastUsedAt = now;
+                connection->socket = std::make_unique<net::Connection>(
+                    loop_, config_.targets[target], *connection, net::BufferLimits{65536, 65536});
             }
-            line->connection->send(writeHealthCheck(++line->sequence, habits_.thorough));
-            line->open.emplace(line->sequence, 0);
+            connection->socket->send(
+                writeHealthCheck(++connection->lastSequence, config_.thoroughHealthChecks));
+            connection->openRequests.emplace(connection->lastSequence, 0);
         }
 }
 
--- a/src/loadtest/load_statistics.cpp
+++ b/src/loadtest/load_statistics.cpp
@@ -12,124 +12,129 @@
     for (std::size_t at = 0; at < to.size(); ++at) to[at] += from[at];
 }
 
-constexpr std::size_t kExamples = 10;
+constexpr std::size_t kMaxExamples = 10;
 
 }  // namespace
 
-const char* nameOf(End end) {
-    static constexpr const char* kNames[kEnds] = {"handled",   "handled late",    "bounced",   "scrapped",
-                                                  "no answer", "connection lost", "never sent"};
-    return kNames[static_cast<std::size_t>(end)];
+const char* nameOf(RequestOutcome outcome) {
+    static constexpr const char* kNames[kOutcomeCount] = {
+        "handled", "handled late", "bounced", "scrapped", "no answer", "connection lost", "never sent"};
+    return kNames[static_cast<std::size_t>(outcome)];
 }
 
-std::uint64_t RequestClassStats::ended() const {
-    return std::accumulate(ends.begin(), ends.end(), std::uint64_t{0});
+std::uint64_t RequestClassStatistics::ended() const {
+    return std::accumulate(outcomes.begin(), outcomes.end(), std::uint64_t{0});
 }
 
-void RequestClassStats::add(const RequestClassStats& other) {
-    addEach(ends, other.ends);
-    planned += other.planned, tries += other.tries;
-    value += other.value, earned += other.earned;
-    fromSchedule.add(other.fromSchedule);
-    fromWrite.add(other.fromWrite);
+void RequestClassStatistics::add(const RequestClassStatistics& other) {
+    addEach(outcomes, other.outcomes);
+    scheduled += other.scheduled, attempts += other.attempts;
+    offeredValue += other.offeredValue, earnedValue += other.earnedValue;
+    latencyFromSchedule.add(other.latencyFromSchedule);
+    latencyFromWrite.add(other.latencyFromWrite);
 }
 
-void Stretch::add(const Stretch& other) {
-    addEach(ends, other.ends);
-    tries += other.tries, open += other.open;
-    earned += other.earned, value += other.value;
+void Interval::add(const Interval& other) {
+    addEach(outcomes, other.outcomes);
+    attempts += other.attempts, maxOpenRequests += other.maxOpenRequests;
+    earnedValue += other.earnedValue, offeredValue += other.offeredValue;
     if (!other.latencies) return;
     if (!latencies) latencies = std::make_unique<LatencyHistogram>();
     latencies->add(*other.latencies);
 }
 
-Stretch& Series::at(Duration time) {
+Interval& TimeSeries::at(Duration time) {
     while (true) {
         const auto index = static_cast<std::size_t>(std::max(time, Duration(0)) / width_);
-        if (index < kMost) {
-            if (index >= stretches_.size()) stretches_.resize(index + 1);
-            return stretches_[index];
+        if (index < kMaxIntervals) {
+            if (index >= intervals_.size()) intervals_.resize(index + 1);
+            return intervals_[index];
         }
-        widen();
+        mergeIntervalPairs();
     }
 }
 
-void Series::widen() {
+void TimeSeries::mergeIntervalPairs() {
     width_ *= 2;
-    for (std::size_t at = 0; at < stretches_.size(); ++at) {
+    for (std::size_t at = 0; at < intervals_.size(); ++at) {
         if (at % 2 == 0) {
-            if (at > 0) stretches_[at / 2] = std::move(stretches_[at]);
+            if (at > 0) intervals_[at / 2] = std::move(intervals_[at]);
         } else {
-            const std::uint64_t open = std::max(stretches_[at / 2].open, stretches_[at].open);
-            stretches_[at / 2].add(stretches_[at]);
-            stretches_[at / 2].open = open;  // the most at once is no sum over time
+            const std::uint64_t maxOpenRequests =
+                std::max(intervals_[at / 2].maxOpenRequests, intervals_[at].maxOpenRequests);
+            intervals_[at / 2].add(intervals_[at]);
+            intervals_[at / 2].maxOpenRequests = maxOpenRequests;  // the most at once is no sum over time
         }
     }
-    stretches_.resize((stretches_.size() + 1) / 2);
+    intervals_.resize((intervals_.size() + 1) / 2);
 }
 
-void Series::add(const Series& other) {
-    while (width_ < other.width_) widen();
-    for (std::size_t at = 0; at < other.stretches_.size(); ++at)
-        this->at(other.width_ * static_cast<std::int64_t>(at)).add(other.stretches_[at]);
+void TimeSeries::add(const TimeSeries& other) {
+    while (width_ < other.width_) mergeIntervalPairs();
+    for (std::size_t at = 0; at < other.intervals_.size(); ++at)
+        this->at(other.width_ * static_cast<std::int64_t>(at)).add(other.intervals_[at]);
 }
 
-void Broken::note(std::uint64_t& count, const std::string& what) {
+void ProtocolViolations::record(std::uint64_t& count, const std::string& what) {
     ++count;
-    if (examples.size() < kExamples) examples.push_back(what);
+    if (examples.size() < kMaxExamples) examples.push_back(what);
 }
 
-void Broken::add(const Broken& other) {
-    twice += other.twice, toNothing += other.toNothing, unreadable += other.unreadable;
-    wrongResult += other.wrongResult, lost += other.lost;
+void ProtocolViolations::add(const ProtocolViolations& other) {
+    duplicateResponses += other.duplicateResponses, unknownSequences += other.unknownSequences,
+        unreadableResponses += other.unreadableResponses;
+    wrongResults += other.wrongResults, lostResponses += other.lostResponses;
     for (const std::string& example : other.examples)
-        if (examples.size() < kExamples) examples.push_back(example);
+        if (examples.size() < kMaxExamples) examples.push_back(example);
 }
 
-void Links::add(const Links& other) {
-    opened += other.opened, refused += other.refused, reset += other.reset, closed += other.closed;
-    goaways += other.goaways, idleClosed += other.idleClosed, checks += other.checks,
-        badChecks += other.badChecks;
-    forgets += other.forgets, sentAgain += other.sentAgain;
-    addEach(notAgain, other.notAgain);
+void ConnectionStatistics::add(const ConnectionStatistics& other) {
+    opened += other.opened, connectFailures += other.connectFailures, reset += other.reset,
+        closedByPeer += other.closedByPeer;
+    goaways += other.goaways, closedUnused += other.closedUnused, healthChecks += other.healthChecks,
+        failedHealthChecks += other.failedHealthChecks;
+    cancelMessages += other.cancelMessages, resent += other.resent;
+    addEach(retryDecisions, other.retryDecisions);
 }
 
-Tally::Tally(const std::vector<RequestClassLoad>& all) : requestClasses(all.size()) {}
+LoadStatistics::LoadStatistics(const std::vector<RequestClassLoad>& loads) : requestClasses(loads.size()) {}
 
-void Tally::add(const Tally& other) {
+void LoadStatistics::add(const LoadStatistics& other) {
     for (std::size_t at = 0; at < requestClasses.size(); ++at)
         requestClasses[at].add(other.requestClasses[at]);
-    lag.add(other.lag);
+    sendDelay.add(other.sendDelay);
     series.add(other.series);
-    broken.add(other.broken);
-    links.add(other.links);
-    badLines = std::max(badLines, other.badLines);  // every worker reads the whole trace
+    violations.add(other.violations);
+    connections.add(other.connections);
+    unreadableTraceLines =
+        std::max(unreadableTraceLines, other.unreadableTraceLines);  // every worker reads the whole trace
 }
 
-std::uint64_t Tally::planned() const {
+std::uint64_t LoadStatistics::scheduled() const {
     std::uint64_t sum = 0;
-    for (const RequestClassStats& requestClass : requestClasses) sum += requestClass.planned;
+    for (const RequestClassStatistics& requestClass : requestClasses) sum += requestClass.scheduled;
     return sum;
 }
-std::uint64_t Tally::of(End end) const {
+std::uint64_t LoadStatistics::count(RequestOutcome outcome) const {
     std::uint64_t sum = 0;
-    for (const RequestClassStats& requestClass : requestClasses)
-        sum += requestClass.ends[static_cast<std::size_t>(end)];
+    for (const RequestClassStatistics& requestClass : requestClasses)
+        sum += requestClass.outcomes[static_cast<std::size_t>(outcome)];
     return sum;
 }
-double Tally::value() const {
+double LoadStatistics::offeredValue() const {
     double sum = 0;
-    for (const RequestClassStats& requestClass : requestClasses) sum += requestClass.value;
+    for (const RequestClassStatistics& requestClass : requestClasses) sum += requestClass.offeredValue;
     return sum;
 }
-double Tally::earned() const {
+double LoadStatistics::earnedValue() const {
     double sum = 0;
-    for (const RequestClassStats& requestClass : requestClasses) sum += requestClass.earned;
+    for (const RequestClassStatistics& requestClass : requestClasses) sum += requestClass.earnedValue;
     return sum;
 }
-LatencyHistogram Tally::completed() const {
+LatencyHistogram LoadStatistics::completedLatencies() const {
     LatencyHistogram all;
-    for (const RequestClassStats& requestClass : requestClasses) all.add(requestClass.fromSchedule);
+    for (const RequestClassStatistics& requestClass : requestClasses)
+        all.add(requestClass.latencyFromSchedule);
     return all;
 }
 
--- a/src/loadtest/main.cpp
+++ b/src/loadtest/main.cpp
@@ -25,8 +25,8 @@
 // Turns a loop of its own until all is done, with a line of progress on a
 // terminal; the first interrupt sends nothing more, the second waits for
 // nothing more.
-LoadResult play(const LoadTerms& terms) {
-    Load load(terms);
+LoadResult play(const LoadConfig& terms) {
+    LoadRun load(terms);
     net::Loop loop;
     int interrupts = 0;
     const auto interrupted = [&] {
@@ -35,7 +35,7 @@
                          "still end (again: stop at once)\n";
             load.stop();
         } else {
-            load.cut();
+            load.abort();
         }
     };
     net::Signal onInt(loop, SIGINT, interrupted), onTerm(loop, SIGTERM, interrupted);
@@ -48,7 +48,7 @@
         if (shows) {
             const double now = std::max(0.0, std::chrono::duration<double>(steadyNow() - start).count());
             std::fprintf(stderr, "\r%6.1f s  %llu sent for, %llu ended, %llu handled ", now,
-                         static_cast<unsigned long long>(load.planned()),
+                         static_cast<unsigned long long>(load.scheduled()),
                          static_cast<unsigned long long>(load.ended()),
                          static_cast<unsigned long long>(load.completed()));
         }
@@ -71,21 +71,21 @@
 }
 
 int load(const std::string& path, const std::string& json, const std::string& exported, std::int64_t seed) {
-    auto terms = readLoad(kdl::parseFile(path), path, true);
-    if (seed >= 0) terms->plan.seed = static_cast<std::uint64_t>(seed);
+    auto terms = readLoadConfig(kdl::parseFile(path), path, true);
+    if (seed >= 0) terms->schedule.seed = static_cast<std::uint64_t>(seed);
     const LoadResult result = play(*terms);
-    const std::string figures = jsonOf(result, *terms).dump(2) + "\n";
+    const std::string figures = toJson(result, *terms).dump(2) + "\n";
     if (json == "-")
         std::cout << figures;
     else
-        std::cout << textOf(result, *terms);
+        std::cout << toText(result, *terms);
     std::cout.flush();
     bool whole = json.empty() || json == "-" || writeFile(json, figures);
     if (!exported.empty()) {
         // What was due by the end is drawn once more: it is the same.
-        const auto plan = makeRequestSchedule(terms->plan);
-        TraceWriter writer(exported, terms->plan.requestClasses);
-        std::uint64_t left = result.tally.planned();
+        const auto plan = makeRequestSchedule(terms->schedule);
+        TraceWriter writer(exported, terms->schedule.requestClasses);
+        std::uint64_t left = result.statistics.scheduled();
         while (const auto planned = plan->next()) {
             if (left == 0) break;
             --left;
@@ -96,8 +96,9 @@
             whole = false;
         }
     }
-    if (!result.valid) std::cerr << "cottonwing_lab: the run is INVALID: " << result.why << std::endl;
-    return result.valid && whole && result.tally.broken.all() == 0 ? 0 : 1;
+    if (!result.valid)
+        std::cerr << "cottonwing_lab: the run is INVALID: " << result.invalidReason << std::endl;
+    return result.valid && whole && result.statistics.violations.total() == 0 ? 0 : 1;
 }
 
 using Json = nlohmann::json;
@@ -143,9 +144,9 @@
 int runExperiment(const RunWishes& wishes) {
     const std::string build = wishes.build.empty() ? besideUs("cottonwing") : wishes.build;
     auto terms = readExperiment(wishes.file);
-    if (wishes.seed >= 0) terms->load->plan.seed = static_cast<std::uint64_t>(wishes.seed);
+    if (wishes.seed >= 0) terms->load->schedule.seed = static_cast<std::uint64_t>(wishes.seed);
     const std::string folder = wishes.folder.empty() ? "lab-results/" + terms->name : wishes.folder;
-    const std::uint64_t firstSeed = terms->load->plan.seed;
+    const std::uint64_t firstSeed = terms->load->schedule.seed;
     const bool shows = isatty(STDERR_FILENO) != 0;
     struct sigaction action {};
     action.sa_handler = [](int) { interrupted = true; };
@@ -159,22 +160,23 @@
     // both.
     for (int round = 0; round < wishes.rounds && !interrupted; ++round)
         for (int side = 0; side < (wishes.vs.empty() ? 1 : 2) && !interrupted; ++side) {
-            terms->load->plan.seed = firstSeed + static_cast<std::uint64_t>(round);
-            terms->records.seed = terms->load->plan.seed;
-            terms->load->habits.targets.clear();
-            terms->load->habits.kiosks.clear();
+            terms->load->schedule.seed = firstSeed + static_cast<std::uint64_t>(round);
+            terms->records.seed = terms->load->schedule.seed;
+            terms->load->client.targets.clear();
+            terms->load->client.scgiTargets.clear();
             const std::string name = side == 0 ? "A" : "B";
-            const std::string logs = folder + "/" + name + "-" + std::to_string(terms->load->plan.seed);
+            const std::string logs = folder + "/" + name + "-" + std::to_string(terms->load->schedule.seed);
             Experiment experiment(*terms, side == 0 ? build : wishes.vs, logs);
-            const double length = std::chrono::duration<double>(terms->load->plan.duration).count();
+            const double length = std::chrono::duration<double>(terms->load->schedule.duration).count();
             auto result = experiment.run(
-                [&](double now, const Load& load) {
+                [&](double now, const LoadRun& load) {
                     if (shows)
                         std::fprintf(stderr,
                                      "\r%s seed %llu  %5.1f of %.0f s  %llu due, %llu ended, %llu "
                                      "handled   ",
-                                     name.c_str(), static_cast<unsigned long long>(terms->load->plan.seed),
-                                     now, length, static_cast<unsigned long long>(load.planned()),
+                                     name.c_str(),
+                                     static_cast<unsigned long long>(terms->load->schedule.seed), now, length,
+                                     static_cast<unsigned long long>(load.scheduled()),
                                      static_cast<unsigned long long>(load.ended()),
                                      static_cast<unsigned long long>(load.completed()));
                 },
@@ -189,7 +191,7 @@
             std::snprintf(line, sizeof line,
                           "%s seed %llu: earned %.1f%%, p99 %.0f ms, wasted %.1f%% of core "
                           "time, %llu broken rules%s\n",
-                          name.c_str(), static_cast<unsigned long long>(terms->load->plan.seed),
+                          name.c_str(), static_cast<unsigned long long>(terms->load->schedule.seed),
                           result.earnedShare * 100, load["latency"]["p99_ms"].get<double>(),
                           result.figures["work"]["wasted_share"].get<double>() * 100,
                           static_cast<unsigned long long>(result.broken), result.valid ? "" : ", INVALID");
@@ -244,9 +246,9 @@
 }
 
 int drawTrace(const std::string& path, const std::string& to) {
-    const auto terms = readLoad(kdl::parseFile(path), path, false);
-    const auto plan = makeRequestSchedule(terms->plan);
-    TraceWriter writer(to, terms->plan.requestClasses);
+    const auto terms = readLoadConfig(kdl::parseFile(path), path, false);
+    const auto plan = makeRequestSchedule(terms->schedule);
+    TraceWriter writer(to, terms->schedule.requestClasses);
     std::uint64_t count = 0;
     for (; const auto planned = plan->next(); ++count) writer.add(*planned);
     if (!writer.close()) throw std::runtime_error(to + " can't be written whole");
--- a/tests/loadtest/experiment_test.cpp
+++ b/tests/loadtest/experiment_test.cpp
@@ -162,28 +162,28 @@
 
 TEST(InvariantCheckerTest, NoticeWhatRunsAgainOrIsBouncedAfterItRan) {
     InvariantChecker checker(twoRequestClasses(), 60s, 1e6, 4);
-    checker.sent(planned(0), "r1", "r1", 0);
+    checker.onAttemptSent(planned(0), "r1", "r1", 0);
     checker.spawned(0, "r1", "r1", steadyNow());
-    checker.sent(planned(0), "r2", "r1", 1);
+    checker.onAttemptSent(planned(0), "r2", "r1", 1);
     checker.spawned(1, "r2", "r1", steadyNow());
     EXPECT_EQ(count(checker, Rule::Twice), 0U) << "what is repeatable may run again";
-    checker.sent(planned(1), "w1", "w1", 0);
+    checker.onAttemptSent(planned(1), "w1", "w1", 0);
     checker.spawned(0, "w1", "w1", steadyNow());
-    checker.sent(planned(1), "w2", "w1", 1);
+    checker.onAttemptSent(planned(1), "w2", "w1", 1);
     checker.spawned(1, "w2", "w1", steadyNow());
     EXPECT_EQ(count(checker, Rule::Twice), 1U);
     EXPECT_NE(checker.violations()[0].what.find("w2 ran again (first try w1), instance 1"),
               std::string::npos);
-    checker.answered("w2", ClientResponse::Kind::Busy);
+    checker.onResponse("w2", ClientResponse::Kind::Busy);
     EXPECT_EQ(count(checker, Rule::Twice), 2U);
-    checker.sent(planned(0), "r3", "r3", 0);
-    checker.answered("r3", ClientResponse::Kind::Answer);
+    checker.onAttemptSent(planned(0), "r3", "r3", 0);
+    checker.onResponse("r3", ClientResponse::Kind::Answer);
     EXPECT_EQ(count(checker, Rule::Lost), 1U) << "handled without a run";
 }
 
 TEST(InvariantCheckerTest, NoticeCallsMadeAgainUnlessTheLastIsKnownNotToHaveRun) {
     InvariantChecker checker(twoRequestClasses(), 60s, 1e6, 4);
-    checker.sent(planned(1), "w1", "w1", 0);
+    checker.onAttemptSent(planned(1), "w1", "w1", 0);
     checker.spawned(0, "w1", "w1", steadyNow());
     checker.calling(0, "w1");
     checker.callEnded("w1", true);
@@ -195,19 +195,19 @@
 
 TEST(InvariantCheckerTest, NoticeMemoryAndLateStartsAndForgetInTime) {
     InvariantChecker checker(twoRequestClasses(), 60s, 100, 4);
-    checker.sent(planned(0, 30), "a", "a", 0);
+    checker.onAttemptSent(planned(0, 30), "a", "a", 0);
     checker.spawned(0, "a", "a", steadyNow());
     EXPECT_EQ(count(checker, Rule::FallOver), 1U) << "four times 30 of 100";
     EXPECT_DOUBLE_EQ(checker.memoryKb(0), 120);
-    checker.released("a");
+    checker.onAttemptReleased("a");
     checker.finished("a");
     EXPECT_DOUBLE_EQ(checker.memoryKb(0), 0);
     checker.notice(0, steadyNow() - 1s, 100ms);
-    checker.sent(planned(0, 1), "late", "late", 0);
+    checker.onAttemptSent(planned(0, 1), "late", "late", 0);
     checker.spawned(0, "late", "late", steadyNow());
     EXPECT_EQ(count(checker, Rule::Drain), 1U);
     InvariantChecker brief(twoRequestClasses(), 0s, 1e6, 4);
-    for (int n = 0; n < 1000; ++n) brief.sent(planned(0), std::to_string(n), std::to_string(n), 0);
+    for (int n = 0; n < 1000; ++n) brief.onAttemptSent(planned(0), std::to_string(n), std::to_string(n), 0);
     EXPECT_LT(brief.entries(), 10U);
 }
 
--- a/tests/loadtest/load_run_test.cpp
+++ b/tests/loadtest/load_run_test.cpp
@@ -25,21 +25,21 @@
 
 int upTo(int most) { return *rc::gen::resize(1000, rc::gen::inRange(0, most + 1)); }
 
-std::unique_ptr<LoadTerms> termsOf(const std::string& inside, bool targets = false) {
-    return readLoad(kdl::parse("load {\n" + inside + "\n}", "t.kdl"), "t.kdl", targets);
+std::unique_ptr<LoadConfig> loadConfig(const std::string& inside, bool targets = false) {
+    return readLoadConfig(kdl::parse("load {\n" + inside + "\n}", "t.kdl"), "t.kdl", targets);
 }
-std::string problemOf(const std::string& inside) {
+std::string errorOf(const std::string& inside) {
     try {
-        termsOf(inside);
-    } catch (const kdl::DocumentError& problem) {
-        return problem.what();
+        loadConfig(inside);
+    } catch (const kdl::DocumentError& error) {
+        return error.what();
     }
     return "none";
 }
-std::vector<ScheduledRequest> all(const RequestScheduleConfig& config) {
+std::vector<ScheduledRequest> allRequests(const RequestScheduleConfig& config) {
     std::vector<ScheduledRequest> result;
-    const auto plan = makeRequestSchedule(config);
-    while (const auto planned = plan->next()) result.push_back(*planned);
+    const auto requests = makeRequestSchedule(config);
+    while (const auto request = requests->next()) result.push_back(*request);
     return result;
 }
 constexpr const char* kRequestClass = "profile \"a\" { promised 1s; hard-stop 4s }\n";
@@ -48,9 +48,9 @@
 
 TEST(Shapes, EvenArrivalsKeepTheRateTheyWereGiven) {
     const auto count = [](const std::string& rate, const char* length) {
-        const auto terms =
-            termsOf(std::string(kRequestClass) + "arrivals even; length " + length + "; rate {" + rate + "}");
-        return static_cast<double>(all(terms->plan).size());
+        const auto config = loadConfig(std::string(kRequestClass) + "arrivals even; length " + length +
+                                       "; rate {" + rate + "}");
+        return static_cast<double>(allRequests(config->schedule).size());
     };
     EXPECT_NEAR(count("steady 100/s", "10s"), 1000, 1);
     EXPECT_NEAR(count("ramp from=0/s to=100/s over=10s", "10s"), 500, 2);
@@ -63,14 +63,14 @@
 TEST(Shapes, BurstsAndPoissonAreTheSameForTheSameSeed) {
     const std::string inside = std::string(kRequestClass) +
                                "length 20s; rate { bursts on=400/s off=20/s stay-on=1s stay-off=2s }; seed ";
-    const auto first = all(termsOf(inside + "5")->plan);
-    EXPECT_EQ(first, all(termsOf(inside + "5")->plan));
-    EXPECT_NE(first, all(termsOf(inside + "6")->plan));
+    const auto first = allRequests(loadConfig(inside + "5")->schedule);
+    EXPECT_EQ(first, allRequests(loadConfig(inside + "5")->schedule));
+    EXPECT_NE(first, allRequests(loadConfig(inside + "6")->schedule));
     // On a third of the time: about 147 a second, and more unequal than one steady rate could be.
     EXPECT_GT(first.size(), 800U);
     EXPECT_LT(first.size(), 6000U);
     std::vector<double> each(20);
-    for (const ScheduledRequest& planned : first) each[static_cast<std::size_t>(planned.arrival / 1s)] += 1;
+    for (const ScheduledRequest& request : first) each[static_cast<std::size_t>(request.arrival / 1s)] += 1;
     double mean = 0, square = 0;
     for (const double count : each) mean += count / 20, square += count * count / 20;
     EXPECT_GT((square - mean * mean) / mean, 5) << "a Poisson stream has 1";
@@ -116,30 +116,30 @@
 }
 
 TEST(Traces, AnExportedAndImportedPlanHasTheSameRequests) {
-    const auto terms = termsOf(std::string(kRequestClass) +
-                               "profile \"b, \\\"quoted\\\"\" { share 30%; calls 1; work lognormal "
-                               "median=8ms p99=40ms; failing 10% }\n"
-                               "length 3s; customers 40; rate { steady 300/s }");
+    const auto config = loadConfig(std::string(kRequestClass) +
+                                   "profile \"b, \\\"quoted\\\"\" { share 30%; calls 1; work lognormal "
+                                   "median=8ms p99=40ms; failing 10% }\n"
+                                   "length 3s; customers 40; rate { steady 300/s }");
     const std::string path = ::testing::TempDir() + "cottonwing-trace-" + std::to_string(getpid()) + ".csv";
-    const auto drawn = all(terms->plan);
+    const auto original = allRequests(config->schedule);
     {
-        TraceWriter writer(path, terms->plan.requestClasses);
-        for (const ScheduledRequest& planned : drawn) writer.add(planned);
+        TraceWriter writer(path, config->schedule.requestClasses);
+        for (const ScheduledRequest& request : original) writer.add(request);
         ASSERT_TRUE(writer.close());
     }
-    RequestScheduleConfig again = terms->plan;
+    RequestScheduleConfig again = config->schedule;
     again.trace = TraceConfig{};
     again.trace->file = path;
-    EXPECT_TRUE(all(again) == drawn);
+    EXPECT_TRUE(allRequests(again) == original);
     // Cut and stretched: what lies in the part, twice as slow.
     again.trace->from = 1s, again.trace->until = 2s, again.trace->timeScale = 2;
     std::size_t inPart = 0;
-    for (const ScheduledRequest& planned : drawn) inPart += planned.arrival >= 1s && planned.arrival < 2s;
-    EXPECT_EQ(all(again).size(), inPart);
+    for (const ScheduledRequest& request : original) inPart += request.arrival >= 1s && request.arrival < 2s;
+    EXPECT_EQ(allRequests(again).size(), inPart);
     std::remove(path.c_str());
 }
 
-std::string traceFile(const std::string& text) {
+std::string writeTraceFile(const std::string& text) {
     const std::string path = ::testing::TempDir() + "cottonwing-lines-" + std::to_string(getpid()) + ".csv";
     std::ofstream(path) << text;
     return path;
@@ -147,32 +147,33 @@
 
 TEST(Traces, BadLinesAreNamedAndCounted) {
     const std::string path =
-        traceFile("time_ms,profile,cost_ms\n1,a,5\n2,nobody,5\nx,a,5\n3,a\n0,a,5\n4,a,5\n");
-    auto terms = termsOf(std::string(kRequestClass) + "trace \"" + path + "\"");
+        writeTraceFile("time_ms,profile,cost_ms\n1,a,5\n2,nobody,5\nx,a,5\n3,a\n0,a,5\n4,a,5\n");
+    auto config = loadConfig(std::string(kRequestClass) + "trace \"" + path + "\"");
     try {
-        all(terms->plan);
+        allRequests(config->schedule);
         FAIL() << "the bad line was taken";
-    } catch (const kdl::DocumentError& problem) {
-        EXPECT_EQ(std::string(problem.what()),
+    } catch (const kdl::DocumentError& error) {
+        EXPECT_EQ(std::string(error.what()),
                   path + ":3:1: the profile 'nobody' was found, one of a was expected");
     }
-    terms->plan.trace->skipMalformed = true;
-    const auto plan = makeRequestSchedule(terms->plan);
+    config->schedule.trace->skipMalformed = true;
+    const auto requests = makeRequestSchedule(config->schedule);
     int count = 0;
-    while (plan->next()) ++count;
+    while (requests->next()) ++count;
     EXPECT_EQ(count, 2);
-    EXPECT_EQ(plan->skippedLines(), 4U);
+    EXPECT_EQ(requests->skippedLines(), 4U);
     // A column without its unit can't be guessed, whatever is skipped.
     std::ofstream(path) << "time,profile\n1,a\n";
-    EXPECT_THROW(all(terms->plan), kdl::DocumentError);
+    EXPECT_THROW(allRequests(config->schedule), kdl::DocumentError);
     std::remove(path.c_str());
 }
 
 TEST(Traces, JsonLinesAreReadToo) {
-    const std::string path = traceFile(
+    const std::string path = writeTraceFile(
         "{\"time_s\":0.5,\"profile\":\"a\",\"customer\":\"acme\",\"mark\":1}\n"
         "{\"time_s\":0.75,\"profile\":\"a\",\"patience_ms\":200,\"size\":99}\n");
-    const auto rows = all(termsOf(std::string(kRequestClass) + "trace \"" + path + "\"")->plan);
+    const auto rows =
+        allRequests(loadConfig(std::string(kRequestClass) + "trace \"" + path + "\"")->schedule);
     ASSERT_EQ(rows.size(), 2U);
     EXPECT_TRUE(rows[0].isRetry);
     EXPECT_EQ(rows[1].arrival, 750ms);
@@ -186,9 +187,9 @@
     std::string text = "time_ms,profile\n";
     for (int second = 0; second < 5; ++second)
         for (int n = 0; n < 10; ++n) text += std::to_string(second * 1000) + ",a\n";
-    const std::string path = traceFile(text);
-    const auto rows =
-        all(termsOf(std::string(kRequestClass) + "length 10s; trace \"" + path + "\" copies=3")->plan);
+    const std::string path = writeTraceFile(text);
+    const auto rows = allRequests(
+        loadConfig(std::string(kRequestClass) + "length 10s; trace \"" + path + "\" copies=3")->schedule);
     EXPECT_EQ(rows.size(), 150U);
     for (std::size_t at = 0; at < rows.size(); ++at) {
         EXPECT_LE(rows[at].arrival % 1s, 10ms);
@@ -200,22 +201,22 @@
 }
 
 TEST(LoadFiles, MistakesAreNamedWithTheirPlace) {
-    EXPECT_NE(problemOf("").find("t.kdl:1:1: 'load' was found without a profile"), std::string::npos);
-    EXPECT_NE(problemOf(kRequestClass).find("one of 'rate { … }' and 'trace FILE' was expected"),
-              std::string::npos);
-    EXPECT_NE(problemOf(std::string(kRequestClass) + "rate { steady 200 }")
-                  .find("a rate such as 120/s with a unit"),
+    EXPECT_NE(errorOf("").find("t.kdl:1:1: 'load' was found without a profile"), std::string::npos);
+    EXPECT_NE(errorOf(kRequestClass).find("one of 'rate { … }' and 'trace FILE' was expected"),
               std::string::npos);
-    EXPECT_NE(problemOf(std::string(kRequestClass) + "rate { stedy 200/s }")
+    EXPECT_NE(
+        errorOf(std::string(kRequestClass) + "rate { steady 200 }").find("a rate such as 120/s with a unit"),
+        std::string::npos);
+    EXPECT_NE(errorOf(std::string(kRequestClass) + "rate { stedy 200/s }")
                   .find("t.kdl:3:8: 'stedy' was found, one of steady"),
               std::string::npos);
-    EXPECT_NE(problemOf("profile a { promised 5s; hard-stop 1s }; rate { steady 1/s }")
+    EXPECT_NE(errorOf("profile a { promised 5s; hard-stop 1s }; rate { steady 1/s }")
                   .find("hard stop before its promised time"),
               std::string::npos);
     EXPECT_NE(
-        problemOf(std::string(kRequestClass) + "rate { steady 1/s }; lenght 5s").find("'lenght' was found"),
+        errorOf(std::string(kRequestClass) + "rate { steady 1/s }; lenght 5s").find("'lenght' was found"),
         std::string::npos);
-    EXPECT_NE(problemOf(std::string(kRequestClass) + kRequestClass + "rate { steady 1/s }")
+    EXPECT_NE(errorOf(std::string(kRequestClass) + kRequestClass + "rate { steady 1/s }")
                   .find("a second profile 'a'"),
               std::string::npos);
 }
@@ -242,51 +243,52 @@
 }
 
 TEST(Histograms, ALongRunKeepsItsSumsInBoundedMemory) {
-    Series series;
+    TimeSeries series;
     for (int second = 0; second < 5000; ++second) {
-        Stretch& stretch = series.at(second * 1s);
-        ++stretch.ends[0];
-        stretch.open = std::max<std::uint64_t>(stretch.open, static_cast<std::uint64_t>(second % 7));
-        if (!stretch.latencies) stretch.latencies = std::make_unique<LatencyHistogram>();
-        stretch.latencies->add(1ms);
+        Interval& interval = series.at(second * 1s);
+        ++interval.outcomes[0];
+        interval.maxOpenRequests =
+            std::max<std::uint64_t>(interval.maxOpenRequests, static_cast<std::uint64_t>(second % 7));
+        if (!interval.latencies) interval.latencies = std::make_unique<LatencyHistogram>();
+        interval.latencies->add(1ms);
     }
-    EXPECT_LE(series.stretches().size(), Series::kMost);
+    EXPECT_LE(series.intervals().size(), TimeSeries::kMaxIntervals);
     EXPECT_EQ(series.width(), 16s);
     std::uint64_t sum = 0, latencies = 0;
-    for (const Stretch& stretch : series.stretches()) {
-        sum += stretch.ends[0], latencies += stretch.latencies->count();
-        EXPECT_LE(stretch.open, 6U);
+    for (const Interval& interval : series.intervals()) {
+        sum += interval.outcomes[0], latencies += interval.latencies->count();
+        EXPECT_LE(interval.maxOpenRequests, 6U);
     }
     EXPECT_EQ(sum, 5000U);
     EXPECT_EQ(latencies, 5000U);
-    Series shorter;
-    ++shorter.at(3s).ends[0];
+    TimeSeries shorter;
+    ++shorter.at(3s).outcomes[0];
     shorter.add(series);
     EXPECT_EQ(shorter.width(), 16s);
-    EXPECT_EQ(shorter.stretches()[0].ends[0], 17U);
+    EXPECT_EQ(shorter.intervals()[0].outcomes[0], 17U);
 }
 
 // ---- on sockets -----------------------------------------------------------------------------------------
 
 // An answering server on a thread of its own, as another process would be.
-class Elsewhere {
+class ThriftServerThread {
 public:
-    explicit Elsewhere(const AnsweringTerms& terms) {
+    explicit ThriftServerThread(const AnsweringTerms& config) {
         std::promise<net::Address> bound;
         auto address = bound.get_future();
-        thread_ = std::thread([this, terms, &bound] {
+        thread_ = std::thread([this, config, &bound] {
             net::Loop loop;
-            Answering answering(loop, {"127.0.0.1", 0}, terms);
+            Answering answering(loop, {"127.0.0.1", 0}, config);
             CrossThreadWakeup bell(loop, [&] { loop.stop(); });
             bell_ = &bell;
             bound.set_value(answering.address());
             loop.run();
             book = answering.book();
-            forgets = answering.forgets();
+            cancelMessages = answering.forgets();
         });
         at = address.get();
     }
-    ~Elsewhere() { stop(); }
+    ~ThriftServerThread() { stop(); }
     void stop() {
         if (!thread_.joinable()) return;
         bell_->wake();
@@ -295,7 +297,7 @@
     std::string to() const { return "to \"" + at.host + ":" + std::to_string(at.port) + "\""; }
     net::Address at;
     std::unordered_map<std::string, Answering::Entry> book;  // once it has stopped
-    std::uint64_t forgets = 0;
+    std::uint64_t cancelMessages = 0;
 
 private:
     std::thread thread_;
@@ -303,33 +305,35 @@
 };
 
 void expectAddsUp(const LoadResult& result) {
-    for (const RequestClassStats& requestClass : result.tally.requestClasses) {
-        EXPECT_EQ(requestClass.ended(), requestClass.planned);
-        EXPECT_EQ(requestClass.fromSchedule.count(), requestClass.ends[0] + requestClass.ends[1]);
+    for (const RequestClassStatistics& requestClass : result.statistics.requestClasses) {
+        EXPECT_EQ(requestClass.ended(), requestClass.scheduled);
+        EXPECT_EQ(requestClass.latencyFromSchedule.count(),
+                  requestClass.outcomes[0] + requestClass.outcomes[1]);
     }
-    std::array<std::uint64_t, kEnds> sums{};
-    for (const Stretch& stretch : result.tally.series.stretches())
-        for (std::size_t end = 0; end < kEnds; ++end) sums[end] += stretch.ends[end];
-    for (std::size_t end = 0; end < kEnds; ++end)
-        EXPECT_EQ(sums[end], result.tally.of(static_cast<End>(end)));
-    EXPECT_EQ(result.tally.lag.count(), result.tally.planned());
+    std::array<std::uint64_t, kOutcomeCount> sums{};
+    for (const Interval& interval : result.statistics.series.intervals())
+        for (std::size_t end = 0; end < kOutcomeCount; ++end) sums[end] += interval.outcomes[end];
+    for (std::size_t end = 0; end < kOutcomeCount; ++end)
+        EXPECT_EQ(sums[end], result.statistics.count(static_cast<RequestOutcome>(end)));
+    EXPECT_EQ(result.statistics.sendDelay.count(), result.statistics.scheduled());
 }
 
-LoadResult play(const LoadTerms& terms, std::vector<Watcher*> watchers = {}, Clocks clocks = {}) {
-    Load load(terms, std::move(watchers), std::move(clocks));
+LoadResult runLoad(const LoadConfig& config, std::vector<RequestObserver*> observers = {},
+                   Clocks clocks = {}) {
+    LoadRun load(config, std::move(observers), std::move(clocks));
     load.start(steadyNow() + 20ms);
     return load.finish();
 }
 
 // Counts for itself when each request was due, by the id of its first try.
-class Schedule : public Watcher {
+class ScheduleRecorder : public RequestObserver {
 public:
-    void planned(const ScheduledRequest& planned, Duration scheduled) override {
-        const std::lock_guard hold(guard);
-        due[planned.number] = scheduled;
+    void onScheduled(const ScheduledRequest& request, Duration time) override {
+        const std::lock_guard lock(mutex);
+        scheduledAt[request.number] = time;
     }
-    std::mutex guard;
-    std::map<std::uint64_t, Duration> due;
+    std::mutex mutex;
+    std::map<std::uint64_t, Duration> scheduledAt;
 };
 
 double exactQuantile(std::vector<double> values, double part) {
@@ -340,10 +344,10 @@
 }
 
 // Counts for itself, beside the schedule, when each request was answered.
-class Waits : public Schedule {
+class ResponseRecorder : public ScheduleRecorder {
 public:
-    void answered(const std::string& trace, ClientResponse::Kind) override {
-        const std::lock_guard hold(guard);
+    void onResponse(const std::string& trace, ClientResponse::Kind) override {
+        const std::lock_guard lock(mutex);
         answeredAt[trace] = steadyNow();
     }
     std::map<std::string, Duration> answeredAt;
@@ -361,88 +365,91 @@
     const std::string inside =
         "seed 3; workers 2; length 4s; arrivals even; rate { steady 250/s }\n"
         "profile a { promised 1s; hard-stop 8s }\n";
-    Elsewhere server(stalls);
-    auto terms = termsOf(inside + "callers 4 { " + server.to() + " }", true);
-    terms->sendWithin = 1s;  // this test judges its own count, on whatever machine
-    Waits waits;
-    const LoadResult result = play(*terms, {&waits});
+    ThriftServerThread server(stalls);
+    auto config = loadConfig(inside + "callers 4 { " + server.to() + " }", true);
+    config->maxSendDelay = 1s;  // this test judges its own count, on whatever machine
+    ResponseRecorder recorder;
+    const LoadResult result = runLoad(*config, {&recorder});
     server.stop();
     expectAddsUp(result);
-    EXPECT_EQ(result.tally.planned(), 1000U);
-    EXPECT_EQ(result.tally.of(End::Completed) + result.tally.of(End::Late), 1000U);
+    EXPECT_EQ(result.statistics.scheduled(), 1000U);
+    EXPECT_EQ(
+        result.statistics.count(RequestOutcome::Completed) + result.statistics.count(RequestOutcome::Late),
+        1000U);
     std::vector<double> untilRead, untilSent;
-    for (const auto& [number, due] : waits.due) {
-        const std::string trace = traceOf(3, number, 0);
-        const Duration sent = server.book.at(trace).sent, read = waits.answeredAt.at(trace);
+    for (const auto& [number, scheduled] : recorder.scheduledAt) {
+        const std::string trace = attemptTraceId(3, number, 0);
+        const Duration sent = server.book.at(trace).sent, read = recorder.answeredAt.at(trace);
         EXPECT_GE(read, sent);
-        untilSent.push_back(std::chrono::duration<double>(sent - due).count());
-        untilRead.push_back(std::chrono::duration<double>(read - due).count());
+        untilSent.push_back(std::chrono::duration<double>(sent - scheduled).count());
+        untilRead.push_back(std::chrono::duration<double>(read - scheduled).count());
     }
     ASSERT_EQ(untilRead.size(), 1000U);
-    const LatencyHistogram told = result.tally.completed();
+    const LatencyHistogram reported = result.statistics.completedLatencies();
     for (const double part : {0.5, 0.99, 0.999, 1.0}) {
-        EXPECT_NEAR(told.quantile(part) / exactQuantile(untilRead, part), 1, 0.01) << part;
-        EXPECT_GT(told.quantile(part) / exactQuantile(untilSent, part), 0.99) << part;
+        EXPECT_NEAR(reported.quantile(part) / exactQuantile(untilRead, part), 1, 0.01) << part;
+        EXPECT_GT(reported.quantile(part) / exactQuantile(untilSent, part), 0.99) << part;
     }
-    EXPECT_GT(told.quantile(0.99), 1.9);
+    EXPECT_GT(reported.quantile(0.99), 1.9);
 
-    Elsewhere same(stalls);
-    const auto closed = termsOf(inside + "callers 4 { " + same.to() + "; closed 4 }", true);
-    const LoadResult hidden = play(*closed);
-    expectAddsUp(hidden);
-    EXPECT_LT(hidden.tally.completed().quantile(0.9), told.quantile(0.9) / 5)
+    ThriftServerThread secondServer(stalls);
+    const auto closed = loadConfig(inside + "callers 4 { " + secondServer.to() + "; closed 4 }", true);
+    const LoadResult closedLoopResult = runLoad(*closed);
+    expectAddsUp(closedLoopResult);
+    EXPECT_LT(closedLoopResult.statistics.completedLatencies().quantile(0.9), reported.quantile(0.9) / 5)
         << "the closed loop hides the stall";
 }
 
 TEST(OnSockets, ADeafServerGetsNoAnswersCounted) {
     AnsweringTerms deaf;
     deaf.deaf = true;
-    Elsewhere server(deaf);
-    const auto terms = termsOf(
+    ThriftServerThread server(deaf);
+    const auto config = loadConfig(
         "length 500ms; rate { steady 400/s }; profile a { promised 100ms; hard-stop 300ms; body 2KiB }\n"
         "callers 2 { " +
             server.to() + "; attempts 1; connections 2 }",
         true);
-    const LoadResult result = play(*terms);
+    const LoadResult result = runLoad(*config);
     expectAddsUp(result);
-    EXPECT_GT(result.tally.planned(), 100U);
-    EXPECT_EQ(result.tally.of(End::Completed), 0U);
-    EXPECT_GT(result.tally.of(End::NoAnswer), 0U);
-    EXPECT_EQ(result.tally.of(End::NoAnswer), result.tally.broken.lost);
+    EXPECT_GT(result.statistics.scheduled(), 100U);
+    EXPECT_EQ(result.statistics.count(RequestOutcome::Completed), 0U);
+    EXPECT_GT(result.statistics.count(RequestOutcome::NoAnswer), 0U);
+    EXPECT_EQ(result.statistics.count(RequestOutcome::NoAnswer), result.statistics.violations.lostResponses);
 }
 
 TEST(OnSockets, WhoGivesUpSaysSo) {
     AnsweringTerms silent;
     silent.silent = true;
-    Elsewhere server(silent);
-    const auto terms = termsOf(
+    ThriftServerThread server(silent);
+    const auto config = loadConfig(
         "length 300ms; rate { steady 200/s }; profile a { promised 50ms; hard-stop 100ms }\n"
         "callers 2 { " +
             server.to() + "; attempts 1 }",
         true);
-    const LoadResult result = play(*terms);
+    const LoadResult result = runLoad(*config);
     server.stop();
     expectAddsUp(result);
-    EXPECT_EQ(result.tally.links.forgets, result.tally.of(End::NoAnswer));
-    EXPECT_EQ(server.forgets, result.tally.links.forgets);
+    EXPECT_EQ(result.statistics.connections.cancelMessages,
+              result.statistics.count(RequestOutcome::NoAnswer));
+    EXPECT_EQ(server.cancelMessages, result.statistics.connections.cancelMessages);
 }
 
 TEST(OnSockets, ResetsInMidAnswerAreConnectionsLostAndRepeatsStayBounded) {
     AnsweringTerms breaks;
     breaks.resetEvery = 5;
-    Elsewhere server(breaks);
-    const auto terms = termsOf(
+    ThriftServerThread server(breaks);
+    const auto config = loadConfig(
         "length 1s; rate { steady 400/s }; profile a { promised 500ms; hard-stop 1s }\n"
         "profile b { share 100%; repeat once-only; promised 500ms; hard-stop 1s }\n"
         "callers 2 { " +
             server.to() + "; attempts 3 }",
         true);
-    const LoadResult result = play(*terms);
+    const LoadResult result = runLoad(*config);
     expectAddsUp(result);
-    const RequestClassStats& once = result.tally.requestClasses[1];
-    EXPECT_GT(once.ends[static_cast<std::size_t>(End::ConnectionLost)], 0U);
-    EXPECT_EQ(once.tries, once.planned) << "once-only is never sent twice";
-    EXPECT_EQ(result.tally.broken.all(), 0U);
+    const RequestClassStatistics& once = result.statistics.requestClasses[1];
+    EXPECT_GT(once.outcomes[static_cast<std::size_t>(RequestOutcome::ConnectionLost)], 0U);
+    EXPECT_EQ(once.attempts, once.scheduled) << "once-only is never sent twice";
+    EXPECT_EQ(result.statistics.violations.total(), 0U);
 }
 
 TEST(OnSockets, AnswersTwiceToNothingOrOfNoRunAreBrokenRules) {
@@ -450,209 +457,214 @@
     rude.twiceEvery = 10;
     rude.toNothingEvery = 15;
     rude.wrongEvery = 20;
-    Elsewhere server(rude);
-    const auto terms = termsOf(
+    ThriftServerThread server(rude);
+    const auto config = loadConfig(
         "length 500ms; rate { steady 400/s }; profile a { promised 500ms; hard-stop 1s }\n"
         "callers 1 { " +
             server.to() + "; attempts 1 }",
         true);
-    const LoadResult result = play(*terms);
+    const LoadResult result = runLoad(*config);
     expectAddsUp(result);
-    const Broken& broken = result.tally.broken;
-    EXPECT_GT(broken.twice, 0U);
-    EXPECT_GT(broken.toNothing, 0U);
-    EXPECT_GT(broken.wrongResult, 0U);
-    EXPECT_EQ(result.tally.of(End::Failed), broken.wrongResult) << "never counted as handled";
-    EXPECT_FALSE(broken.examples.empty());
+    const ProtocolViolations& violations = result.statistics.violations;
+    EXPECT_GT(violations.duplicateResponses, 0U);
+    EXPECT_GT(violations.unknownSequences, 0U);
+    EXPECT_GT(violations.wrongResults, 0U);
+    EXPECT_EQ(result.statistics.count(RequestOutcome::Failed), violations.wrongResults)
+        << "never counted as handled";
+    EXPECT_FALSE(violations.examples.empty());
 }
 
 TEST(OnSockets, RejectedRequestsAreRetriedAfterTheirRetryAfter) {
     AnsweringTerms busy;
     busy.busyEvery = 20;
     busy.goawayEvery = 50;
-    Elsewhere server(busy);
-    const auto terms = termsOf(
+    ThriftServerThread server(busy);
+    const auto config = loadConfig(
         "length 1s; rate { steady 300/s }; profile a { promised 500ms; hard-stop 1s }\n"
         "callers 1 { " +
             server.to() + "; attempts 3 longest=10ms }",
         true);
-    const LoadResult result = play(*terms);
+    const LoadResult result = runLoad(*config);
     expectAddsUp(result);
-    EXPECT_GT(result.tally.requestClasses[0].tries, result.tally.planned());
-    EXPECT_GT(result.tally.links.goaways, 0U);
-    EXPECT_GT(result.tally.of(End::Completed), result.tally.planned() * 95 / 100);
-    EXPECT_EQ(result.tally.broken.all(), 0U);
+    EXPECT_GT(result.statistics.requestClasses[0].attempts, result.statistics.scheduled());
+    EXPECT_GT(result.statistics.connections.goaways, 0U);
+    EXPECT_GT(result.statistics.count(RequestOutcome::Completed), result.statistics.scheduled() * 95 / 100);
+    EXPECT_EQ(result.statistics.violations.total(), 0U);
 }
 
 TEST(OnSockets, AClockThatStepsBackMovesNoFigure) {
-    Elsewhere server(AnsweringTerms{});
-    auto terms = termsOf(
+    ThriftServerThread server(AnsweringTerms{});
+    auto config = loadConfig(
         "length 600ms; rate { steady 300/s }; profile a { promised 400ms; hard-stop 1s }\n"
         "callers 1 { " +
             server.to() + " }",
         true);
-    terms->sendWithin = 1s;
+    config->maxSendDelay = 1s;
     Clocks clocks;
     const Duration begun = steadyNow();
     clocks.unix = [begun] { return net::unixNow() - (steadyNow() - begun > 300ms ? 3600s : 0s); };
-    const LoadResult result = play(*terms, {}, clocks);
+    const LoadResult result = runLoad(*config, {}, clocks);
     expectAddsUp(result);
-    EXPECT_EQ(result.tally.of(End::Completed), result.tally.planned());
-    EXPECT_LT(result.tally.completed().max(), 1.0);
+    EXPECT_EQ(result.statistics.count(RequestOutcome::Completed), result.statistics.scheduled());
+    EXPECT_LT(result.statistics.completedLatencies().max(), 1.0);
 }
 
 // The worker itself gets no time for a while, as on a machine with too few cores.
-class Starves : public Watcher {
+class StallingObserver : public RequestObserver {
 public:
-    void planned(const ScheduledRequest& planned, Duration) override {
-        if (planned.number == 20) std::this_thread::sleep_for(300ms);
+    void onScheduled(const ScheduledRequest& request, Duration) override {
+        if (request.number == 20) std::this_thread::sleep_for(300ms);
     }
 };
 
 TEST(OnSockets, AStarvedGeneratorSaysThatItsRunIsInvalid) {
-    Elsewhere server(AnsweringTerms{});
-    const auto terms = termsOf(
+    ThriftServerThread server(AnsweringTerms{});
+    const auto config = loadConfig(
         "length 600ms; rate { steady 300/s }; profile a { promised 400ms; hard-stop 1s }\n"
         "callers 1 { " +
             server.to() + " }; send-within 20ms share=99%",
         true);
-    Starves starves;
-    const LoadResult result = play(*terms, {&starves});
+    StallingObserver observer;
+    const LoadResult result = runLoad(*config, {&observer});
     expectAddsUp(result);
     EXPECT_FALSE(result.valid);
-    EXPECT_NE(result.why.find("were sent within 20.0 ms"), std::string::npos);
-    EXPECT_GT(result.tally.completed().max(), 0.2)
+    EXPECT_NE(result.invalidReason.find("were sent within 20.0 ms"), std::string::npos);
+    EXPECT_GT(result.statistics.completedLatencies().max(), 0.2)
         << "its own lateness is in the latency of what it sent late";
 }
 
 // Guards against a generator that loses count of refused connections. No machine is so slow that time cuts an
 // attempt short, so that each request makes both of its attempts and each of them is refused.
 TEST(OnSockets, TenThousandRefusedConnectionsEndInOrder) {
-    auto terms = termsOf(
+    auto config = loadConfig(
         "workers 2; length 1s; arrivals even; rate { steady 5200/s }\n"
         "profile a { promised 50ms; hard-stop 600s }\n"
         "callers 2 { to \"127.0.0.1:1\"; attempts 2 budget=#false; connections 10000 open=1 }",
         true);
-    terms->sendWithin = 600s;
-    const LoadResult result = play(*terms);
+    config->maxSendDelay = 600s;
+    const LoadResult result = runLoad(*config);
     expectAddsUp(result);
-    EXPECT_GT(result.tally.links.refused, 10000U);
-    EXPECT_EQ(result.tally.links.refused, 2 * result.tally.planned());
-    EXPECT_EQ(result.tally.requestClasses[0].tries, 2 * result.tally.planned());
-    EXPECT_EQ(result.tally.of(End::ConnectionLost), result.tally.planned());
+    EXPECT_GT(result.statistics.connections.connectFailures, 10000U);
+    EXPECT_EQ(result.statistics.connections.connectFailures, 2 * result.statistics.scheduled());
+    EXPECT_EQ(result.statistics.requestClasses[0].attempts, 2 * result.statistics.scheduled());
+    EXPECT_EQ(result.statistics.count(RequestOutcome::ConnectionLost), result.statistics.scheduled());
 }
 
 // Guards against attempts that nobody counts when the generator falls behind: whatever the machine's speed,
 // an attempt that was sent is refused or given up, and what was never sent is counted as that.
 TEST(OnSockets, RefusedConnectionsThatTimeCutsShortAddUp) {
-    auto terms = termsOf(
+    auto config = loadConfig(
         "workers 2; length 1s; rate { steady 10000/s }; profile a { promised 50ms; hard-stop 500ms }\n"
         "callers 2 { to \"127.0.0.1:1\"; attempts 2 budget=#false; connections 10000 open=1 }",
         true);
-    terms->sendWithin = 10s;
-    const LoadResult result = play(*terms);
+    config->maxSendDelay = 10s;
+    const LoadResult result = runLoad(*config);
     expectAddsUp(result);
-    const Tally& tally = result.tally;
+    const LoadStatistics& statistics = result.statistics;
     std::uint64_t failedAttempts = 0;
-    for (const std::uint64_t count : tally.links.notAgain) failedAttempts += count;
-    EXPECT_EQ(tally.requestClasses[0].tries, failedAttempts + tally.of(End::NoAnswer));
-    EXPECT_EQ(tally.planned(),
-              tally.of(End::ConnectionLost) + tally.of(End::NoAnswer) + tally.of(End::NeverSent));
-    EXPECT_LE(tally.links.refused, tally.links.opened);
-    EXPECT_LE(tally.links.opened, tally.requestClasses[0].tries);
-    EXPECT_EQ(tally.broken.all(), 0U);
+    for (const std::uint64_t count : statistics.connections.retryDecisions) failedAttempts += count;
+    EXPECT_EQ(statistics.requestClasses[0].attempts,
+              failedAttempts + statistics.count(RequestOutcome::NoAnswer));
+    EXPECT_EQ(statistics.scheduled(), statistics.count(RequestOutcome::ConnectionLost) +
+                                          statistics.count(RequestOutcome::NoAnswer) +
+                                          statistics.count(RequestOutcome::NeverSent));
+    EXPECT_LE(statistics.connections.connectFailures, statistics.connections.opened);
+    EXPECT_LE(statistics.connections.opened, statistics.requestClasses[0].attempts);
+    EXPECT_EQ(statistics.violations.total(), 0U);
 }
 
 TEST(OnSockets, WhatIsSentDoesNotTurnOnTheNumberOfWorkers) {
     std::vector<std::uint64_t> sums;
     for (const char* workers : {"1", "3"}) {
-        Elsewhere server(AnsweringTerms{});
-        const auto terms = termsOf(
+        ThriftServerThread server(AnsweringTerms{});
+        const auto config = loadConfig(
             "length 300ms; rate { steady 500/s }; profile a { promised 400ms; hard-stop 1s }; workers " +
                 std::string(workers) + "\ncallers 5 { " + server.to() + " }",
             true);
-        Schedule schedule;
-        const LoadResult result = play(*terms, {&schedule});
+        ScheduleRecorder recorder;
+        const LoadResult result = runLoad(*config, {&recorder});
         expectAddsUp(result);
         std::uint64_t sum = 0;
-        for (const auto& [number, due] : schedule.due) sum += routing::splitMix64(number);
+        for (const auto& [number, scheduled] : recorder.scheduledAt) sum += routing::splitMix64(number);
         sums.push_back(sum);
     }
     EXPECT_EQ(sums[0], sums[1]);
 }
 
 TEST(OnSockets, StoppedInMidRunItTellsWhatItMeasured) {
-    Elsewhere server(AnsweringTerms{});
-    const auto terms = termsOf(
+    ThriftServerThread server(AnsweringTerms{});
+    const auto config = loadConfig(
         "length 60s; rate { steady 200/s }; profile a { promised 400ms; hard-stop 1s }\n"
         "callers 2 { " +
             server.to() + " }",
         true);
-    Load load(*terms);
+    LoadRun load(*config);
     load.start(steadyNow());
     while (load.completed() < 50) std::this_thread::sleep_for(1ms);
     load.stop();
     const LoadResult result = load.finish();
     expectAddsUp(result);
     EXPECT_TRUE(result.stopped);
-    EXPECT_GE(result.tally.of(End::Completed), 50U);
+    EXPECT_GE(result.statistics.count(RequestOutcome::Completed), 50U);
     EXPECT_LT(result.length, 60s);
 }
 
 // ---- the program ----------------------------------------------------------------------------------------
 
-struct Ran {
+struct ProgramResult {
     int code = 0;
     std::string out;
 };
-Ran run(const std::string& request) {
-    Ran ran;
-    FILE* const pipe = popen((request + " 2>&1").c_str(), "r");
+ProgramResult runProgram(const std::string& command) {
+    ProgramResult result;
+    FILE* const pipe = popen((command + " 2>&1").c_str(), "r");
     char buffer[4096];
     for (std::size_t count; (count = fread(buffer, 1, sizeof buffer, pipe)) > 0;)
-        ran.out.append(buffer, count);
-    ran.code = WEXITSTATUS(pclose(pipe));
-    return ran;
+        result.out.append(buffer, count);
+    result.code = WEXITSTATUS(pclose(pipe));
+    return result;
 }
 
-std::string loadFile(const std::string& inside) {
+std::string writeLoadFile(const std::string& inside) {
     const std::string path = ::testing::TempDir() + "cottonwing-load-" + std::to_string(getpid()) + ".kdl";
     std::ofstream(path) << "load {\n" << inside << "\n}\n";
     return path;
 }
 
 TEST(LabProgram, AFullDiskCostsTheFileAndNotTheFigures) {
-    Elsewhere server(AnsweringTerms{});
-    const std::string path = loadFile(
+    ThriftServerThread server(AnsweringTerms{});
+    const std::string path = writeLoadFile(
         "length 200ms; rate { steady 100/s }; profile a { promised 400ms; hard-stop 1s }\n"
         "send-within 10s; callers 1 { " +
         server.to() + " }");
-    const Ran ran = run(std::string(COTTONWING_LAB) + " load " + path + " --json /dev/full");
-    EXPECT_EQ(ran.code, 1) << ran.out;
-    EXPECT_NE(ran.out.find("/dev/full can't be written: No space left on device"), std::string::npos)
-        << ran.out;
-    EXPECT_NE(ran.out.find("handled"), std::string::npos);
+    const ProgramResult result =
+        runProgram(std::string(COTTONWING_LAB) + " load " + path + " --json /dev/full");
+    EXPECT_EQ(result.code, 1) << result.out;
+    EXPECT_NE(result.out.find("/dev/full can't be written: No space left on device"), std::string::npos)
+        << result.out;
+    EXPECT_NE(result.out.find("handled"), std::string::npos);
 }
 
 TEST(LabProgram, InterruptedItPrintsWhatItHas) {
-    Elsewhere server(AnsweringTerms{});
-    const std::string path = loadFile(
+    ThriftServerThread server(AnsweringTerms{});
+    const std::string path = writeLoadFile(
         "length 60s; rate { steady 100/s }; profile a { promised 400ms; hard-stop 1s }\n"
         "send-within 10s; callers 1 { " +
         server.to() + " }");
-    const Ran ran = run("timeout -s INT 1 " + std::string(COTTONWING_LAB) + " load " + path + " --json -");
-    const auto from = ran.out.find('{');
-    ASSERT_NE(from, std::string::npos) << ran.out;
-    const auto figures = nlohmann::json::parse(ran.out.substr(from));
+    const ProgramResult result =
+        runProgram("timeout -s INT 1 " + std::string(COTTONWING_LAB) + " load " + path + " --json -");
+    const auto from = result.out.find('{');
+    ASSERT_NE(from, std::string::npos) << result.out;
+    const auto figures = nlohmann::json::parse(result.out.substr(from));
     EXPECT_TRUE(figures["stopped"].get<bool>());
     EXPECT_EQ(figures["ends"]["handled"], figures["planned"]);
 }
 
 TEST(LabProgram, AWrongFileIsNamedWithItsPlace) {
-    const std::string path = loadFile("length 200; rate { steady 100/s }; profile a { promised 400ms }");
-    const Ran ran = run(std::string(COTTONWING_LAB) + " load " + path);
-    EXPECT_EQ(ran.code, 2);
-    EXPECT_EQ(ran.out.find(path + ":2:8: '200' was found, a duration such as 250ms"), 0U) << ran.out;
+    const std::string path = writeLoadFile("length 200; rate { steady 100/s }; profile a { promised 400ms }");
+    const ProgramResult result = runProgram(std::string(COTTONWING_LAB) + " load " + path);
+    EXPECT_EQ(result.code, 2);
+    EXPECT_EQ(result.out.find(path + ":2:8: '200' was found, a duration such as 250ms"), 0U) << result.out;
 }
 
 }  // namespace
