--- a/src/loadtest/load_clients.cpp
+++ b/src/loadtest/load_clients.cpp
@@ -16,15 +16,18 @@
 
 namespace {
 
-constexpr std::size_t kMaxRequestsPerWakeup = 512;  // between two looks at the sockets
-constexpr std::size_t kMaxTimedOutSequences =
-    256;                                     // sequence numbers of a connection whose answer may still come
-constexpr Duration kCloseRaceWindow = 50ms;  // a close may cross what was written within this time before it
-constexpr Duration kResponseGracePeriod =
-    50ms;  // an answer is owed until the patience is over, and this much longer
-constexpr Duration kConnectionSweepInterval =
-    100ms;                                 // connections are looked at this often, health checks begun
-constexpr Duration kMinAttemptTime = 5ms;  // less time than this is not worth an attempt
+// Limits how long responses wait while the generator catches up with its schedule.
+constexpr std::size_t kMaxRequestsPerWakeup = 512;
+// Per connection: timed-out requests whose late response is still recognized as one.
+constexpr std::size_t kMaxTimedOutSequences = 256;
+// A request sent within this time before its connection closed may have crossed the close.
+constexpr Duration kCloseRaceWindow = 50ms;
+// A server owes a response until the timeout; one that arrives this much later is not counted as lost.
+constexpr Duration kResponseGracePeriod = 50ms;
+// Between two checks for idle connections, connect timeouts and due health checks.
+constexpr Duration kConnectionSweepInterval = 100ms;
+// With less time than this left, a retry is not worth sending.
+constexpr Duration kMinAttemptTime = 5ms;
 
 std::string toHex(std::uint64_t number) {
     char text[17];
@@ -45,8 +48,8 @@
 }  // namespace
 
 std::string attemptTraceId(std::uint64_t seed, std::uint64_t number, int attempt) {
-    // splitMix64() takes no two numbers to one, and a seed shifts all of a run's
-    // numbers alike.
+    // splitMix64() is a bijection and the seed adds the same offset to all numbers of a run, so that no two
+    // attempts get the same id.
     return toHex(
         routing::splitMix64(routing::splitMix64(seed) + number * 16 + static_cast<std::uint64_t>(attempt)));
 }
@@ -61,7 +64,7 @@
     return body;
 }
 
-// One connection to one server.
+// A connection of one client to one server.
 struct LoadClients::ServerConnection : net::ConnectionHandler {
     ServerConnection(LoadClients& loadClients, std::size_t ofClient, std::size_t toTarget,
                      bool forHealthChecks)
@@ -80,7 +83,7 @@
             if (!response) {
                 owner.statistics_.violations.record(
                     owner.statistics_.violations.unreadableResponses,
-                    "an answer that can't be read, of server " + std::to_string(target));
+                    "unreadable response from server " + std::to_string(target));
                 return owner.handleConnectionEnd(*this, net::ConnectionEnd::Malformed);
             }
             owner.handleResponse(*this, std::move(*response));
@@ -95,12 +98,12 @@
                 return handleScgiReply();
         }
     }
-    // 503 was turned away before it ran, what else is no success has failed.
+    // A 503 was rejected before it ran; any other status from 400 is a failure.
     void handleScgiReply() {
         if (replyReader.state() != scgi::ReplyReader::State::Complete) {
             owner.statistics_.violations.record(
                 owner.statistics_.violations.unreadableResponses,
-                "an SCGI reply that can't be read, of server " + std::to_string(target));
+                "unreadable SCGI reply from server " + std::to_string(target));
             return owner.handleConnectionEnd(*this, net::ConnectionEnd::Malformed);
         }
         ClientResponse response;
@@ -115,8 +118,8 @@
             response.fields["pause"] = *retryAfterMs;
         if (scgi::findHeader(replyReader.reply().headers, "x-nowhere-else"))
             response.fields["terminal"] = "1";
-        // A server that is tired says 503 of its own, and may have begun: only ours
-        // tell when to come back.
+        // An SCGI application may send a 503 of its own after it has begun to run. Only a rejection by the
+        // gateway has a retry-after header.
         if (response.kind == ClientResponse::Kind::Busy && !response.fields.contains("pause"))
             response.kind = ClientResponse::Kind::Failed;
         owner.handleResponse(*this, std::move(response));
@@ -134,9 +137,10 @@
     bool usesScgi = false;
     scgi::ReplyReader replyReader{1 << 20};
     std::unique_ptr<net::Connection> socket;
-    std::unordered_map<std::int32_t, std::uint64_t>
-        openRequests;                                    // by sequence number; emptied by answers and ends
-    std::unordered_set<std::int32_t> timedOutSequences;  // emptied by answers, the oldest past a bound
+    // By sequence number; removed by responses and timeouts.
+    std::unordered_map<std::int32_t, std::uint64_t> openRequests;
+    // Timed-out requests whose late response is ignored; bounded, the oldest are removed first.
+    std::unordered_set<std::int32_t> timedOutSequences;
     std::deque<std::int32_t> timedOutOrder;
     std::int32_t lastSequence = 0;
     bool draining = false;
@@ -156,7 +160,7 @@
           healthCheckConnections(config.targets.size()),
           queuedRequests(config.targets.size()) {
         for (std::size_t at = 0; at < config.targets.size(); ++at) outlierDetector.add();
-        // Clients of one fleet do not all begin their round with the same server.
+        // Each client starts with another server, so that their round robins are not in step.
         for (std::size_t at = 0; at < config.targets.size(); ++at)
             loadBalancer.add((at + clientNumber) % config.targets.size());
     }
@@ -167,8 +171,8 @@
     routing::RetryBudget retryBudget;
     std::vector<std::vector<std::unique_ptr<ServerConnection>>> connections;  // by target
     std::vector<std::unique_ptr<ServerConnection>> healthCheckConnections;
-    std::vector<std::deque<std::uint64_t>>
-        queuedRequests;  // for room on a connection, by target; emptied by it and by time
+    // By target: requests that wait for capacity on a connection, until their timeout.
+    std::vector<std::deque<std::uint64_t>> queuedRequests;
 };
 
 LoadClients::LoadClients(net::Loop& loop, ClientConfig config, const RequestScheduleConfig& scheduleConfig,
@@ -246,7 +250,7 @@
         for (auto& client : clients_) {
             for (auto& connections : client->connections) {
                 for (auto& connection : connections)
-                    connection->socket->tryFlush();  // a forget may wait there
+                    connection->socket->tryFlush();  // sends a `forget` that is still buffered
                 connections.clear();
             }
             for (auto& connection : client->healthCheckConnections) connection.reset();
@@ -258,8 +262,7 @@
     armWakeup();
 }
 
-// An earlier ring than is needed does no harm, so the timer is set anew only
-// for one that is earlier still.
+// Waking too early does no harm, so the timer is only set again for an earlier time.
 void LoadClients::armWakeup() {
     Duration at = nextConnectionSweep_;
     if (!requestTimers_.empty()) at = std::min(at, requestTimers_.begin()->first);
@@ -274,8 +277,8 @@
     wakeupTimer_.startAt(wakeupAt_);
 }
 
-// Each worker reads the whole plan and takes the requests of its own clients,
-// so that what is sent does not turn on the number of workers.
+// Each worker reads the whole schedule and sends the requests of its own clients, so that the requests of a
+// run do not depend on the number of workers.
 void LoadClients::startScheduledRequests(Duration now) {
     std::size_t started = 0;
     while (nextRequest_) {
@@ -297,8 +300,7 @@
                 if (start_ + nextRequest_->arrival > now) return;
                 startRequest(*nextRequest_, start_ + nextRequest_->arrival, now);
             }
-            // Behind its time it still looks at the sockets now and then: answers
-            // must not wait for the backlog.
+            // When behind schedule, the loop must still read responses between requests.
             if (++started >= kMaxRequestsPerWakeup) {
                 nextRequest_ = schedule_->next();
                 return wakeSoon();
@@ -351,8 +353,7 @@
         client.loadBalancer.choose(request.scheduled.subject, request.target, usable, client.random);
     ++request.attempts;
     if (!chosen) {
-        // Nobody may be used just now: it waits like one that was turned away
-        // before it began.
+        // No server is usable now: the attempt is retried like one that was rejected before it began.
         return handleAttemptFailure(id, now, ExecutionState::NotStarted, RequestOutcome::NeverSent);
     }
     request.target = *chosen;
@@ -362,8 +363,8 @@
     setRequestTimer(id, request, request.deadline);
 }
 
-// The connection with the fewest requests on it, a new one where all are busy
-// and one more may be opened.
+// Returns the connection with the fewest open requests, or a new one if all are busy and the limit allows it,
+// or null.
 LoadClients::ServerConnection* LoadClients::selectConnection(Client& client, std::size_t target) {
     auto& connections = client.connections[target];
     ServerConnection* best = nullptr;
@@ -473,12 +474,12 @@
                               requestBody(scheduled, requestClass.callsPerRun, request.firstTraceId));
 }
 
-// A connection of its own for each request, as the protocol has it.
+// SCGI needs a connection for each request.
 LoadClients::ServerConnection* LoadClients::openScgiConnection(Client& client, std::size_t target) {
     auto connection = std::make_unique<ServerConnection>(
         *this, client.number / static_cast<std::size_t>(workerCount_), target, false);
     connection->usesScgi = true;
-    connection->draining = true;  // nothing more goes on it
+    connection->draining = true;  // takes no further requests
     connection->openedAt = connection->lastUsedAt = clocks_.steady();
     connection->socket = std::make_unique<net::Connection>(loop_, config_.scgiTargets[target], *connection,
                                                            net::BufferLimits{1 << 20, 1 << 20});
@@ -487,7 +488,7 @@
     return client.connections[target].back().get();
 }
 
-// A request's place on its connection and with its server is given back.
+// Frees the attempt's place on its connection and in the load balancer's count for its server.
 void LoadClients::releaseAttempt(TrackedRequest& request, std::optional<Duration> latency, Duration now) {
     if (request.connection == nullptr) return;
     if (observer_ != nullptr) observer_->onAttemptReleased(request.traceId);
@@ -529,18 +530,17 @@
     if (request.queued)
         return finishRequest(id, request.everSent ? request.lastOutcome : RequestOutcome::NeverSent, now);
     ServerConnection& connection = *request.connection;
-    // The server owes its answer until the patience is over; what crosses that
-    // moment is nobody's fault. One that is told to forget owes nothing, so such
-    // a client waits a little before it says so.
+    // A response that crosses the timeout is not a violation, and a server that received `forget` owes no
+    // response. So the client waits for the grace period before it cancels and counts the response as lost.
     if (now < request.deadline + kResponseGracePeriod)
         return setRequestTimer(id, request, request.deadline + kResponseGracePeriod);
     if (connection.socket && connection.socket->isOpen())
         statistics_.violations.record(
             statistics_.violations.lostResponses,
-            "no answer to " + request.traceId + " of server " + std::to_string(connection.target));
+            "no response to " + request.traceId + " from server " + std::to_string(connection.target));
     clients_[request.clientIndex]->outlierDetector.recordFailure(*request.target, now,
                                                                  clients_[request.clientIndex]->random);
-    // A kiosk that gives up closes its connection: so it is told.
+    // An SCGI client cancels a request by closing its connection.
     const bool usesScgi = connection.usesScgi;
     if (config_.cancelsTimedOutRequests && connection.socket && !usesScgi) {
         connection.socket->send(writeCancel(++connection.lastSequence, request.sequence));
@@ -625,14 +625,14 @@
     const auto found = connection.openRequests.find(response.sequence);
     if (found == connection.openRequests.end()) {
         if (connection.timedOutSequences.erase(response.sequence) > 0) return;
-        const std::string where = " with sequence number " + std::to_string(response.sequence) +
-                                  ", of server " + std::to_string(connection.target);
+        const std::string where = " sequence number " + std::to_string(response.sequence) + " from server " +
+                                  std::to_string(connection.target);
         if (response.sequence >= 1 && response.sequence <= connection.lastSequence)
             statistics_.violations.record(statistics_.violations.duplicateResponses,
-                                          "a second answer" + where);
+                                          "second response with" + where);
         else
             statistics_.violations.record(statistics_.violations.unknownSequences,
-                                          "an answer to nothing" + where);
+                                          "response with unknown" + where);
         return;
     }
     const std::uint64_t id = found->second;
@@ -647,7 +647,7 @@
             const std::string expected = "ok " + request.traceId;
             if (config_.verifiesResults && response.body.substr(0, expected.size()) != expected) {
                 statistics_.violations.record(statistics_.violations.wrongResults,
-                                              "a result that no run made for " + request.traceId);
+                                              "result that no run produced for " + request.traceId);
                 finishRequest(id, RequestOutcome::Failed, now);
                 break;
             }
@@ -657,7 +657,7 @@
         }
         case ClientResponse::Kind::Busy: {
             releaseAttempt(request, std::nullopt, now);
-            client.outlierDetector.recordSuccess(target, now);  // it is well enough to turn away
+            client.outlierDetector.recordSuccess(target, now);  // a rejection shows that the server works
             std::optional<Duration> retryAfter;
             if (const auto retryAfterMs = numericField(response.fields, "pause"))
                 retryAfter = Duration(static_cast<std::int64_t>(std::min(*retryAfterMs, 1e9) * 1e6));
@@ -676,8 +676,7 @@
     if (connection.draining && connection.openRequests.empty())
         return handleConnectionEnd(connection, net::ConnectionEnd::Unused);
     sendQueuedRequests(client, target, now);
-    // From here the agenda may have an earlier entry than the timer, or nothing
-    // is left to wait for.
+    // A retry may now be due before the timer, or the run may be complete.
     if (config_.closedLoopConcurrency > 0 || (!nextRequest_ && openRequests_.empty()))
         wakeSoon();
     else
@@ -699,8 +698,8 @@
     else
         ++statistics_.connections.reset;
     connection.socket.reset();
-    // The object goes with the next pump: the callback that led here may still
-    // look at it.
+    // The object is kept until the next processDueWork(), because the callback that led here may still use
+    // it.
     if (connection.healthCheck) {
         if (!connection.openRequests.empty() || connectFailed) {
             ++statistics_.connections.healthChecks, ++statistics_.connections.failedHealthChecks;
@@ -723,8 +722,8 @@
         if (at == openRequests_.end()) continue;
         TrackedRequest& request = at->second;
         releaseAttempt(request, std::nullopt, now);
-        // What may run once only is sent again only where the server has said that
-        // it takes no more there.
+        // A request that is not idempotent is only sent again if the server has announced by `goaway` that it
+        // accepts no more on this connection.
         const bool safeToResend =
             connection.draining ||
             scheduleConfig_.requestClasses[static_cast<std::size_t>(request.scheduled.requestClass)]
@@ -740,7 +739,7 @@
             if (!sendAttempt(id, request, target, now)) setRequestTimer(id, request, now);
             continue;
         }
-        // One broken connection is one sign, however many requests were on it.
+        // A broken connection counts as one failure, however many requests were on it.
         if (!std::exchange(failureRecorded, true))
             client.outlierDetector.recordFailure(target, now, client.random);
         handleAttemptFailure(id, now, connectFailed ? ExecutionState::NotStarted : ExecutionState::Unknown,
@@ -757,8 +756,7 @@
     if (healthChecksDue) nextHealthCheck_ = now + config_.healthCheckInterval;
     for (auto& client : clients_)
         for (std::size_t target = 0; target < config_.targets.size(); ++target) {
-            // Connections that hang in opening or that nobody has used for long are
-            // closed.
+            // Closes idle connections and those that could not be opened in time.
             auto& connections = client->connections[target];
             for (std::size_t at = 0; at < connections.size();) {
                 ServerConnection& connection = *connections[at];
@@ -775,7 +773,7 @@
             }
             if (!healthChecksDue) continue;
             auto& connection = client->healthCheckConnections[target];
-            if (connection && !connection->openRequests.empty()) {  // the one before has had no answer
+            if (connection && !connection->openRequests.empty()) {  // the previous check was not answered
                 handleConnectionEnd(*connection, net::ConnectionEnd::TimedOut);
             }
             if (!connection) {
--- a/src/loadtest/load_statistics.cpp
+++ b/src/loadtest/load_statistics.cpp
@@ -63,7 +63,7 @@
             const std::uint64_t maxOpenRequests =
                 std::max(intervals_[at / 2].maxOpenRequests, intervals_[at].maxOpenRequests);
             intervals_[at / 2].add(intervals_[at]);
-            intervals_[at / 2].maxOpenRequests = maxOpenRequests;  // the most at once is no sum over time
+            intervals_[at / 2].maxOpenRequests = maxOpenRequests;  // a maximum, so not added over time
         }
     }
     intervals_.resize((intervals_.size() + 1) / 2);
@@ -106,8 +106,8 @@
     series.add(other.series);
     violations.add(other.violations);
     connections.add(other.connections);
-    unreadableTraceLines =
-        std::max(unreadableTraceLines, other.unreadableTraceLines);  // every worker reads the whole trace
+    // Every worker reads the whole trace, so the counts are not added.
+    unreadableTraceLines = std::max(unreadableTraceLines, other.unreadableTraceLines);
 }
 
 std::uint64_t LoadStatistics::scheduled() const {
