--- a/src/loadtest/load_run.cpp
+++ b/src/loadtest/load_run.cpp
@@ -73,7 +73,7 @@
 
 void readClientConfig(const kdl::Node& node, ClientConfig& config, bool readTargets) {
     kdl::NodeReader in(node);
-    config.clients = static_cast<int>(kdl::integer(in.argument(0, "how many callers there are"), 1, 100000));
+    config.clients = static_cast<int>(kdl::integer(in.argument(0, "a number of callers"), 1, 100000));
     if (readTargets) {
         if (const kdl::Node* const to = in.child("to")) {
             kdl::NodeReader inner(*to);
@@ -99,7 +99,7 @@
     if (const kdl::Node* const choose = in.child("choose")) {
         kdl::NodeReader inner(*choose);
         config.loadBalancingPolicy = kdl::NodeReader::choice<routing::LoadBalancingPolicy>(
-            inner.argument(0, "a way to choose"),
+            inner.argument(0, "a load-balancing policy"),
             {{"round-robin", routing::LoadBalancingPolicy::RoundRobin},
              {"least", routing::LoadBalancingPolicy::LeastRequests},
              {"two-choices", routing::LoadBalancingPolicy::PowerOfTwoChoices},
@@ -111,7 +111,7 @@
         kdl::NodeReader inner(*attempts);
         routing::RetryPolicyConfig& retryPolicy = config.retryPolicy;
         retryPolicy.maxAttempts =
-            static_cast<int>(kdl::integer(inner.argument(0, "how many attempts there are in all"), 1, 6));
+            static_cast<int>(kdl::integer(inner.argument(0, "a number of attempts"), 1, 6));
         inner.property("growth", retryPolicy.backoffGrowth, [](const kdl::Value& value) {
             return kdl::NodeReader::choice<routing::BackoffGrowth>(
                 value, {{"fixed", routing::BackoffGrowth::Fixed},
@@ -135,7 +135,7 @@
     if (const kdl::Node* const connections = in.child("connections")) {
         kdl::NodeReader inner(*connections);
         config.maxConnectionsPerTarget =
-            static_cast<int>(kdl::integer(inner.argument(0, "how many to one server"), 1, 10000));
+            static_cast<int>(kdl::integer(inner.argument(0, "a number of connections"), 1, 10000));
         inner.property("open", config.maxRequestsPerConnection, kdl::integerBetween(1, 32));
         inner.property("idle", config.idleTimeout, kdl::duration);
         inner.property("within", config.connectTimeout, kdl::duration);
@@ -143,7 +143,7 @@
     }
     if (const kdl::Node* const checks = in.child("checks")) {
         kdl::NodeReader inner(*checks);
-        config.healthCheckInterval = kdl::duration(inner.argument(0, "how often, such as 1s"));
+        config.healthCheckInterval = kdl::duration(inner.argument(0, "an interval such as 1s"));
         inner.property("thorough", config.thoroughHealthChecks, kdl::boolean);
         inner.rejectUnknown();
     }
@@ -186,14 +186,14 @@
     if (const kdl::Node* const found = in.child("customers")) {
         kdl::NodeReader inner(*found);
         schedule.tenantCount =
-            static_cast<std::uint64_t>(kdl::integer(inner.argument(0, "how many"), 1, 1000000));
+            static_cast<std::uint64_t>(kdl::integer(inner.argument(0, "a number of customers"), 1, 1000000));
         inner.property("skew", schedule.tenantSkew, kdl::number);
         inner.rejectUnknown();
     }
     if (const kdl::Node* const found = in.child("subjects")) {
         kdl::NodeReader inner(*found);
-        schedule.subjectCount =
-            static_cast<std::uint64_t>(kdl::integer(inner.argument(0, "how many"), 1, std::int64_t{1} << 40));
+        schedule.subjectCount = static_cast<std::uint64_t>(
+            kdl::integer(inner.argument(0, "a number of subjects"), 1, std::int64_t{1} << 40));
         inner.property("skew", schedule.subjectSkew, kdl::number);
         inner.rejectUnknown();
     }
@@ -220,16 +220,16 @@
             std::none_of(
                 schedule.requestClasses.begin(), schedule.requestClasses.end(),
                 [&](const RequestClassLoad& other) { return other.name == requestClass.claimedClass; }))
-            throw kdl::DocumentError(
-                load->location,
-                "profile '" + requestClass.name + "' claims to be '" + requestClass.claimedClass + "'",
-                "the name of another profile was expected");
+            throw kdl::DocumentError(load->location,
+                                     "'claims \"" + requestClass.claimedClass + "\"' was found in profile '" +
+                                         requestClass.name + "'",
+                                     "the name of another profile was expected");
     schedule.rateNode = in.child("rate");
     if (const kdl::Node* const found = in.child("trace")) {
         kdl::NodeReader inner(*found);
         TraceConfig trace;
         trace.file = kdl::text(inner.argument(0, "the path of a trace"));
-        // Beside the file that names it.
+        // A relative path starts at the folder of the file that names it.
         if (!trace.file.empty() && trace.file.front() != '/')
             if (const std::size_t slash = file.rfind('/'); slash != file.npos)
                 trace.file = file.substr(0, slash + 1) + trace.file;
@@ -248,7 +248,7 @@
                                                               : "'load' was found with a rate and a trace",
                                  "one of 'rate { … }' and 'trace FILE' was expected in it");
     if (schedule.rateNode != nullptr) {
-        kdl::NodeReader inner(*schedule.rateNode);  // said now, not when the run begins
+        kdl::NodeReader inner(*schedule.rateNode);  // reports errors now, not when the run starts
         (void)LoadCurve::fromNode(inner, schedule.seed);
         inner.rejectUnknown();
     }
@@ -273,8 +273,7 @@
     return config;
 }
 
-// ---- the run
-// --------------------------------------------------------------------------------------------
+// ---- LoadRun -------------------------------------------------------------------------------------------
 
 struct LoadRun::Worker {
     Worker(const LoadConfig& config, int number, const Clocks& clocks, RequestObserver* observer)
@@ -328,7 +327,7 @@
     std::atomic<bool> stop{false}, abort{false};
     std::mutex mutex;
     CrossThreadWakeup* wakeup = nullptr;
-    std::string error;  // read once the thread has ended
+    std::string error;  // written by the thread, read after it has been joined
     std::thread thread;
 };
 
@@ -402,13 +401,11 @@
                                           static_cast<double>(sendDelay.count());
     if (result.valid && config_.client.closedLoopConcurrency == 0 &&
         result.punctualFraction < config_.minPunctualFraction) {
-        char text[200];
+        char text[300];
         std::snprintf(text, sizeof text,
-                      "only %.2f%% of the commands were sent within %.1f ms of "
-                      "their time, %.2f%% were asked "
-                      "for: the machine "
-                      "was too busy for this load, or the servers opened "
-                      "connections too slowly",
+                      "only %.2f%% of the requests were sent within %.1f ms of their scheduled time, "
+                      "%.2f%% are required: the machine is too busy for this load, or the servers "
+                      "accept connections too slowly",
                       result.punctualFraction * 100, static_cast<double>(config_.maxSendDelay.count()) / 1e6,
                       config_.minPunctualFraction * 100);
         result.valid = false;
@@ -417,8 +414,7 @@
     return result;
 }
 
-// ---- what is said of it
-// ---------------------------------------------------------------------------------
+// ---- results -------------------------------------------------------------------------------------------
 
 namespace {
 
@@ -566,9 +562,8 @@
     }
     if (statistics.requestClasses.size() > 1)
         row("all", statistics.scheduled(), outcomes, statistics.completedLatencies());
-    add("\ntries %llu; sent late by p50 %.3f ms, p99 %.3f ms, p99.9 %.3f ms, at "
-        "most %.3f ms (%.3f%% within "
-        "%.1f ms)\n",
+    add("\nattempts %llu; sent late by p50 %.3f ms, p99 %.3f ms, p99.9 %.3f ms, max %.3f ms "
+        "(%.3f%% within %.1f ms)\n",
         static_cast<unsigned long long>(attempts), statistics.sendDelay.quantile(0.5) * 1e3,
         statistics.sendDelay.quantile(0.99) * 1e3, statistics.sendDelay.quantile(0.999) * 1e3,
         statistics.sendDelay.max() * 1e3, result.punctualFraction * 100,
@@ -577,7 +572,7 @@
         add("%llu lines of the trace could not be read\n",
             static_cast<unsigned long long>(statistics.unreadableTraceLines));
     if (statistics.violations.total() > 0) {
-        add("BROKEN RULES: %llu\n", static_cast<unsigned long long>(statistics.violations.total()));
+        add("PROTOCOL VIOLATIONS: %llu\n", static_cast<unsigned long long>(statistics.violations.total()));
         for (const std::string& example : statistics.violations.examples) text += "  " + example + "\n";
     }
     return text;
