--- a/src/loadtest/experiment.cpp
+++ b/src/loadtest/experiment.cpp
@@ -23,11 +23,15 @@
 
 Fault readFault(const kdl::Node& node, std::size_t backends, std::size_t servers) {
     static const std::vector<std::pair<std::string, Fault::Kind>> kKinds = {
-        {"records", Fault::Kind::Records},      {"pool", Fault::Kind::Pool},
-        {"stall", Fault::Kind::Stall},          {"crash", Fault::Kind::Crash},
-        {"link-break", Fault::Kind::LinkBreak}, {"reload", Fault::Kind::Reload},
-        {"release", Fault::Kind::Release},      {"registry", Fault::Kind::Registry},
-        {"server", Fault::Kind::Server}};
+        {"records", Fault::Kind::Dependency},
+        {"pool", Fault::Kind::WorkerPool},
+        {"stall", Fault::Kind::Stall},
+        {"crash", Fault::Kind::Crash},
+        {"link-break", Fault::Kind::PoolDisconnect},
+        {"reload", Fault::Kind::Reload},
+        {"release", Fault::Kind::RollingRestart},
+        {"registry", Fault::Kind::Registry},
+        {"server", Fault::Kind::ScgiServer}};
     kdl::NodeReader in(node);
     Fault fault;
     const kdl::Value& kind = in.argument(0, "what the trouble is");
@@ -39,31 +43,32 @@
     if (at == nullptr)
         throw kdl::DocumentError(node.location, "a trouble was found without 'at='", "'at=10s' was expected");
     fault.at = kdl::duration(*at);
-    in.property("for", fault.lasts, kdl::duration);
-    in.property("each", fault.each, kdl::duration);
-    in.property("slow", fault.slow, kdl::number);
-    in.property("hang", fault.hang, kdl::fraction);
-    in.property("spoil", fault.spoil, kdl::fraction);
-    in.property("share", fault.share, kdl::fraction);
+    in.property("for", fault.duration, kdl::duration);
+    in.property("each", fault.restartInterval, kdl::duration);
+    in.property("slow", fault.slowdown, kdl::number);
+    in.property("hang", fault.hangFraction, kdl::fraction);
+    in.property("spoil", fault.malformedFraction, kdl::fraction);
+    in.property("share", fault.instanceFraction, kdl::fraction);
     in.property("down", fault.down, kdl::boolean);
-    in.property("cold", fault.cold, kdl::boolean);
+    in.property("cold", fault.coldStart, kdl::boolean);
     in.property("silent", fault.silent, kdl::boolean);
-    in.property("fails", fault.fails, kdl::boolean);
-    const std::size_t count = fault.kind == Fault::Kind::Server ? servers : backends;
+    in.property("fails", fault.failsFast, kdl::boolean);
+    const std::size_t count = fault.kind == Fault::Kind::ScgiServer ? servers : backends;
     if (count == 0)
         throw kdl::DocumentError(kind.location, "'server' was found without servers",
                                  "'servers 20' was expected in the experiment");
     if (const kdl::Value* const on = in.property("on"))
-        fault.on = {static_cast<std::size_t>(kdl::integer(*on, 1, static_cast<std::int64_t>(count))) - 1};
+        fault.instances = {static_cast<std::size_t>(kdl::integer(*on, 1, static_cast<std::int64_t>(count))) -
+                           1};
     in.rejectUnknown();
     return fault;
 }
 
 }  // namespace
 
-std::unique_ptr<WorldTerms> readExperiment(const std::string& path) {
+std::unique_ptr<ExperimentConfig> readExperimentConfig(const std::string& path) {
     const auto document = kdl::parseFile(path);
-    auto terms = std::make_unique<WorldTerms>();
+    auto config = std::make_unique<ExperimentConfig>();
     const kdl::Node* experiment = nullptr;
     for (const kdl::Node& node : document) {
         if (node.name == "experiment" && experiment == nullptr)
@@ -76,29 +81,29 @@
         throw kdl::DocumentError({path, 1, 1}, "no 'experiment' was found",
                                  "'experiment NAME { … }' was expected");
     kdl::NodeReader in(*experiment);
-    terms->name = kdl::text(in.argument(0, "the name of the experiment"));
-    if (terms->name.empty() ||
-        terms->name.find_first_not_of("abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_") !=
+    config->name = kdl::text(in.argument(0, "the name of the experiment"));
+    if (config->name.empty() ||
+        config->name.find_first_not_of("abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_") !=
             std::string::npos)
-        throw kdl::DocumentError(experiment->location, "the name '" + terms->name + "' was found",
+        throw kdl::DocumentError(experiment->location, "the name '" + config->name + "' was found",
                                  "letters, digits, - and _ were expected");
-    terms->about = in.setting("about", kdl::text, std::string());
+    config->description = in.setting("about", kdl::text, std::string());
     if (const kdl::Node* const found = in.child("backends")) {
         kdl::NodeReader inner(*found);
-        terms->backends = static_cast<std::size_t>(kdl::integer(inner.argument(0, "how many"), 1, 200));
-        inner.property("cores", terms->cores, kdl::number);
-        inner.property("memory", terms->memoryMb, [](const kdl::Value& value) {
+        config->backends = static_cast<std::size_t>(kdl::integer(inner.argument(0, "how many"), 1, 200));
+        inner.property("cores", config->cores, kdl::number);
+        inner.property("memory", config->memoryMb, [](const kdl::Value& value) {
             return static_cast<double>(kdl::bytes(value)) / (1 << 20);
         });
-        inner.property("sockets", terms->sockets, kdl::integerBetween(64, 1000000));
-        inner.property("stop", terms->stop, kdl::duration);
-        inner.property("grace", terms->grace, kdl::duration);
-        inner.property("come-back", terms->maxRetryAfter, kdl::duration);
+        inner.property("sockets", config->sockets, kdl::integerBetween(64, 1000000));
+        inner.property("stop", config->shutdownTimeout, kdl::duration);
+        inner.property("grace", config->drainGrace, kdl::duration);
+        inner.property("come-back", config->maxRetryAfter, kdl::duration);
         inner.rejectUnknown();
     }
     if (const kdl::Node* const found = in.child("pool")) {
         kdl::NodeReader inner(*found);
-        PoolTerms& pool = terms->pool;
+        PoolTerms& pool = config->workerPool;
         inner.property("cores", pool.cores.cores, kdl::number);
         inner.property("speed", pool.cores.speed, kdl::number);
         inner.property("thrash-at", pool.cores.thrashAt, kdl::number);
@@ -107,7 +112,7 @@
         inner.property("warms-over", pool.cores.warmsOver, kdl::duration);
         inner.property("heap", pool.heapKb,
                        [](const kdl::Value& value) { return static_cast<double>(kdl::bytes(value)) / 1024; });
-        inner.property("run-factor", terms->runFactor, kdl::number);
+        inner.property("run-factor", config->runMemoryFactor, kdl::number);
         inner.property("fall-multiple", pool.fallMultiple, kdl::number);
         inner.property("fall-over", pool.fallOver, kdl::duration);
         inner.property("starts-after", pool.startsAfter, kdl::duration);
@@ -121,7 +126,7 @@
     }
     if (const kdl::Node* const found = in.child("records")) {
         kdl::NodeReader inner(*found);
-        RecordsTerms& records = terms->records;
+        RecordsTerms& records = config->dependency;
         inner.property("slots", records.slots, kdl::integerBetween(1, 1000000));
         inner.property("line", records.line, kdl::integerBetween(0, 1000000));
         inner.property("crowd-slows", records.crowdSlows, kdl::number);
@@ -134,27 +139,27 @@
     }
     if (const kdl::Node* const found = in.child("registry")) {
         kdl::NodeReader inner(*found);
-        inner.property("late", terms->registryLate, kdl::duration);
+        inner.property("late", config->registryDelay, kdl::duration);
         inner.rejectUnknown();
     }
     if (const kdl::Node* const found = in.child("servers")) {
         kdl::NodeReader inner(*found);
-        terms->servers.count = static_cast<std::size_t>(kdl::integer(inner.argument(0, "how many"), 1, 150));
-        inner.property("slots", terms->servers.slots, kdl::integerBetween(1, 10000));
-        inner.property("most", terms->servers.most, kdl::integerBetween(1, 10000));
-        inner.property("choose", terms->servers.choose, kdl::text);
-        inner.property("checks", terms->servers.checks, kdl::duration);
+        config->servers.count = static_cast<std::size_t>(kdl::integer(inner.argument(0, "how many"), 1, 150));
+        inner.property("slots", config->servers.slots, kdl::integerBetween(1, 10000));
+        inner.property("most", config->servers.maxInFlight, kdl::integerBetween(1, 10000));
+        inner.property("choose", config->servers.loadBalancingPolicy, kdl::text);
+        inner.property("checks", config->servers.healthCheckInterval, kdl::duration);
         inner.rejectUnknown();
     }
     for (const kdl::Node* node : in.children("trouble"))
-        terms->faults.push_back(readFault(*node, terms->backends, terms->servers.count));
+        config->faults.push_back(readFault(*node, config->backends, config->servers.count));
     in.rejectUnknown();
     std::vector<kdl::Node> loads;
     for (const kdl::Node& node : document)
         if (node.name == "load") loads.push_back(node);
-    terms->load = readLoadConfig(loads, path, false);
-    terms->records.seed = terms->load->schedule.seed;
-    return terms;
+    config->load = readLoadConfig(loads, path, false);
+    config->dependency.seed = config->load->schedule.seed;
+    return config;
 }
 
 // ---- the world
@@ -162,104 +167,110 @@
 
 struct Experiment::Backend {
     std::string name;
-    net::Address listen, kiosks, pool, records, registry;
-    std::unique_ptr<WorkerPool> workers;
+    net::Address thriftAddress, scgiAddress, poolAddress, dependencyAddress, registryAddress;
+    std::unique_ptr<WorkerPool> workerPool;
     std::unique_ptr<ChildProcess> process;
-    bool expectedToEnd = false, crashed = false, releasing = false;
-    double cpuBefore = 0;
-    std::vector<Sample> samples;
-    double mostMemory = 0;
+    bool exitExpected = false, crashed = false, restarting = false;
+    double lastCpuSeconds = 0;
+    std::vector<BackendSample> samples;
+    double maxMemoryMb = 0;
     int crashes = 0;
-    Duration startAgainAt{-1};
+    Duration stopDeadline{-1};
     bool cold = false;
 };
 
-struct Experiment::World {
-    explicit World(const WorldTerms& terms)
-        : checker(terms.load->schedule.requestClasses, 60s, terms.pool.heapKb, terms.runFactor) {}
+struct Experiment::EmulatedEnvironment {
+    explicit EmulatedEnvironment(const ExperimentConfig& config)
+        : checker(config.load->schedule.requestClasses, 60s, config.workerPool.heapKb,
+                  config.runMemoryFactor) {}
     net::Loop loop;
     InvariantChecker checker;
     std::vector<Backend> backends;
     std::vector<std::unique_ptr<ScgiServer>> servers;
-    std::unique_ptr<RecordsService> records;
+    std::unique_ptr<RecordsService> dependency;
     std::unique_ptr<RegistryService> registry;
     std::vector<std::string> notes;  // what the world saw that no figure tells: a crash, a slow end
-    std::vector<std::size_t> toRelease;
-    Duration nextRelease{0}, releaseEach{0};
+    std::vector<std::size_t> pendingRestarts;
+    Duration nextRestartAt{0}, restartInterval{0};
 };
 
-Experiment::Experiment(const WorldTerms& terms, std::string build, std::string folder)
-    : terms_(terms),
-      build_(std::move(build)),
+Experiment::Experiment(const ExperimentConfig& config, std::string program, std::string folder)
+    : config_(config),
+      program_(std::move(program)),
       folder_(std::move(folder)),
-      world_(std::make_unique<World>(terms)) {
-    if (access(build_.c_str(), X_OK) != 0)
-        throw std::runtime_error("there is no program to start at " + build_);
+      environment_(std::make_unique<EmulatedEnvironment>(config)) {
+    if (access(program_.c_str(), X_OK) != 0)
+        throw std::runtime_error("there is no program to start at " + program_);
     std::error_code error;
     std::filesystem::create_directories(folder_, error);
     if (error) throw std::runtime_error(folder_ + " can't be made: " + error.message());
     // A block of loopback addresses of this process's own, with fixed ports: a
     // backend that starts again has the same, and nothing has to be guessed free.
-    const int mine = getpid();
-    const std::string block =
-        "127." + std::to_string(64 + mine % 128) + "." + std::to_string(mine / 128 % 250) + ".";
-    std::vector<net::Address> records;
-    world_->loop.onUncaughtException(
-        [this](const std::string& what) { world_->notes.push_back("trouble in the laboratory: " + what); });
-    for (std::size_t at = 0; at < terms.backends; ++at) {
+    const int pid = getpid();
+    const std::string addressPrefix =
+        "127." + std::to_string(64 + pid % 128) + "." + std::to_string(pid / 128 % 250) + ".";
+    std::vector<net::Address> dependencyAddresses;
+    environment_->loop.onUncaughtException([this](const std::string& what) {
+        environment_->notes.push_back("trouble in the laboratory: " + what);
+    });
+    for (std::size_t index = 0; index < config.backends; ++index) {
         Backend backend;
-        backend.name = "n" + std::to_string(at + 1);
-        const std::string host = block + std::to_string(at + 1);
-        backend.kiosks = {host, 9000};
-        backend.listen = {host, 8080}, backend.pool = {host, 6100}, backend.records = {host, 9042};
-        backend.registry = {block + "254", 7946};
-        records.push_back(backend.records);
-        world_->backends.push_back(std::move(backend));
+        backend.name = "n" + std::to_string(index + 1);
+        const std::string host = addressPrefix + std::to_string(index + 1);
+        backend.scgiAddress = {host, 9000};
+        backend.thriftAddress = {host, 8080}, backend.poolAddress = {host, 6100},
+        backend.dependencyAddress = {host, 9042};
+        backend.registryAddress = {addressPrefix + "254", 7946};
+        dependencyAddresses.push_back(backend.dependencyAddress);
+        environment_->backends.push_back(std::move(backend));
     }
-    world_->registry =
-        std::make_unique<RegistryService>(world_->loop, world_->backends[0].registry, terms.registryLate);
-    world_->records = std::make_unique<RecordsService>(world_->loop, records, terms.records, world_->checker);
-    for (std::size_t at = 0; at < terms.servers.count; ++at) {
+    environment_->registry = std::make_unique<RegistryService>(
+        environment_->loop, environment_->backends[0].registryAddress, config.registryDelay);
+    environment_->dependency = std::make_unique<RecordsService>(environment_->loop, dependencyAddresses,
+                                                                config.dependency, environment_->checker);
+    for (std::size_t index = 0; index < config.servers.count; ++index) {
         ScgiServerTerms server;
-        server.slots = terms.servers.slots;
-        world_->servers.push_back(std::make_unique<ScgiServer>(
-            world_->loop, net::Address{block + std::to_string(100 + at), 9001}, server));
-        world_->servers.back()->onEnd([this](const std::string& trace) { world_->checker.finished(trace); });
+        server.slots = config.servers.slots;
+        environment_->servers.push_back(std::make_unique<ScgiServer>(
+            environment_->loop, net::Address{addressPrefix + std::to_string(100 + index), 9001}, server));
+        environment_->servers.back()->onEnd(
+            [this](const std::string& trace) { environment_->checker.finished(trace); });
         // Which gateway sent it the invariant checker know by the try.
-        world_->servers.back()->onRun([this](const std::string& trace, const std::string& first) {
-            world_->checker.spawned(world_->checker.instanceOf(trace), trace, first, steadyNow());
+        environment_->servers.back()->onRun([this](const std::string& trace, const std::string& first) {
+            environment_->checker.spawned(environment_->checker.instanceOf(trace), trace, first, steadyNow());
         });
     }
-    for (std::size_t at = 0; at < terms.backends; ++at) {
-        world_->backends[at].workers = std::make_unique<WorkerPool>(
-            world_->loop, at, world_->backends[at].pool, terms.pool, world_->checker);
-        startBackend(at);
+    for (std::size_t index = 0; index < config.backends; ++index) {
+        environment_->backends[index].workerPool =
+            std::make_unique<WorkerPool>(environment_->loop, index, environment_->backends[index].poolAddress,
+                                         config.workerPool, environment_->checker);
+        startBackend(index);
     }
 }
 
 Experiment::~Experiment() = default;
 
-nlohmann::json Experiment::configOf(std::size_t at) const {
-    const Backend& backend = world_->backends[at];
+nlohmann::json Experiment::backendConfig(std::size_t index) const {
+    const Backend& backend = environment_->backends[index];
     const auto text = [](const net::Address& address) {
         return address.host + ":" + std::to_string(address.port);
     };
-    const RequestScheduleConfig& plan = terms_.load->schedule;
-    Json settings, classes = Json::array(), calls = Json::array(), poorer = Json::array(),
+    const RequestScheduleConfig& plan = config_.load->schedule;
+    Json settings, classes = Json::array(), makesCalls = Json::array(), degradedValues = Json::array(),
                    tenants = Json::array();
-    bool any = false;
+    bool anyCalls = false;
     for (const RequestClassLoad& requestClass : plan.requestClasses) {
-        static constexpr const char* kRepeats[] = {"free", "guarded", "single_shot"};
+        static constexpr const char* kRepeatValues[] = {"free", "guarded", "single_shot"};
         classes.push_back({{"name", requestClass.name},
-                           {"repeat", kRepeats[static_cast<int>(requestClass.idempotency)]},
+                           {"repeat", kRepeatValues[static_cast<int>(requestClass.idempotency)]},
                            {"aim_us", micros(requestClass.latencyObjective)},
                            {"deadline_us", micros(requestClass.timeout)},
                            {"worth", requestClass.value},
                            {"late_value", requestClass.lateValueFraction},
                            {"window_us", micros(requestClass.timeout)}});
-        calls.push_back(requestClass.callsPerRun > 0);
-        poorer.push_back(0);
-        any = any || requestClass.callsPerRun > 0;
+        makesCalls.push_back(requestClass.callsPerRun > 0);
+        degradedValues.push_back(0);
+        anyCalls = anyCalls || requestClass.callsPerRun > 0;
     }
     const double rate = 1e6;  // no tenant is held to a quota here
     for (std::uint64_t tenant = 0; tenant < plan.tenantCount; ++tenant)
@@ -267,49 +278,49 @@
     settings["classes"] = classes;
     settings["tenants"] = tenants;
     settings["goal"] = {{"whole", 1.0}, {"worst_class", 0.0}};
-    settings["peers_total"] = terms_.backends;
-    settings["permissions"] = {{"retry_after", terms_.retryAfter},
-                               {"max_retry_after_us", micros(terms_.maxRetryAfter)}};
-    settings["obligations"] = {{"drain_grace_us", micros(terms_.grace)},
-                               {"fall_multiple", terms_.pool.fallMultiple},
-                               {"overload_for_us", micros(terms_.pool.fallOver)},
-                               {"start_capacity", terms_.pool.cores.coldPart},
-                               {"ramp_time_us", micros(terms_.pool.cores.warmsOver)}};
-    settings["family_info"] = {{"below", any ? "shared" : "off"},
-                               {"calls_over_us", micros(terms_.records.callsOver)},
-                               {"class_calls", calls},
-                               {"degraded_worth", poorer},
-                               {"cores", static_cast<int>(terms_.pool.cores.cores)},
-                               {"dep_share", terms_.records.share},
+    settings["peers_total"] = config_.backends;
+    settings["permissions"] = {{"retry_after", config_.retryAfterAllowed},
+                               {"max_retry_after_us", micros(config_.maxRetryAfter)}};
+    settings["obligations"] = {{"drain_grace_us", micros(config_.drainGrace)},
+                               {"fall_multiple", config_.workerPool.fallMultiple},
+                               {"overload_for_us", micros(config_.workerPool.fallOver)},
+                               {"start_capacity", config_.workerPool.cores.coldPart},
+                               {"ramp_time_us", micros(config_.workerPool.cores.warmsOver)}};
+    settings["family_info"] = {{"below", anyCalls ? "shared" : "off"},
+                               {"calls_over_us", micros(config_.dependency.callsOver)},
+                               {"class_calls", makesCalls},
+                               {"degraded_worth", degradedValues},
+                               {"cores", static_cast<int>(config_.workerPool.cores.cores)},
+                               {"dep_share", config_.dependency.share},
                                {"halt", "suspend"},
-                               {"heap_kb", terms_.pool.heapKb},
-                               {"idle_us", micros(terms_.load->client.idleTimeout)},
-                               {"linger_us", micros(terms_.records.linger)},
+                               {"heap_kb", config_.workerPool.heapKb},
+                               {"idle_us", micros(config_.load->client.idleTimeout)},
+                               {"linger_us", micros(config_.dependency.linger)},
                                {"own_stats", {"core_use", "on_cores", "heap_share", "links"}},
                                {"readiness", true},
-                               {"run_factor", terms_.runFactor},
-                               {"senders", terms_.load->client.clients},
+                               {"run_factor", config_.runMemoryFactor},
+                               {"senders", config_.load->client.clients},
                                {"signal", "share_of"}};
     char seed[20];
     std::snprintf(seed, sizeof seed, "%016llx",
                   static_cast<unsigned long long>(routing::splitMix64(
-                      plan.seed * 1000 + at + 1000000 * static_cast<std::uint64_t>(backend.crashes))));
+                      plan.seed * 1000 + index + 1000000 * static_cast<std::uint64_t>(backend.crashes))));
     return {
         {"name", backend.name},
-        {"listen", text(backend.listen)},
-        {"pool", text(backend.pool)},
-        {"registry", text(backend.registry)},
-        {"records", text(backend.records)},
+        {"listen", text(backend.thriftAddress)},
+        {"pool", text(backend.poolAddress)},
+        {"registry", text(backend.registryAddress)},
+        {"records", text(backend.dependencyAddress)},
         {"seed", seed},
-        {"stop_ms", terms_.stop / 1ms},
-        {"limits", {{"cores", terms_.cores}, {"memory_mb", terms_.memoryMb}, {"sockets", terms_.sockets}}},
+        {"stop_ms", config_.shutdownTimeout / 1ms},
+        {"limits", {{"cores", config_.cores}, {"memory_mb", config_.memoryMb}, {"sockets", config_.sockets}}},
         {"settings", settings}};
 }
 
 // The file that a gateway is started with.
-std::string Experiment::gatewayOf(std::size_t at) const {
-    const Backend& backend = world_->backends[at];
-    const RequestScheduleConfig& plan = terms_.load->schedule;
+std::string Experiment::gatewayConfig(std::size_t index) const {
+    const Backend& backend = environment_->backends[index];
+    const RequestScheduleConfig& plan = config_.load->schedule;
     const auto millis = [](Duration time) { return std::to_string(time / 1ms) + "ms"; };
     const auto quoted = [](const net::Address& address) {
         return "\"" + address.host + ":" + std::to_string(address.port) + "\"";
@@ -328,346 +339,355 @@
     }
     for (std::uint64_t tenant = 0; tenant < plan.tenantCount; ++tenant)
         tenants += "    customer \"" + tenantName(tenant) + "\"\n";
-    for (const auto& server : world_->servers)
+    for (const auto& server : environment_->servers)
         servers += "        server " + quoted(server->address()) +
-                   " most=" + std::to_string(terms_.servers.most) + "\n";
-    if (terms_.servers.checks > 0ns)
-        servers += "        checks " + millis(terms_.servers.checks) + " path=\"/health\"\n";
+                   " most=" + std::to_string(config_.servers.maxInFlight) + "\n";
+    if (config_.servers.healthCheckInterval > 0ns)
+        servers += "        checks " + millis(config_.servers.healthCheckInterval) + " path=\"/health\"\n";
     return "serve \"" + backend.name +
-           "\" {\n    limits memory=" + std::to_string(static_cast<int>(terms_.memoryMb)) +
-           "MiB sockets=" + std::to_string(static_cast<int>(terms_.sockets)) +
-           "\n    leave stop=" + millis(terms_.stop) + " grace=" + millis(terms_.grace) + "\n    seed " +
-           std::to_string(plan.seed * 1000 + at + 1) + "\n    thrift listen=" + quoted(backend.listen) +
-           "\n    scgi listen=" + quoted(backend.kiosks) + " {\n" + routes + "    }\n" + requestClasses +
-           tenants + "    group \"servers\" {\n        choose \"" + terms_.servers.choose + "\"\n" + servers +
-           "    }\n}\n";
+           "\" {\n    limits memory=" + std::to_string(static_cast<int>(config_.memoryMb)) +
+           "MiB sockets=" + std::to_string(static_cast<int>(config_.sockets)) +
+           "\n    leave stop=" + millis(config_.shutdownTimeout) + " grace=" + millis(config_.drainGrace) +
+           "\n    seed " + std::to_string(plan.seed * 1000 + index + 1) +
+           "\n    thrift listen=" + quoted(backend.thriftAddress) +
+           "\n    scgi listen=" + quoted(backend.scgiAddress) + " {\n" + routes + "    }\n" + requestClasses +
+           tenants + "    group \"servers\" {\n        choose \"" + config_.servers.loadBalancingPolicy +
+           "\"\n" + servers + "    }\n}\n";
 }
 
 // A gateway says so in its log; a backend has bound its pool.
 bool Experiment::isUp(const Backend& backend) const {
-    if (terms_.servers.count == 0) return backend.workers->bound();
+    if (config_.servers.count == 0) return backend.workerPool->bound();
     std::ifstream in(folder_ + "/" + backend.name + ".log");
-    std::string line, all;
-    while (std::getline(in, line)) all += line;
-    return all.find("serving") != std::string::npos;
+    std::string line, log;
+    while (std::getline(in, line)) log += line;
+    return log.find("serving") != std::string::npos;
 }
 
-void Experiment::startBackend(std::size_t at) {
-    Backend& backend = world_->backends[at];
-    const bool gateway = terms_.servers.count > 0;
-    const std::string config = folder_ + "/" + backend.name + (gateway ? ".kdl" : ".json");
-    std::ofstream out(config);
-    out << (gateway ? gatewayOf(at) : configOf(at).dump(1) + "\n");
+void Experiment::startBackend(std::size_t index) {
+    Backend& backend = environment_->backends[index];
+    const bool gateway = config_.servers.count > 0;
+    const std::string configPath = folder_ + "/" + backend.name + (gateway ? ".kdl" : ".json");
+    std::ofstream out(configPath);
+    out << (gateway ? gatewayConfig(index) : backendConfig(index).dump(1) + "\n");
     out.close();
-    if (!out) throw std::runtime_error(config + " can't be written");
-    backend.expectedToEnd = backend.crashed = false;
-    backend.cpuBefore = 0;
-    world_->checker.restarted(at);
+    if (!out) throw std::runtime_error(configPath + " can't be written");
+    backend.exitExpected = backend.crashed = false;
+    backend.lastCpuSeconds = 0;
+    environment_->checker.restarted(index);
     backend.process = std::make_unique<ChildProcess>(
-        world_->loop, build_,
-        gateway ? std::vector<std::string>{"serve", config} : std::vector<std::string>{},
+        environment_->loop, program_,
+        gateway ? std::vector<std::string>{"serve", configPath} : std::vector<std::string>{},
         std::map<std::string, std::string>{
             {"GW_NAME", backend.name},
-            {"GW_LISTEN", backend.listen.host + ":" + std::to_string(backend.listen.port)},
-            {"GW_CONFIG", config}},
-        folder_ + "/" + backend.name + ".log", [this, at](int code, int signal) {
-            Backend& ended = world_->backends[at];
-            if (ended.expectedToEnd && !ended.releasing) return;
-            if (ended.releasing && code == 0 && signal == 0) return;
+            {"GW_LISTEN", backend.thriftAddress.host + ":" + std::to_string(backend.thriftAddress.port)},
+            {"GW_CONFIG", configPath}},
+        folder_ + "/" + backend.name + ".log", [this, index](int code, int signal) {
+            Backend& ended = environment_->backends[index];
+            if (ended.exitExpected && !ended.restarting) return;
+            if (ended.restarting && code == 0 && signal == 0) return;
             ++ended.crashes;
             ended.crashed = true;
-            world_->notes.push_back(
+            environment_->notes.push_back(
                 ended.name + " ended by itself, " +
                 (signal != 0 ? "signal " + std::to_string(signal) : "code " + std::to_string(code)));
         });
 }
 
-std::vector<std::size_t> Experiment::meant(const Fault& fault) const {
-    if (!fault.on.empty()) return fault.on;
-    std::vector<std::size_t> all(fault.kind == Fault::Kind::Server ? terms_.servers.count : terms_.backends);
-    for (std::size_t at = 0; at < all.size(); ++at) all[at] = at;
-    if (fault.share < 1)
-        all.resize(std::max<std::size_t>(
-            1, static_cast<std::size_t>(std::lround(fault.share * static_cast<double>(all.size())))));
-    return all;
+std::vector<std::size_t> Experiment::targetInstances(const Fault& fault) const {
+    if (!fault.instances.empty()) return fault.instances;
+    std::vector<std::size_t> instances(fault.kind == Fault::Kind::ScgiServer ? config_.servers.count
+                                                                             : config_.backends);
+    for (std::size_t index = 0; index < instances.size(); ++index) instances[index] = index;
+    if (fault.instanceFraction < 1)
+        instances.resize(std::max<std::size_t>(
+            1, static_cast<std::size_t>(
+                   std::lround(fault.instanceFraction * static_cast<double>(instances.size())))));
+    return instances;
 }
 
-void Experiment::play(const Fault& fault, bool begins) {
-    World& world = *world_;
+void Experiment::applyFault(const Fault& fault, bool starts) {
+    EmulatedEnvironment& environment = *environment_;
     switch (fault.kind) {
-        case Fault::Kind::Records:
-            world.records->slow(begins ? fault.slow : 1);
-            world.records->hang(begins ? fault.hang : 0);
-            world.records->spoil(begins ? fault.spoil : 0);
-            if (fault.down) world.records->down(begins);
+        case Fault::Kind::Dependency:
+            environment.dependency->slow(starts ? fault.slowdown : 1);
+            environment.dependency->hang(starts ? fault.hangFraction : 0);
+            environment.dependency->spoil(starts ? fault.malformedFraction : 0);
+            if (fault.down) environment.dependency->down(starts);
             break;
-        case Fault::Kind::Server:
-            for (const std::size_t at : meant(fault)) {
-                ScgiServerTerms server = world.servers[at]->terms();
-                server.slow = begins ? fault.slow : 1;
-                server.fault = begins && fault.fails    ? ScgiFault::FailsFast
-                               : begins && fault.silent ? ScgiFault::Silent
-                                                        : ScgiFault::None;
-                world.servers[at]->set(server);
+        case Fault::Kind::ScgiServer:
+            for (const std::size_t index : targetInstances(fault)) {
+                ScgiServerTerms server = environment.servers[index]->terms();
+                server.slow = starts ? fault.slowdown : 1;
+                server.fault = starts && fault.failsFast ? ScgiFault::FailsFast
+                               : starts && fault.silent  ? ScgiFault::Silent
+                                                         : ScgiFault::None;
+                environment.servers[index]->set(server);
             }
             break;
         case Fault::Kind::Registry:
-            world.registry->silent(begins && fault.silent);
+            environment.registry->silent(starts && fault.silent);
             break;
-        case Fault::Kind::Pool:
-            for (const std::size_t at : meant(fault))
-                world.backends[at].workers->slow(begins ? fault.slow : 1);
+        case Fault::Kind::WorkerPool:
+            for (const std::size_t index : targetInstances(fault))
+                environment.backends[index].workerPool->slow(starts ? fault.slowdown : 1);
             break;
         case Fault::Kind::Stall:
-            for (const std::size_t at : meant(fault))
-                world.backends[at].process->sendSignal(begins ? SIGSTOP : SIGCONT);
+            for (const std::size_t index : targetInstances(fault))
+                environment.backends[index].process->sendSignal(starts ? SIGSTOP : SIGCONT);
             break;
-        case Fault::Kind::LinkBreak:
-            if (begins)
-                for (const std::size_t at : meant(fault)) world.backends[at].workers->breakLink();
+        case Fault::Kind::PoolDisconnect:
+            if (starts)
+                for (const std::size_t index : targetInstances(fault))
+                    environment.backends[index].workerPool->breakLink();
             break;
         case Fault::Kind::Reload:
-            if (begins)
-                for (const std::size_t at : meant(fault)) world.backends[at].process->sendSignal(SIGHUP);
+            if (starts)
+                for (const std::size_t index : targetInstances(fault))
+                    environment.backends[index].process->sendSignal(SIGHUP);
             break;
         case Fault::Kind::Crash:
-            for (const std::size_t at : meant(fault)) {
-                Backend& backend = world.backends[at];
-                if (begins) {
-                    backend.expectedToEnd = true;
+            for (const std::size_t index : targetInstances(fault)) {
+                Backend& backend = environment.backends[index];
+                if (starts) {
+                    backend.exitExpected = true;
                     backend.process->sendSignal(SIGKILL);
-                    backend.workers->crash();
+                    backend.workerPool->crash();
                 } else {
-                    backend.workers->retryAfter(fault.cold);
-                    startBackend(at);
+                    backend.workerPool->retryAfter(fault.coldStart);
+                    startBackend(index);
                 }
             }
             break;
-        case Fault::Kind::Release:
-            if (!begins) break;
-            world.toRelease = meant(fault);
-            world.releaseEach = fault.each > 0ns ? fault.each : terms_.stop + 1s;
-            world.nextRelease = steadyNow();
+        case Fault::Kind::RollingRestart:
+            if (!starts) break;
+            environment.pendingRestarts = targetInstances(fault);
+            environment.restartInterval =
+                fault.restartInterval > 0ns ? fault.restartInterval : config_.shutdownTimeout + 1s;
+            environment.nextRestartAt = steadyNow();
             break;
     }
 }
 
-void Experiment::sample(double at) {
-    for (Backend& backend : world_->backends) {
-        Sample sample;
-        sample.at = at;
-        sample.there = backend.process->running();
+void Experiment::sampleBackends(double atSeconds) {
+    for (Backend& backend : environment_->backends) {
+        BackendSample sample;
+        sample.atSeconds = atSeconds;
+        sample.running = backend.process->running();
         const double cpu = backend.process->cpuSeconds();
-        sample.cpu = std::max(0.0, cpu - backend.cpuBefore);
-        backend.cpuBefore = cpu;
+        sample.cpuSeconds = std::max(0.0, cpu - backend.lastCpuSeconds);
+        backend.lastCpuSeconds = cpu;
         sample.memoryMb = backend.process->memoryMb();
-        backend.mostMemory = std::max(backend.mostMemory, sample.memoryMb);
-        sample.onCores = static_cast<double>(backend.workers->onCores());
-        sample.inHand = static_cast<double>(backend.workers->inHand());
+        backend.maxMemoryMb = std::max(backend.maxMemoryMb, sample.memoryMb);
+        sample.runsOnCores = static_cast<double>(backend.workerPool->onCores());
+        sample.runsInFlight = static_cast<double>(backend.workerPool->inHand());
         backend.samples.push_back(sample);
     }
 }
 
 ExperimentResult Experiment::run(const std::function<void(double, const LoadRun&)>& progress,
                                  const bool* interrupted) {
-    World& world = *world_;
+    EmulatedEnvironment& environment = *environment_;
     // Up: each has bound its pool. What the first health checks see then is a
     // working fleet.
-    const auto turnUntil = [&](const std::function<bool()>& so, Duration limit) {
-        bool late = false, look = false;
-        net::Timer watch(world.loop, [&] { late = true; });
-        watch.start(limit);
-        net::Timer tick(world.loop, [&] { look = true; });
-        while (!so() && !late) {
+    const auto runLoopUntil = [&](const std::function<bool()>& condition, Duration timeout) {
+        bool timedOut = false, ticked = false;
+        net::Timer timeoutTimer(environment.loop, [&] { timedOut = true; });
+        timeoutTimer.start(timeout);
+        net::Timer tick(environment.loop, [&] { ticked = true; });
+        while (!condition() && !timedOut) {
             tick.start(10ms);
-            world.loop.runOnce();
+            environment.loop.runOnce();
         }
-        return !late;
+        return !timedOut;
     };
-    const bool up = turnUntil(
+    const bool up = runLoopUntil(
         [&] {
-            return std::all_of(world.backends.begin(), world.backends.end(), [this](const Backend& backend) {
-                return isUp(backend) || !backend.process->running();
-            });
+            return std::all_of(
+                environment.backends.begin(), environment.backends.end(),
+                [this](const Backend& backend) { return isUp(backend) || !backend.process->running(); });
         },
         20s);
-    for (const Backend& backend : world.backends)
+    for (const Backend& backend : environment.backends)
         if (!up || !backend.process->running() || !isUp(backend))
             throw std::runtime_error(backend.name + " did not come up; its words are in " + folder_ + "/" +
                                      backend.name + ".log");
-    turnUntil([] { return false; }, 300ms);
+    runLoopUntil([] { return false; }, 300ms);
 
-    for (const Backend& backend : world.backends) {
-        terms_.load->client.targets.push_back(backend.listen);
-        terms_.load->client.scgiTargets.push_back(backend.kiosks);
+    for (const Backend& backend : environment.backends) {
+        config_.load->client.targets.push_back(backend.thriftAddress);
+        config_.load->client.scgiTargets.push_back(backend.scgiAddress);
     }
-    std::vector<RequestObserver*> observers = {&world.checker};
-    LoadRun load(*terms_.load, observers);
+    std::vector<RequestObserver*> observers = {&environment.checker};
+    LoadRun load(*config_.load, observers);
     const Duration start = steadyNow() + 100ms;
     load.start(start);
 
-    struct Step {
+    struct TimelineEvent {
         Duration at;
         const Fault* fault;
-        bool begins;
+        bool starts;
     };
-    std::vector<Step> steps;
-    for (const Fault& fault : terms_.faults) {
-        steps.push_back({fault.at, &fault, true});
-        if (fault.lasts > 0ns) steps.push_back({fault.at + fault.lasts, &fault, false});
+    std::vector<TimelineEvent> timeline;
+    for (const Fault& fault : config_.faults) {
+        timeline.push_back({fault.at, &fault, true});
+        if (fault.duration > 0ns) timeline.push_back({fault.at + fault.duration, &fault, false});
     }
-    std::stable_sort(steps.begin(), steps.end(), [](const Step& a, const Step& b) { return a.at < b.at; });
-    std::size_t nextStep = 0;
+    std::stable_sort(timeline.begin(), timeline.end(),
+                     [](const TimelineEvent& a, const TimelineEvent& b) { return a.at < b.at; });
+    std::size_t nextEvent = 0;
     Duration nextSample = start;
-    bool told = false, cut = false;
-    std::unique_ptr<PreciseTimer> pace;
-    const auto look = [&] {
+    bool stopRequested = false, cutOff = false;
+    std::unique_ptr<PreciseTimer> timer;
+    const auto advance = [&] {
         const Duration now = steadyNow();
-        while (nextStep < steps.size() && now >= start + steps[nextStep].at) {
-            play(*steps[nextStep].fault, steps[nextStep].begins);
-            ++nextStep;
+        while (nextEvent < timeline.size() && now >= start + timeline[nextEvent].at) {
+            applyFault(*timeline[nextEvent].fault, timeline[nextEvent].starts);
+            ++nextEvent;
         }
-        if (!world.toRelease.empty() && now >= world.nextRelease) {
-            const std::size_t at = world.toRelease.front();
-            Backend& backend = world.backends[at];
-            if (!backend.releasing) {
-                backend.releasing = true;
-                backend.startAgainAt = now + terms_.stop;
-                world.checker.notice(at, now, std::min(terms_.grace, terms_.stop / 2));
+        if (!environment.pendingRestarts.empty() && now >= environment.nextRestartAt) {
+            const std::size_t index = environment.pendingRestarts.front();
+            Backend& backend = environment.backends[index];
+            if (!backend.restarting) {
+                backend.restarting = true;
+                backend.stopDeadline = now + config_.shutdownTimeout;
+                environment.checker.notice(index, now,
+                                           std::min(config_.drainGrace, config_.shutdownTimeout / 2));
                 backend.process->sendSignal(SIGTERM);
-            } else if (!backend.process->running() || now >= backend.startAgainAt) {
+            } else if (!backend.process->running() || now >= backend.stopDeadline) {
                 if (backend.process->running()) {
-                    world.notes.push_back(backend.name + " was there still at its stop and was killed");
-                    world.checker.fellOver(at, "it did not leave before its stop");
-                    backend.expectedToEnd = true;
+                    environment.notes.push_back(backend.name + " was there still at its stop and was killed");
+                    environment.checker.fellOver(index, "it did not leave before its stop");
+                    backend.exitExpected = true;
                     backend.process->sendSignal(SIGKILL);
                 }
-                backend.workers->crash();
-                backend.workers->retryAfter(true);
-                backend.releasing = false;
-                startBackend(at);
-                world.toRelease.erase(world.toRelease.begin());
-                world.nextRelease = now + world.releaseEach;
+                backend.workerPool->crash();
+                backend.workerPool->retryAfter(true);
+                backend.restarting = false;
+                startBackend(index);
+                environment.pendingRestarts.erase(environment.pendingRestarts.begin());
+                environment.nextRestartAt = now + environment.restartInterval;
             }
         }
         if (now >= nextSample) {
-            sample(secondsIn(now - start));
+            sampleBackends(secondsIn(now - start));
             nextSample += 1s;
         }
         if (progress) progress(std::max(0.0, secondsIn(now - start)), load);
-        if (interrupted != nullptr && *interrupted && !std::exchange(told, true)) load.stop();
+        if (interrupted != nullptr && *interrupted && !std::exchange(stopRequested, true)) load.stop();
         // What hangs past every timeout is cut off, and told as what it is.
-        Duration longest{0};
-        for (const RequestClassLoad& requestClass : terms_.load->schedule.requestClasses)
-            longest = std::max(longest, requestClass.timeout);
-        if (now > start + terms_.load->schedule.duration + longest + 5s && !std::exchange(cut, true))
+        Duration maxTimeout{0};
+        for (const RequestClassLoad& requestClass : config_.load->schedule.requestClasses)
+            maxTimeout = std::max(maxTimeout, requestClass.timeout);
+        if (now > start + config_.load->schedule.duration + maxTimeout + 5s && !std::exchange(cutOff, true))
             load.abort();
-        if (!load.done()) pace->startAt(now + (progress ? 100ms : 20ms));
+        if (!load.done()) timer->startAt(now + (progress ? 100ms : 20ms));
     };
-    pace = std::make_unique<PreciseTimer>(world.loop, look);
-    pace->startAt(start);
-    turnUntil([&] { return load.done(); }, 24h);
-    pace.reset();
-    sample(secondsIn(steadyNow() - start));
+    timer = std::make_unique<PreciseTimer>(environment.loop, advance);
+    timer->startAt(start);
+    runLoopUntil([&] { return load.done(); }, 24h);
+    timer.reset();
+    sampleBackends(secondsIn(steadyNow() - start));
     LoadResult result = load.finish();
-    ExperimentResult done;
-    done.figures = judged(result);
-    done.earnedShare = done.figures["load"]["earned_share"];
-    done.broken = done.figures["broken"]["all"];
-    done.valid = result.valid;
+    ExperimentResult experimentResult;
+    experimentResult.metrics = summarize(result);
+    experimentResult.earnedFraction = experimentResult.metrics["load"]["earned_share"];
+    experimentResult.violations = experimentResult.metrics["broken"]["all"];
+    experimentResult.valid = result.valid;
 
     // The fleet leaves as it does on any notice.
-    for (Backend& backend : world.backends) {
-        backend.expectedToEnd = true;
+    for (Backend& backend : environment.backends) {
+        backend.exitExpected = true;
         backend.process->sendSignal(SIGCONT);
         backend.process->sendSignal(SIGTERM);
     }
-    const bool left = turnUntil(
+    const bool stopped = runLoopUntil(
         [&] {
-            return std::none_of(world.backends.begin(), world.backends.end(),
+            return std::none_of(environment.backends.begin(), environment.backends.end(),
                                 [](const Backend& b) { return b.process->running(); });
         },
-        terms_.stop);
-    if (!left) done.figures["notes"].push_back("a backend did not leave before its stop at the end");
-    return done;
+        config_.shutdownTimeout);
+    if (!stopped)
+        experimentResult.metrics["notes"].push_back("a backend did not leave before its stop at the end");
+    return experimentResult;
 }
 
-nlohmann::json Experiment::judged(LoadResult& result) {
-    World& world = *world_;
-    Json all;
-    all["name"] = terms_.name;
-    all["about"] = terms_.about;
-    all["build"] = build_;
-    all["load"] = toJson(result, *terms_.load);
-    const auto counts = world.checker.counts();
-    std::uint64_t sum = result.statistics.violations.total();
-    Json broken;
+nlohmann::json Experiment::summarize(LoadResult& result) {
+    EmulatedEnvironment& environment = *environment_;
+    Json summary;
+    summary["name"] = config_.name;
+    summary["about"] = config_.description;
+    summary["build"] = program_;
+    summary["load"] = toJson(result, *config_.load);
+    const auto counts = environment.checker.counts();
+    std::uint64_t violationCount = result.statistics.violations.total();
+    Json violations;
     for (std::size_t rule = 0; rule < kRules; ++rule) {
-        broken[nameOf(static_cast<Rule>(rule))] = counts[rule];
-        sum += counts[rule];
+        violations[nameOf(static_cast<Rule>(rule))] = counts[rule];
+        violationCount += counts[rule];
     }
-    broken["lost"] =
+    violations["lost"] =
         counts[static_cast<std::size_t>(Rule::Lost)] + result.statistics.violations.lostResponses;
-    broken["answers"] = result.statistics.violations.total() - result.statistics.violations.lostResponses;
+    violations["answers"] = result.statistics.violations.total() - result.statistics.violations.lostResponses;
     int crashes = 0;
-    for (const Backend& backend : world.backends) crashes += backend.crashes;
-    broken["crashes"] = crashes;
-    broken["all"] = sum + static_cast<std::uint64_t>(crashes);
-    broken["examples"] = Json::array();
-    for (const Violation& violation : world.checker.violations())
-        broken["examples"].push_back(std::string(nameOf(violation.rule)) + ": " + violation.what);
+    for (const Backend& backend : environment.backends) crashes += backend.crashes;
+    violations["crashes"] = crashes;
+    violations["all"] = violationCount + static_cast<std::uint64_t>(crashes);
+    violations["examples"] = Json::array();
+    for (const Violation& violation : environment.checker.violations())
+        violations["examples"].push_back(std::string(nameOf(violation.rule)) + ": " + violation.what);
     for (const std::string& example : result.statistics.violations.examples)
-        broken["examples"].push_back(example);
-    all["broken"] = broken;
-    double work = 0;
-    all["backends"] = Json::array();
-    for (const Backend& backend : world.backends) {
-        work += backend.workers->workDone();
+        violations["examples"].push_back(example);
+    summary["broken"] = violations;
+    double totalWork = 0;
+    summary["backends"] = Json::array();
+    for (const Backend& backend : environment.backends) {
+        totalWork += backend.workerPool->workDone();
         Json samples = Json::array();
-        double cpu = 0, dearest = 0;
-        for (const Sample& sample : backend.samples) {
-            samples.push_back({{"at_s", sample.at},
+        double cpu = 0, maxCpuSecond = 0;
+        for (const BackendSample& sample : backend.samples) {
+            samples.push_back({{"at_s", sample.atSeconds},
                                {"memory_mb", sample.memoryMb},
-                               {"cpu_s", sample.cpu},
-                               {"on_cores", sample.onCores},
-                               {"runs", sample.inHand},
-                               {"there", sample.there}});
-            cpu += sample.cpu;
-            dearest = std::max(dearest, sample.cpu);
+                               {"cpu_s", sample.cpuSeconds},
+                               {"on_cores", sample.runsOnCores},
+                               {"runs", sample.runsInFlight},
+                               {"there", sample.running}});
+            cpu += sample.cpuSeconds;
+            maxCpuSecond = std::max(maxCpuSecond, sample.cpuSeconds);
         }
-        all["backends"].push_back({{"name", backend.name},
-                                   {"memory_most_mb", backend.mostMemory},
-                                   {"cpu_s", cpu},
-                                   {"cpu_dearest_second", dearest},
-                                   {"runs_started", backend.workers->spawns()},
-                                   {"samples", samples}});
+        summary["backends"].push_back({{"name", backend.name},
+                                       {"memory_most_mb", backend.maxMemoryMb},
+                                       {"cpu_s", cpu},
+                                       {"cpu_dearest_second", maxCpuSecond},
+                                       {"runs_started", backend.workerPool->spawns()},
+                                       {"samples", samples}});
     }
     Json servers = Json::array();
-    for (const auto& server : world.servers) {
-        work += server->workDone();
+    for (const auto& server : environment.servers) {
+        totalWork += server->workDone();
         servers.push_back(
             {{"requests", server->requests()}, {"work_s", server->workDone()}, {"left", server->left()}});
     }
-    all["servers"] = servers;
-    const double completed = world.checker.completedWork();
-    all["work"] = {{"done_core_s", work},
-                   {"handled_core_s", completed},
-                   {"wasted_share", work > 0 ? std::max(0.0, 1 - completed / work) : 0}};
-    double mostShare = 0;
-    for (std::size_t at = 0; at < terms_.backends; ++at)
-        mostShare = std::max(mostShare, world.records->mostMeanOf(at));
-    all["records"] = {{"calls", world.records->calls()},
-                      {"turned_away", world.records->turnedAway()},
-                      {"fallen", world.records->fallen()},
-                      {"share", terms_.records.share},
-                      {"most_mean_in_hands", mostShare}};
-    all["registry_reports"] = world.registry->reports();
-    all["troubles"] = Json::array();
-    for (const Fault& fault : terms_.faults)
-        all["troubles"].push_back(
-            {{"at_s", secondsIn(fault.at)}, {"for_s", secondsIn(fault.lasts)}, {"text", fault.text}});
-    all["notes"] = world.notes;
-    return all;
+    summary["servers"] = servers;
+    const double completed = environment.checker.completedWork();
+    summary["work"] = {{"done_core_s", totalWork},
+                       {"handled_core_s", completed},
+                       {"wasted_share", totalWork > 0 ? std::max(0.0, 1 - completed / totalWork) : 0}};
+    double maxMeanInFlight = 0;
+    for (std::size_t index = 0; index < config_.backends; ++index)
+        maxMeanInFlight = std::max(maxMeanInFlight, environment.dependency->mostMeanOf(index));
+    summary["records"] = {{"calls", environment.dependency->calls()},
+                          {"turned_away", environment.dependency->turnedAway()},
+                          {"fallen", environment.dependency->fallen()},
+                          {"share", config_.dependency.share},
+                          {"most_mean_in_hands", maxMeanInFlight}};
+    summary["registry_reports"] = environment.registry->reports();
+    summary["troubles"] = Json::array();
+    for (const Fault& fault : config_.faults)
+        summary["troubles"].push_back(
+            {{"at_s", secondsIn(fault.at)}, {"for_s", secondsIn(fault.duration)}, {"text", fault.text}});
+    summary["notes"] = environment.notes;
+    return summary;
 }
 
 }  // namespace cottonwing::loadtest
--- a/src/loadtest/main.cpp
+++ b/src/loadtest/main.cpp
@@ -25,8 +25,8 @@
 // Turns a loop of its own until all is done, with a line of progress on a
 // terminal; the first interrupt sends nothing more, the second waits for
 // nothing more.
-LoadResult play(const LoadConfig& terms) {
-    LoadRun load(terms);
+LoadResult runLoad(const LoadConfig& config) {
+    LoadRun load(config);
     net::Loop loop;
     int interrupts = 0;
     const auto interrupted = [&] {
@@ -39,13 +39,13 @@
         }
     };
     net::Signal onInt(loop, SIGINT, interrupted), onTerm(loop, SIGTERM, interrupted);
-    const bool shows = isatty(STDERR_FILENO) != 0;
+    const bool showProgress = isatty(STDERR_FILENO) != 0;
     const Duration start = steadyNow() + 50ms;
     load.start(start);
     std::unique_ptr<net::Timer> tick;
     tick = std::make_unique<net::Timer>(loop, [&] {
         if (load.done()) return loop.stop();
-        if (shows) {
+        if (showProgress) {
             const double now = std::max(0.0, std::chrono::duration<double>(steadyNow() - start).count());
             std::fprintf(stderr, "\r%6.1f s  %llu sent for, %llu ended, %llu handled ", now,
                          static_cast<unsigned long long>(load.scheduled()),
@@ -56,7 +56,7 @@
     });
     tick->start(100ms);
     loop.run();
-    if (shows) std::fprintf(stderr, "\n");
+    if (showProgress) std::fprintf(stderr, "\n");
     return load.finish();
 }
 
@@ -70,21 +70,22 @@
     return false;
 }
 
-int load(const std::string& path, const std::string& json, const std::string& exported, std::int64_t seed) {
-    auto terms = readLoadConfig(kdl::parseFile(path), path, true);
-    if (seed >= 0) terms->schedule.seed = static_cast<std::uint64_t>(seed);
-    const LoadResult result = play(*terms);
-    const std::string figures = toJson(result, *terms).dump(2) + "\n";
-    if (json == "-")
-        std::cout << figures;
+int loadCommand(const std::string& path, const std::string& jsonPath, const std::string& exportPath,
+                std::int64_t seed) {
+    auto config = readLoadConfig(kdl::parseFile(path), path, true);
+    if (seed >= 0) config->schedule.seed = static_cast<std::uint64_t>(seed);
+    const LoadResult result = runLoad(*config);
+    const std::string resultsText = toJson(result, *config).dump(2) + "\n";
+    if (jsonPath == "-")
+        std::cout << resultsText;
     else
-        std::cout << toText(result, *terms);
+        std::cout << toText(result, *config);
     std::cout.flush();
-    bool whole = json.empty() || json == "-" || writeFile(json, figures);
-    if (!exported.empty()) {
+    bool written = jsonPath.empty() || jsonPath == "-" || writeFile(jsonPath, resultsText);
+    if (!exportPath.empty()) {
         // What was due by the end is drawn once more: it is the same.
-        const auto plan = makeRequestSchedule(terms->schedule);
-        TraceWriter writer(exported, terms->schedule.requestClasses);
+        const auto plan = makeRequestSchedule(config->schedule);
+        TraceWriter writer(exportPath, config->schedule.requestClasses);
         std::uint64_t left = result.statistics.scheduled();
         while (const auto planned = plan->next()) {
             if (left == 0) break;
@@ -92,18 +93,18 @@
             writer.add(*planned);
         }
         if (!writer.close()) {
-            std::cerr << "cottonwing_lab: " << exported << " can't be written whole" << std::endl;
-            whole = false;
+            std::cerr << "cottonwing_lab: " << exportPath << " can't be written whole" << std::endl;
+            written = false;
         }
     }
     if (!result.valid)
         std::cerr << "cottonwing_lab: the run is INVALID: " << result.invalidReason << std::endl;
-    return result.valid && whole && result.statistics.violations.total() == 0 ? 0 : 1;
+    return result.valid && written && result.statistics.violations.total() == 0 ? 0 : 1;
 }
 
 using Json = nlohmann::json;
 
-std::string besideUs(const std::string& name) {
+std::string siblingProgramPath(const std::string& name) {
     std::error_code error;
     const auto self = std::filesystem::read_symlink("/proc/self/exe", error);
     return error ? name : (self.parent_path() / name).string();
@@ -113,17 +114,17 @@
     const std::string path = folder + "/results.json";
     std::ifstream in(path);
     if (!in) throw std::runtime_error(path + " can't be opened: is this the folder of an experiment?");
-    const Json all = Json::parse(in, nullptr, false);
-    if (!all.is_object() || !all.contains("plays"))
+    const Json results = Json::parse(in, nullptr, false);
+    if (!results.is_object() || !results.contains("plays"))
         throw std::runtime_error(path + " holds no results of an experiment");
-    return all;
+    return results;
 }
 
 Json ratioJson(const PairedRatio& ratio) {
-    Json all = {
+    Json json = {
         {"mean", ratio.mean}, {"low", ratio.low}, {"pairs", ratio.pairs}, {"told", ratio.significant}};
-    all["high"] = std::isfinite(ratio.high) ? Json(ratio.high) : Json("unbounded");
-    return all;
+    json["high"] = std::isfinite(ratio.high) ? Json(ratio.high) : Json("unbounded");
+    return json;
 }
 
 std::string ratioText(const PairedRatio& ratio) {
@@ -133,122 +134,126 @@
     return text;
 }
 
-struct RunWishes {
-    std::string file, build, vs, folder, json;
+struct RunOptions {
+    std::string file, program, comparedProgram, outputFolder, jsonPath;
     int rounds = 1;
     std::int64_t seed = -1;
 };
 
-bool interrupted = false;
+bool interruptRequested = false;
 
-int runExperiment(const RunWishes& wishes) {
-    const std::string build = wishes.build.empty() ? besideUs("cottonwing") : wishes.build;
-    auto terms = readExperiment(wishes.file);
-    if (wishes.seed >= 0) terms->load->schedule.seed = static_cast<std::uint64_t>(wishes.seed);
-    const std::string folder = wishes.folder.empty() ? "lab-results/" + terms->name : wishes.folder;
-    const std::uint64_t firstSeed = terms->load->schedule.seed;
-    const bool shows = isatty(STDERR_FILENO) != 0;
+int runCommand(const RunOptions& options) {
+    const std::string program = options.program.empty() ? siblingProgramPath("cottonwing") : options.program;
+    auto config = readExperimentConfig(options.file);
+    if (options.seed >= 0) config->load->schedule.seed = static_cast<std::uint64_t>(options.seed);
+    const std::string folder =
+        options.outputFolder.empty() ? "lab-results/" + config->name : options.outputFolder;
+    const std::uint64_t firstSeed = config->load->schedule.seed;
+    const bool showProgress = isatty(STDERR_FILENO) != 0;
     struct sigaction action {};
-    action.sa_handler = [](int) { interrupted = true; };
+    action.sa_handler = [](int) { interruptRequested = true; };
     sigaction(SIGINT, &action, nullptr);
     sigaction(SIGTERM, &action, nullptr);
     Json results = {{"plays", Json::array()}};
-    std::vector<double> earned[2];
-    std::uint64_t broken = 0;
+    std::vector<double> earnedFractions[2];
+    std::uint64_t violations = 0;
     bool valid = true;
     // In turn, on the same seeds: what changes in the machine meanwhile meets
     // both.
-    for (int round = 0; round < wishes.rounds && !interrupted; ++round)
-        for (int side = 0; side < (wishes.vs.empty() ? 1 : 2) && !interrupted; ++side) {
-            terms->load->schedule.seed = firstSeed + static_cast<std::uint64_t>(round);
-            terms->records.seed = terms->load->schedule.seed;
-            terms->load->client.targets.clear();
-            terms->load->client.scgiTargets.clear();
+    for (int round = 0; round < options.rounds && !interruptRequested; ++round)
+        for (int side = 0; side < (options.comparedProgram.empty() ? 1 : 2) && !interruptRequested; ++side) {
+            config->load->schedule.seed = firstSeed + static_cast<std::uint64_t>(round);
+            config->dependency.seed = config->load->schedule.seed;
+            config->load->client.targets.clear();
+            config->load->client.scgiTargets.clear();
             const std::string name = side == 0 ? "A" : "B";
-            const std::string logs = folder + "/" + name + "-" + std::to_string(terms->load->schedule.seed);
-            Experiment experiment(*terms, side == 0 ? build : wishes.vs, logs);
-            const double length = std::chrono::duration<double>(terms->load->schedule.duration).count();
+            const std::string logFolder =
+                folder + "/" + name + "-" + std::to_string(config->load->schedule.seed);
+            Experiment experiment(*config, side == 0 ? program : options.comparedProgram, logFolder);
+            const double length = std::chrono::duration<double>(config->load->schedule.duration).count();
             auto result = experiment.run(
                 [&](double now, const LoadRun& load) {
-                    if (shows)
+                    if (showProgress)
                         std::fprintf(stderr,
                                      "\r%s seed %llu  %5.1f of %.0f s  %llu due, %llu ended, %llu "
                                      "handled   ",
                                      name.c_str(),
-                                     static_cast<unsigned long long>(terms->load->schedule.seed), now, length,
-                                     static_cast<unsigned long long>(load.scheduled()),
+                                     static_cast<unsigned long long>(config->load->schedule.seed), now,
+                                     length, static_cast<unsigned long long>(load.scheduled()),
                                      static_cast<unsigned long long>(load.ended()),
                                      static_cast<unsigned long long>(load.completed()));
                 },
-                &interrupted);
-            if (shows) std::fprintf(stderr, "\n");
-            result.figures["side"] = name;
-            earned[side].push_back(result.earnedShare);
-            broken += result.broken;
+                &interruptRequested);
+            if (showProgress) std::fprintf(stderr, "\n");
+            result.metrics["side"] = name;
+            earnedFractions[side].push_back(result.earnedFraction);
+            violations += result.violations;
             valid = valid && result.valid;
-            const Json& load = result.figures["load"];
+            const Json& load = result.metrics["load"];
             char line[300];
             std::snprintf(line, sizeof line,
                           "%s seed %llu: earned %.1f%%, p99 %.0f ms, wasted %.1f%% of core "
                           "time, %llu broken rules%s\n",
-                          name.c_str(), static_cast<unsigned long long>(terms->load->schedule.seed),
-                          result.earnedShare * 100, load["latency"]["p99_ms"].get<double>(),
-                          result.figures["work"]["wasted_share"].get<double>() * 100,
-                          static_cast<unsigned long long>(result.broken), result.valid ? "" : ", INVALID");
-            if (wishes.json != "-") std::cout << line << std::flush;
-            for (const Json& example : result.figures["broken"]["examples"])
+                          name.c_str(), static_cast<unsigned long long>(config->load->schedule.seed),
+                          result.earnedFraction * 100, load["latency"]["p99_ms"].get<double>(),
+                          result.metrics["work"]["wasted_share"].get<double>() * 100,
+                          static_cast<unsigned long long>(result.violations),
+                          result.valid ? "" : ", INVALID");
+            if (options.jsonPath != "-") std::cout << line << std::flush;
+            for (const Json& example : result.metrics["broken"]["examples"])
                 std::cerr << "  " << example.get<std::string>() << "\n";
-            for (const Json& note : result.figures["notes"])
+            for (const Json& note : result.metrics["notes"])
                 std::cerr << "  " << note.get<std::string>() << "\n";
             if (!result.valid) std::cerr << "  INVALID: " << load["why"].get<std::string>() << "\n";
-            results["plays"].push_back(std::move(result.figures));
+            results["plays"].push_back(std::move(result.metrics));
         }
-    if (!wishes.vs.empty()) {
-        const PairedRatio ratio = compareInPairs(earned[0], earned[1]);
+    if (!options.comparedProgram.empty()) {
+        const PairedRatio ratio = compareInPairs(earnedFractions[0], earnedFractions[1]);
         results["ratio"] = ratioJson(ratio);
-        if (wishes.json != "-") std::cout << ratioText(ratio) << "\n";
+        if (options.jsonPath != "-") std::cout << ratioText(ratio) << "\n";
     }
-    const std::string figures = results.dump(1) + "\n";
-    if (wishes.json == "-") std::cout << figures;
-    bool whole = wishes.json.empty() || wishes.json == "-" || writeFile(wishes.json, figures);
-    whole = writeFile(folder + "/results.json", figures) && whole;
-    whole = writeFile(folder + "/report.html", pageOf(results)) && whole;
-    if (wishes.json != "-") std::cout << "report: " << folder << "/report.html\n";
-    return whole && valid && broken == 0 ? 0 : 1;
+    const std::string resultsText = results.dump(1) + "\n";
+    if (options.jsonPath == "-") std::cout << resultsText;
+    bool written =
+        options.jsonPath.empty() || options.jsonPath == "-" || writeFile(options.jsonPath, resultsText);
+    written = writeFile(folder + "/results.json", resultsText) && written;
+    written = writeFile(folder + "/report.html", renderReport(results)) && written;
+    if (options.jsonPath != "-") std::cout << "report: " << folder << "/report.html\n";
+    return written && valid && violations == 0 ? 0 : 1;
 }
 
-int report(const std::string& folder) {
-    if (!writeFile(folder + "/report.html", pageOf(readResults(folder)))) return 1;
+int reportCommand(const std::string& folder) {
+    if (!writeFile(folder + "/report.html", renderReport(readResults(folder)))) return 1;
     std::cout << folder << "/report.html\n";
     return 0;
 }
 
-int compare(const std::string& a, const std::string& b) {
-    std::map<std::string, double> earned[2];
+int compareCommand(const std::string& a, const std::string& b) {
+    std::map<std::string, double> earnedFractions[2];
     int side = 0;
     for (const std::string& folder : {a, b}) {
-        for (const Json& play : readResults(folder)["plays"])
-            if (play.at("side") == "A")
-                earned[side]
-                      [play.at("name").get<std::string>() + " seed " + play.at("load").at("seed").dump()] =
-                          play.at("load").at("earned_share").get<double>();
+        for (const Json& run : readResults(folder)["plays"])
+            if (run.at("side") == "A")
+                earnedFractions[side][run.at("name").get<std::string>() + " seed " +
+                                      run.at("load").at("seed").dump()] =
+                    run.at("load").at("earned_share").get<double>();
         ++side;
     }
     std::vector<double> pairs[2];
-    for (const auto& [play, share] : earned[0])
-        if (const auto other = earned[1].find(play); other != earned[1].end()) {
-            pairs[0].push_back(share), pairs[1].push_back(other->second);
-            std::printf("%s: %.1f%% and %.1f%%\n", play.c_str(), share * 100, other->second * 100);
+    for (const auto& [run, fraction] : earnedFractions[0])
+        if (const auto other = earnedFractions[1].find(run); other != earnedFractions[1].end()) {
+            pairs[0].push_back(fraction), pairs[1].push_back(other->second);
+            std::printf("%s: %.1f%% and %.1f%%\n", run.c_str(), fraction * 100, other->second * 100);
         }
     if (pairs[0].empty()) throw std::runtime_error("the two have no experiment with the same name and seed");
     std::cout << ratioText(compareInPairs(pairs[0], pairs[1])) << std::endl;
     return 0;
 }
 
-int drawTrace(const std::string& path, const std::string& to) {
-    const auto terms = readLoadConfig(kdl::parseFile(path), path, false);
-    const auto plan = makeRequestSchedule(terms->schedule);
-    TraceWriter writer(to, terms->schedule.requestClasses);
+int drawCommand(const std::string& path, const std::string& to) {
+    const auto config = readLoadConfig(kdl::parseFile(path), path, false);
+    const auto plan = makeRequestSchedule(config->schedule);
+    TraceWriter writer(to, config->schedule.requestClasses);
     std::uint64_t count = 0;
     for (; const auto planned = plan->next(); ++count) writer.add(*planned);
     if (!writer.close()) throw std::runtime_error(to + " can't be written whole");
@@ -258,19 +263,19 @@
     return 0;
 }
 
-net::Address addressOf(const std::string& at) {
-    const std::size_t colon = at.rfind(':');
-    if (colon == at.npos)
-        throw std::runtime_error("--listen: an address such as 127.0.0.1:8080 was expected, not '" + at +
+net::Address parseAddress(const std::string& address) {
+    const std::size_t colon = address.rfind(':');
+    if (colon == std::string::npos)
+        throw std::runtime_error("--listen: an address such as 127.0.0.1:8080 was expected, not '" + address +
                                  "'");
-    return {at.substr(0, colon), std::atoi(at.c_str() + colon + 1)};
+    return {address.substr(0, colon), std::atoi(address.c_str() + colon + 1)};
 }
 
-int scgiServers(const std::vector<std::string>& each, const ScgiServerTerms& terms) {
+int scgiCommand(const std::vector<std::string>& addresses, const ScgiServerTerms& config) {
     net::Loop loop;
     std::vector<std::unique_ptr<ScgiServer>> servers;
-    for (const std::string& at : each)
-        servers.push_back(std::make_unique<ScgiServer>(loop, addressOf(at), terms));
+    for (const std::string& address : addresses)
+        servers.push_back(std::make_unique<ScgiServer>(loop, parseAddress(address), config));
     net::Signal onInt(loop, SIGINT, [&] { loop.stop(); }), onTerm(loop, SIGTERM, [&] { loop.stop(); });
     std::cout << servers.size() << " SCGI servers" << std::endl;
     loop.run();
@@ -278,9 +283,9 @@
     return 0;
 }
 
-int answer(const std::string& at, const AnsweringTerms& terms) {
+int answerCommand(const std::string& address, const AnsweringTerms& config) {
     net::Loop loop;
-    Answering answering(loop, addressOf(at), terms);
+    Answering answering(loop, parseAddress(address), config);
     net::Signal onInt(loop, SIGINT, [&] { loop.stop(); }), onTerm(loop, SIGTERM, [&] { loop.stop(); });
     std::cout << "answering on " << answering.address().host << ":" << answering.address().port << std::endl;
     loop.run();
@@ -301,83 +306,89 @@
         "Exit codes: 0 done, 1 failed (an invalid run and a broken rule "
         "too), 2 told something wrong.");
 
-    std::string file, json, exported, to, listen = "127.0.0.1:8080";
+    std::string file, jsonPath, exportPath, to, listen = "127.0.0.1:8080";
     std::int64_t seed = -1;
-    CLI::App* const loads = app.add_subcommand("load", "send the load of a file and tell what became of it");
-    loads->add_option("FILE", file, "what to send, in KDL")->required();
-    loads->add_option("--json", json, "write all figures there; - for standard output instead of the table");
-    loads->add_option("--export", exported, "write what was due as a trace that plays the same again");
-    loads->add_option("--seed", seed, "another seed than the file's");
-    loads->footer("Example:\n  cottonwing_lab load deploy/lab/hello.kdl --json hello.json");
+    CLI::App* const loadSubcommand =
+        app.add_subcommand("load", "send the load of a file and tell what became of it");
+    loadSubcommand->add_option("FILE", file, "what to send, in KDL")->required();
+    loadSubcommand->add_option("--json", jsonPath,
+                               "write all figures there; - for standard output instead of the table");
+    loadSubcommand->add_option("--export", exportPath,
+                               "write what was due as a trace that plays the same again");
+    loadSubcommand->add_option("--seed", seed, "another seed than the file's");
+    loadSubcommand->footer("Example:\n  cottonwing_lab load deploy/lab/hello.kdl --json hello.json");
 
-    CLI::App* const draws =
+    CLI::App* const drawSubcommand =
         app.add_subcommand("draw", "write the commands of a file as a trace, sending nothing");
-    draws->add_option("FILE", file, "what to draw, in KDL")->required();
-    draws->add_option("--to", to, "the trace")->required();
-    draws->footer("Example:\n  cottonwing_lab draw deploy/lab/hello.kdl --to hello.csv");
+    drawSubcommand->add_option("FILE", file, "what to draw, in KDL")->required();
+    drawSubcommand->add_option("--to", to, "the trace")->required();
+    drawSubcommand->footer("Example:\n  cottonwing_lab draw deploy/lab/hello.kdl --to hello.csv");
 
     AnsweringTerms answering;
-    double takes = 0;
-    CLI::App* const answers =
+    double serviceTimeMs = 0;
+    CLI::App* const answerSubcommand =
         app.add_subcommand("answer", "a server that answers every command by itself, to try a load on");
-    answers->add_option("--listen", listen, "where to listen");
-    answers->add_option("--takes-ms", takes, "milliseconds that an answer takes");
-    answers->footer("Example:\n  cottonwing_lab answer --listen 127.0.0.1:8080 --takes-ms 5");
-    std::vector<std::string> listens;
-    CLI::App* const scgis = app.add_subcommand("scgi",
-                                               "SCGI servers that answer every request, to "
-                                               "stand behind cottonwing serve");
-    scgis->add_option("--listen", listens, "where to listen; may be given several times")->required();
-    scgis->add_option("--takes-ms", takes, "milliseconds that an answer takes");
-    scgis->footer(
+    answerSubcommand->add_option("--listen", listen, "where to listen");
+    answerSubcommand->add_option("--takes-ms", serviceTimeMs, "milliseconds that an answer takes");
+    answerSubcommand->footer("Example:\n  cottonwing_lab answer --listen 127.0.0.1:8080 --takes-ms 5");
+    std::vector<std::string> listenAddresses;
+    CLI::App* const scgiSubcommand = app.add_subcommand("scgi",
+                                                        "SCGI servers that answer every request, to "
+                                                        "stand behind cottonwing serve");
+    scgiSubcommand->add_option("--listen", listenAddresses, "where to listen; may be given several times")
+        ->required();
+    scgiSubcommand->add_option("--takes-ms", serviceTimeMs, "milliseconds that an answer takes");
+    scgiSubcommand->footer(
         "Example:\n  cottonwing_lab scgi --listen 127.0.0.1:9001 "
         "--listen 127.0.0.1:9002 --takes-ms 5");
 
-    RunWishes wishes;
-    CLI::App* const runs =
+    RunOptions options;
+    CLI::App* const runSubcommand =
         app.add_subcommand("run", "play an experiment: backends, the world around them, load and troubles");
-    runs->add_option("FILE", wishes.file, "the experiment, in KDL")->required();
-    runs->add_option("--build", wishes.build,
-                     "the program to play; the one beside this, where none is named");
-    runs->add_option("--vs", wishes.vs, "another build, played in turn on the same seeds");
-    runs->add_option("--rounds", wishes.rounds, "how many seeds")->check(CLI::Range(1, 1000));
-    runs->add_option("--seed", wishes.seed, "the first seed, in place of the file's");
-    runs->add_option("--to", wishes.folder,
-                     "folder for figures, report and logs; lab-results/NAME "
-                     "where none is named");
-    runs->add_option("--json", wishes.json, "write all figures there too; - for standard output");
-    runs->footer(
+    runSubcommand->add_option("FILE", options.file, "the experiment, in KDL")->required();
+    runSubcommand->add_option("--build", options.program,
+                              "the program to play; the one beside this, where none is named");
+    runSubcommand->add_option("--vs", options.comparedProgram,
+                              "another build, played in turn on the same seeds");
+    runSubcommand->add_option("--rounds", options.rounds, "how many seeds")->check(CLI::Range(1, 1000));
+    runSubcommand->add_option("--seed", options.seed, "the first seed, in place of the file's");
+    runSubcommand->add_option("--to", options.outputFolder,
+                              "folder for figures, report and logs; lab-results/NAME "
+                              "where none is named");
+    runSubcommand->add_option("--json", options.jsonPath,
+                              "write all figures there too; - for standard output");
+    runSubcommand->footer(
         "Examples:\n  cottonwing_lab run deploy/lab/morning-spike.kdl\n "
         " cottonwing_lab run "
         "deploy/lab/morning-spike.kdl --vs ../before/build/cottonwing "
         "--rounds 5");
 
     std::string folder, other;
-    CLI::App* const reports =
+    CLI::App* const reportSubcommand =
         app.add_subcommand("report", "make the page of an experiment anew from its figures");
-    reports->add_option("DIR", folder, "its folder")->required();
-    CLI::App* const compares =
+    reportSubcommand->add_option("DIR", folder, "its folder")->required();
+    CLI::App* const compareSubcommand =
         app.add_subcommand("compare", "what one folder's plays earned beside another's, by name and seed");
-    compares->add_option("A", folder, "a folder")->required();
-    compares->add_option("B", other, "another")->required();
+    compareSubcommand->add_option("A", folder, "a folder")->required();
+    compareSubcommand->add_option("B", other, "another")->required();
     try {
         app.parse(argc, argv);
     } catch (const CLI::ParseError& error) {
         return app.exit(error) == 0 ? 0 : 2;
     }
     try {
-        if (loads->parsed()) return load(file, json, exported, seed);
-        if (runs->parsed()) return runExperiment(wishes);
-        if (reports->parsed()) return report(folder);
-        if (compares->parsed()) return compare(folder, other);
-        if (draws->parsed()) return drawTrace(file, to);
-        if (scgis->parsed()) {
+        if (loadSubcommand->parsed()) return loadCommand(file, jsonPath, exportPath, seed);
+        if (runSubcommand->parsed()) return runCommand(options);
+        if (reportSubcommand->parsed()) return reportCommand(folder);
+        if (compareSubcommand->parsed()) return compareCommand(folder, other);
+        if (drawSubcommand->parsed()) return drawCommand(file, to);
+        if (scgiSubcommand->parsed()) {
             ScgiServerTerms scgi;
-            scgi.takes = Duration(static_cast<std::int64_t>(takes * 1e6));
-            return scgiServers(listens, scgi);
+            scgi.takes = Duration(static_cast<std::int64_t>(serviceTimeMs * 1e6));
+            return scgiCommand(listenAddresses, scgi);
         }
-        answering.takes = Duration(static_cast<std::int64_t>(takes * 1e6));
-        return answer(listen, answering);
+        answering.takes = Duration(static_cast<std::int64_t>(serviceTimeMs * 1e6));
+        return answerCommand(listen, answering);
     } catch (const kdl::DocumentError& problem) {
         std::cerr << problem.what() << std::endl;
         return 2;
--- a/src/loadtest/report.h
+++ b/src/loadtest/report.h
@@ -11,11 +11,11 @@
 // runs: the figures of experiments as they were written, in the order they were
 // played, of one build or of two
 // ("side" is "A" or "B"). Throws std::runtime_error where a figure is missing.
-std::string pageOf(const nlohmann::json& results);
+std::string renderReport(const nlohmann::json& results);
 
 // One plot, for itself.
 struct Curve {
-    std::string name, kind;  // kind: a class of the style sheet
+    std::string name, cssClass;  // kind: a class of the style sheet
     std::vector<std::pair<double, double>> points;
 };
 struct Band {
@@ -26,10 +26,10 @@
     std::string title, unit;
     std::vector<Curve> curves;
     std::vector<Band> bands;
-    bool logarithmic = false;  // the axis upwards
-    bool tail = false;         // the axis to the right is a part that took longer,
-                               // logarithmic, falling
+    bool logarithmicY = false;   // the axis upwards
+    bool tailFractionX = false;  // the axis to the right is a part that took longer,
+                                 // logarithmic, falling
 };
-std::string svgOf(const Plot& plot);
+std::string renderSvg(const Plot& plot);
 
 }  // namespace cottonwing::loadtest
--- a/tests/loadtest/experiment_test.cpp
+++ b/tests/loadtest/experiment_test.cpp
@@ -373,25 +373,25 @@
 }
 
 TEST(AMorning, BreaksNoRuleWhateverGoesWrongAroundIt) {
-    const auto terms = readExperiment(experimentFile(kMorning));
+    const auto terms = readExperimentConfig(experimentFile(kMorning));
     const std::string folder = ::testing::TempDir() + "cottonwing-experiment-" + std::to_string(getpid());
     Experiment experiment(*terms, COTTONWING, folder);
     const ExperimentResult result = experiment.run();
-    EXPECT_EQ(result.broken, 0U) << result.figures["broken"].dump(1) << result.figures["notes"].dump(1);
-    const auto& load = result.figures["load"];
+    EXPECT_EQ(result.violations, 0U) << result.metrics["broken"].dump(1) << result.metrics["notes"].dump(1);
+    const auto& load = result.metrics["load"];
     std::uint64_t sum = 0;
     for (const auto& [end, number] : load["ends"].items()) sum += number.get<std::uint64_t>();
     EXPECT_EQ(sum, load["planned"].get<std::uint64_t>());
-    EXPECT_GT(result.earnedShare, 0.3);
-    EXPECT_GT(result.figures["records"]["calls"].get<int>(), 0);
-    EXPECT_GT(result.figures["registry_reports"].get<int>(), 0);
-    for (const auto& backend : result.figures["backends"]) EXPECT_GT(backend["runs_started"].get<int>(), 0);
+    EXPECT_GT(result.earnedFraction, 0.3);
+    EXPECT_GT(result.metrics["records"]["calls"].get<int>(), 0);
+    EXPECT_GT(result.metrics["registry_reports"].get<int>(), 0);
+    for (const auto& backend : result.metrics["backends"]) EXPECT_GT(backend["runs_started"].get<int>(), 0);
 
-    nlohmann::json results = {{"plays", nlohmann::json::array({result.figures, result.figures})}};
+    nlohmann::json results = {{"plays", nlohmann::json::array({result.metrics, result.metrics})}};
     results["plays"][0]["side"] = "A";
     results["plays"][1]["side"] = "B";
     results["ratio"] = {{"mean", 1.0}, {"low", 0.9}, {"high", 1.1}, {"pairs", 1}, {"told", false}};
-    const std::string page = pageOf(results);
+    const std::string page = renderReport(results);
     EXPECT_NE(page.find("A short morning &lt;with&gt; troubles &amp; all"), std::string::npos);
     for (const char* part : {"<svg", "tail of the latency", "records for=1s hang=5% slow=4 spoil=5%",
                              "A over B", "connection lost"})
@@ -402,7 +402,7 @@
 }
 
 TEST(AMorning, ABackendThatDoesNotStartIsNamed) {
-    const auto terms = readExperiment(experimentFile(kMorning));
+    const auto terms = readExperimentConfig(experimentFile(kMorning));
     const std::string folder = ::testing::TempDir() + "cottonwing-experiment-" + std::to_string(getpid());
     EXPECT_THROW(Experiment(*terms, "/no/such/program", folder), std::runtime_error);
     Experiment experiment(*terms, "/bin/true", folder);
@@ -418,7 +418,7 @@
 TEST(AMorning, MistakesInItsFileAreNamed) {
     const auto problemOf = [](const std::string& text) {
         try {
-            readExperiment(experimentFile(text));
+            readExperimentConfig(experimentFile(text));
         } catch (const kdl::DocumentError& problem) {
             return std::string(problem.what());
         }
