--- a/src/loadtest/experiment.cpp
+++ b/src/loadtest/experiment.cpp
@@ -34,14 +34,15 @@
         {"server", Fault::Kind::ScgiServer}};
     kdl::NodeReader in(node);
     Fault fault;
-    const kdl::Value& kind = in.argument(0, "what the trouble is");
+    const kdl::Value& kind = in.argument(0, "the kind of fault");
     fault.kind = kdl::NodeReader::choice(kind, kKinds);
     fault.text = kind.text;
     for (const auto& [name, value] : node.properties)
         if (name != "at") fault.text += " " + name + "=" + value.text;
     const kdl::Value* const at = in.property("at");
     if (at == nullptr)
-        throw kdl::DocumentError(node.location, "a trouble was found without 'at='", "'at=10s' was expected");
+        throw kdl::DocumentError(node.location, "a 'trouble' was found without 'at='",
+                                 "'at=10s' was expected");
     fault.at = kdl::duration(*at);
     in.property("for", fault.duration, kdl::duration);
     in.property("each", fault.restartInterval, kdl::duration);
@@ -162,8 +163,7 @@
     return config;
 }
 
-// ---- the world
-// ------------------------------------------------------------------------------------------
+// ---- emulated environment -------------------------------------------------------------------------------
 
 struct Experiment::Backend {
     std::string name;
@@ -189,7 +189,7 @@
     std::vector<std::unique_ptr<ScgiServer>> servers;
     std::unique_ptr<RecordsService> dependency;
     std::unique_ptr<RegistryService> registry;
-    std::vector<std::string> notes;  // what the world saw that no figure tells: a crash, a slow end
+    std::vector<std::string> notes;  // events that no metric shows: a crash, a slow shutdown
     std::vector<std::size_t> pendingRestarts;
     Duration nextRestartAt{0}, restartInterval{0};
 };
@@ -200,18 +200,18 @@
       folder_(std::move(folder)),
       environment_(std::make_unique<EmulatedEnvironment>(config)) {
     if (access(program_.c_str(), X_OK) != 0)
-        throw std::runtime_error("there is no program to start at " + program_);
+        throw std::runtime_error(program_ + " is not an executable program");
     std::error_code error;
     std::filesystem::create_directories(folder_, error);
-    if (error) throw std::runtime_error(folder_ + " can't be made: " + error.message());
-    // A block of loopback addresses of this process's own, with fixed ports: a
-    // backend that starts again has the same, and nothing has to be guessed free.
+    if (error) throw std::runtime_error("can't create folder " + folder_ + ": " + error.message());
+    // A block of loopback addresses derived from the process id, with fixed ports: a restarted backend keeps
+    // its addresses, and no free port has to be guessed.
     const int pid = getpid();
     const std::string addressPrefix =
         "127." + std::to_string(64 + pid % 128) + "." + std::to_string(pid / 128 % 250) + ".";
     std::vector<net::Address> dependencyAddresses;
     environment_->loop.onUncaughtException([this](const std::string& what) {
-        environment_->notes.push_back("trouble in the laboratory: " + what);
+        environment_->notes.push_back("error in the emulated environment: " + what);
     });
     for (std::size_t index = 0; index < config.backends; ++index) {
         Backend backend;
@@ -235,7 +235,7 @@
             environment_->loop, net::Address{addressPrefix + std::to_string(100 + index), 9001}, server));
         environment_->servers.back()->onEnd(
             [this](const std::string& trace) { environment_->checker.finished(trace); });
-        // Which gateway sent it the invariant checker know by the try.
+        // The invariant checker knows from the attempt's trace which gateway sent it.
         environment_->servers.back()->onRun([this](const std::string& trace, const std::string& first) {
             environment_->checker.spawned(environment_->checker.instanceOf(trace), trace, first, steadyNow());
         });
@@ -272,7 +272,7 @@
         degradedValues.push_back(0);
         anyCalls = anyCalls || requestClass.callsPerRun > 0;
     }
-    const double rate = 1e6;  // no tenant is held to a quota here
+    const double rate = 1e6;  // too high for any tenant to reach its quota
     for (std::uint64_t tenant = 0; tenant < plan.tenantCount; ++tenant)
         tenants.push_back({{"name", tenantName(tenant)}, {"quota_per_s", rate}});
     settings["classes"] = classes;
@@ -317,7 +317,7 @@
         {"settings", settings}};
 }
 
-// The file that a gateway is started with.
+// The configuration file of a gateway, in KDL.
 std::string Experiment::gatewayConfig(std::size_t index) const {
     const Backend& backend = environment_->backends[index];
     const RequestScheduleConfig& plan = config_.load->schedule;
@@ -355,7 +355,7 @@
            "\"\n" + servers + "    }\n}\n";
 }
 
-// A gateway says so in its log; a backend has bound its pool.
+// A gateway is up once its log says so, another backend once it has bound to its worker pool.
 bool Experiment::isUp(const Backend& backend) const {
     if (config_.servers.count == 0) return backend.workerPool->bound();
     std::ifstream in(folder_ + "/" + backend.name + ".log");
@@ -389,7 +389,7 @@
             ++ended.crashes;
             ended.crashed = true;
             environment_->notes.push_back(
-                ended.name + " ended by itself, " +
+                ended.name + " exited unexpectedly with " +
                 (signal != 0 ? "signal " + std::to_string(signal) : "code " + std::to_string(code)));
         });
 }
@@ -488,8 +488,7 @@
 ExperimentResult Experiment::run(const std::function<void(double, const LoadRun&)>& progress,
                                  const bool* interrupted) {
     EmulatedEnvironment& environment = *environment_;
-    // Up: each has bound its pool. What the first health checks see then is a
-    // working fleet.
+    // Load starts only when every backend is up, so that the first health checks find a working fleet.
     const auto runLoopUntil = [&](const std::function<bool()>& condition, Duration timeout) {
         bool timedOut = false, ticked = false;
         net::Timer timeoutTimer(environment.loop, [&] { timedOut = true; });
@@ -510,7 +509,7 @@
         20s);
     for (const Backend& backend : environment.backends)
         if (!up || !backend.process->running() || !isUp(backend))
-            throw std::runtime_error(backend.name + " did not come up; its words are in " + folder_ + "/" +
+            throw std::runtime_error(backend.name + " did not come up; see its log " + folder_ + "/" +
                                      backend.name + ".log");
     runLoopUntil([] { return false; }, 300ms);
 
@@ -556,8 +555,9 @@
                 backend.process->sendSignal(SIGTERM);
             } else if (!backend.process->running() || now >= backend.stopDeadline) {
                 if (backend.process->running()) {
-                    environment.notes.push_back(backend.name + " was there still at its stop and was killed");
-                    environment.checker.fellOver(index, "it did not leave before its stop");
+                    environment.notes.push_back(backend.name +
+                                                " did not exit within its shutdown timeout and was killed");
+                    environment.checker.fellOver(index, "it did not exit within its shutdown timeout");
                     backend.exitExpected = true;
                     backend.process->sendSignal(SIGKILL);
                 }
@@ -575,7 +575,7 @@
         }
         if (progress) progress(std::max(0.0, secondsIn(now - start)), load);
         if (interrupted != nullptr && *interrupted && !std::exchange(stopRequested, true)) load.stop();
-        // What hangs past every timeout is cut off, and told as what it is.
+        // Requests that outlast every timeout are cut off and counted under their actual outcome.
         Duration maxTimeout{0};
         for (const RequestClassLoad& requestClass : config_.load->schedule.requestClasses)
             maxTimeout = std::max(maxTimeout, requestClass.timeout);
@@ -595,7 +595,7 @@
     experimentResult.violations = experimentResult.metrics["broken"]["all"];
     experimentResult.valid = result.valid;
 
-    // The fleet leaves as it does on any notice.
+    // The backends shut down as after any termination signal; stopped ones have to continue first.
     for (Backend& backend : environment.backends) {
         backend.exitExpected = true;
         backend.process->sendSignal(SIGCONT);
@@ -608,7 +608,8 @@
         },
         config_.shutdownTimeout);
     if (!stopped)
-        experimentResult.metrics["notes"].push_back("a backend did not leave before its stop at the end");
+        experimentResult.metrics["notes"].push_back(
+            "a backend did not exit within its shutdown timeout at the end");
     return experimentResult;
 }
 
--- a/src/loadtest/main.cpp
+++ b/src/loadtest/main.cpp
@@ -1,4 +1,5 @@
-// The laboratory: load, stand-ins, experiments and their reports.
+/// @file
+/// The command line of cottonwing_lab: load tests, emulated servers, experiments and their reports.
 #include <unistd.h>
 
 #include <CLI/CLI.hpp>
@@ -22,17 +23,16 @@
 using namespace cottonwing::loadtest;
 using namespace std::chrono_literals;
 
-// Turns a loop of its own until all is done, with a line of progress on a
-// terminal; the first interrupt sends nothing more, the second waits for
-// nothing more.
+// Runs a load to its end, with a progress line if stderr is a terminal. The first interrupt stops sending,
+// the second also stops waiting for open requests.
 LoadResult runLoad(const LoadConfig& config) {
     LoadRun load(config);
     net::Loop loop;
     int interrupts = 0;
     const auto interrupted = [&] {
         if (++interrupts == 1) {
-            std::cerr << "\ninterrupted: nothing more is sent, what is open may "
-                         "still end (again: stop at once)\n";
+            std::cerr << "\ninterrupted: sending stopped, open requests may still end "
+                         "(interrupt again to stop at once)\n";
             load.stop();
         } else {
             load.abort();
@@ -47,7 +47,7 @@
         if (load.done()) return loop.stop();
         if (showProgress) {
             const double now = std::max(0.0, std::chrono::duration<double>(steadyNow() - start).count());
-            std::fprintf(stderr, "\r%6.1f s  %llu sent for, %llu ended, %llu handled ", now,
+            std::fprintf(stderr, "\r%6.1f s  %llu due, %llu ended, %llu handled ", now,
                          static_cast<unsigned long long>(load.scheduled()),
                          static_cast<unsigned long long>(load.ended()),
                          static_cast<unsigned long long>(load.completed()));
@@ -60,7 +60,7 @@
     return load.finish();
 }
 
-// False, with a word on the error stream, where it could not be written whole.
+// Prints an error and returns false if the file could not be written completely.
 bool writeFile(const std::string& path, const std::string& text) {
     std::ofstream out(path, std::ios::binary);
     out << text;
@@ -83,7 +83,7 @@
     std::cout.flush();
     bool written = jsonPath.empty() || jsonPath == "-" || writeFile(jsonPath, resultsText);
     if (!exportPath.empty()) {
-        // What was due by the end is drawn once more: it is the same.
+        // The same seed generates the same requests again: those due by the end of the run are exported.
         const auto plan = makeRequestSchedule(config->schedule);
         TraceWriter writer(exportPath, config->schedule.requestClasses);
         std::uint64_t left = result.statistics.scheduled();
@@ -93,7 +93,7 @@
             writer.add(*planned);
         }
         if (!writer.close()) {
-            std::cerr << "cottonwing_lab: " << exportPath << " can't be written whole" << std::endl;
+            std::cerr << "cottonwing_lab: " << exportPath << " could not be written completely" << std::endl;
             written = false;
         }
     }
@@ -113,10 +113,11 @@
 Json readResults(const std::string& folder) {
     const std::string path = folder + "/results.json";
     std::ifstream in(path);
-    if (!in) throw std::runtime_error(path + " can't be opened: is this the folder of an experiment?");
+    if (!in)
+        throw std::runtime_error(path + " can't be opened: is this the results folder of an experiment?");
     const Json results = Json::parse(in, nullptr, false);
     if (!results.is_object() || !results.contains("plays"))
-        throw std::runtime_error(path + " holds no results of an experiment");
+        throw std::runtime_error(path + " contains no experiment results");
     return results;
 }
 
@@ -130,7 +131,7 @@
 std::string ratioText(const PairedRatio& ratio) {
     char text[200];
     std::snprintf(text, sizeof text, "A over B: %.3f, 95%% interval %.3f to %.3f (%zu pairs)%s", ratio.mean,
-                  ratio.low, ratio.high, ratio.pairs, ratio.significant ? "" : ": chance may explain it");
+                  ratio.low, ratio.high, ratio.pairs, ratio.significant ? "" : ": not significant");
     return text;
 }
 
@@ -158,8 +159,7 @@
     std::vector<double> earnedFractions[2];
     std::uint64_t violations = 0;
     bool valid = true;
-    // In turn, on the same seeds: what changes in the machine meanwhile meets
-    // both.
+    // The builds alternate on the same seeds, so that changes on the machine in the meantime affect both.
     for (int round = 0; round < options.rounds && !interruptRequested; ++round)
         for (int side = 0; side < (options.comparedProgram.empty() ? 1 : 2) && !interruptRequested; ++side) {
             config->load->schedule.seed = firstSeed + static_cast<std::uint64_t>(round);
@@ -193,7 +193,7 @@
             char line[300];
             std::snprintf(line, sizeof line,
                           "%s seed %llu: earned %.1f%%, p99 %.0f ms, wasted %.1f%% of core "
-                          "time, %llu broken rules%s\n",
+                          "time, %llu violations%s\n",
                           name.c_str(), static_cast<unsigned long long>(config->load->schedule.seed),
                           result.earnedFraction * 100, load["latency"]["p99_ms"].get<double>(),
                           result.metrics["work"]["wasted_share"].get<double>() * 100,
@@ -245,7 +245,8 @@
             pairs[0].push_back(fraction), pairs[1].push_back(other->second);
             std::printf("%s: %.1f%% and %.1f%%\n", run.c_str(), fraction * 100, other->second * 100);
         }
-    if (pairs[0].empty()) throw std::runtime_error("the two have no experiment with the same name and seed");
+    if (pairs[0].empty())
+        throw std::runtime_error("the two folders share no run with the same name and seed");
     std::cout << ratioText(compareInPairs(pairs[0], pairs[1])) << std::endl;
     return 0;
 }
@@ -256,10 +257,9 @@
     TraceWriter writer(to, config->schedule.requestClasses);
     std::uint64_t count = 0;
     for (; const auto planned = plan->next(); ++count) writer.add(*planned);
-    if (!writer.close()) throw std::runtime_error(to + " can't be written whole");
-    std::cout << count << " commands\n";
-    if (plan->skippedLines() > 0)
-        std::cout << plan->skippedLines() << " lines of the trace could not be read\n";
+    if (!writer.close()) throw std::runtime_error(to + " could not be written completely");
+    std::cout << count << " requests\n";
+    if (plan->skippedLines() > 0) std::cout << plan->skippedLines() << " unreadable trace lines skipped\n";
     return 0;
 }
 
@@ -287,76 +287,73 @@
     net::Loop loop;
     Answering answering(loop, parseAddress(address), config);
     net::Signal onInt(loop, SIGINT, [&] { loop.stop(); }), onTerm(loop, SIGTERM, [&] { loop.stop(); });
-    std::cout << "answering on " << answering.address().host << ":" << answering.address().port << std::endl;
+    std::cout << "listening on " << answering.address().host << ":" << answering.address().port << std::endl;
     loop.run();
-    std::cout << answering.requests() << " commands answered" << std::endl;
+    std::cout << answering.requests() << " requests answered" << std::endl;
     return 0;
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
-    CLI::App app(
-        "cottonwing_lab: load on a schedule that waits for nobody, and "
-        "experiments in an emulated world.",
-        "cottonwing_lab");
+    CLI::App app("cottonwing_lab: open-loop load tests, and experiments in an emulated environment.",
+                 "cottonwing_lab");
     app.set_version_flag("--version", "cottonwing_lab " COTTONWING_VERSION);
     app.require_subcommand(1);
     app.footer(
-        "Exit codes: 0 done, 1 failed (an invalid run and a broken rule "
-        "too), 2 told something wrong.");
+        "Exit codes: 0 success, 1 failure (also an invalid run or a violated invariant), 2 invalid "
+        "arguments or input file.");
 
     std::string file, jsonPath, exportPath, to, listen = "127.0.0.1:8080";
     std::int64_t seed = -1;
     CLI::App* const loadSubcommand =
-        app.add_subcommand("load", "send the load of a file and tell what became of it");
-    loadSubcommand->add_option("FILE", file, "what to send, in KDL")->required();
-    loadSubcommand->add_option("--json", jsonPath,
-                               "write all figures there; - for standard output instead of the table");
+        app.add_subcommand("load", "send the load described in a file and report the results");
+    loadSubcommand->add_option("FILE", file, "load description, in KDL")->required();
+    loadSubcommand->add_option(
+        "--json", jsonPath,
+        "write all results to this file as JSON; - for standard output in place of the table");
     loadSubcommand->add_option("--export", exportPath,
-                               "write what was due as a trace that plays the same again");
-    loadSubcommand->add_option("--seed", seed, "another seed than the file's");
+                               "write the scheduled requests as a trace that reproduces the load");
+    loadSubcommand->add_option("--seed", seed, "seed, in place of the one in the file");
     loadSubcommand->footer("Example:\n  cottonwing_lab load deploy/lab/hello.kdl --json hello.json");
 
     CLI::App* const drawSubcommand =
-        app.add_subcommand("draw", "write the commands of a file as a trace, sending nothing");
-    drawSubcommand->add_option("FILE", file, "what to draw, in KDL")->required();
-    drawSubcommand->add_option("--to", to, "the trace")->required();
+        app.add_subcommand("draw", "write the scheduled requests of a file as a trace without sending them");
+    drawSubcommand->add_option("FILE", file, "load description, in KDL")->required();
+    drawSubcommand->add_option("--to", to, "trace file to write")->required();
     drawSubcommand->footer("Example:\n  cottonwing_lab draw deploy/lab/hello.kdl --to hello.csv");
 
     AnsweringTerms answering;
     double serviceTimeMs = 0;
     CLI::App* const answerSubcommand =
-        app.add_subcommand("answer", "a server that answers every command by itself, to try a load on");
-    answerSubcommand->add_option("--listen", listen, "where to listen");
-    answerSubcommand->add_option("--takes-ms", serviceTimeMs, "milliseconds that an answer takes");
+        app.add_subcommand("answer", "Thrift server that answers every request itself, as a target for load");
+    answerSubcommand->add_option("--listen", listen, "address to listen on");
+    answerSubcommand->add_option("--takes-ms", serviceTimeMs, "service time of each request in milliseconds");
     answerSubcommand->footer("Example:\n  cottonwing_lab answer --listen 127.0.0.1:8080 --takes-ms 5");
     std::vector<std::string> listenAddresses;
-    CLI::App* const scgiSubcommand = app.add_subcommand("scgi",
-                                                        "SCGI servers that answer every request, to "
-                                                        "stand behind cottonwing serve");
-    scgiSubcommand->add_option("--listen", listenAddresses, "where to listen; may be given several times")
+    CLI::App* const scgiSubcommand = app.add_subcommand(
+        "scgi", "SCGI servers that answer every request, as upstream servers of cottonwing serve");
+    scgiSubcommand->add_option("--listen", listenAddresses, "address to listen on; may be repeated")
         ->required();
-    scgiSubcommand->add_option("--takes-ms", serviceTimeMs, "milliseconds that an answer takes");
+    scgiSubcommand->add_option("--takes-ms", serviceTimeMs, "service time of each request in milliseconds");
     scgiSubcommand->footer(
         "Example:\n  cottonwing_lab scgi --listen 127.0.0.1:9001 "
         "--listen 127.0.0.1:9002 --takes-ms 5");
 
     RunOptions options;
     CLI::App* const runSubcommand =
-        app.add_subcommand("run", "play an experiment: backends, the world around them, load and troubles");
-    runSubcommand->add_option("FILE", options.file, "the experiment, in KDL")->required();
+        app.add_subcommand("run", "run an experiment: backends in an emulated environment, load and faults");
+    runSubcommand->add_option("FILE", options.file, "experiment description, in KDL")->required();
     runSubcommand->add_option("--build", options.program,
-                              "the program to play; the one beside this, where none is named");
+                              "program to test (default: cottonwing beside cottonwing_lab)");
     runSubcommand->add_option("--vs", options.comparedProgram,
-                              "another build, played in turn on the same seeds");
-    runSubcommand->add_option("--rounds", options.rounds, "how many seeds")->check(CLI::Range(1, 1000));
-    runSubcommand->add_option("--seed", options.seed, "the first seed, in place of the file's");
+                              "another build to compare, run alternately on the same seeds");
+    runSubcommand->add_option("--rounds", options.rounds, "number of seeds")->check(CLI::Range(1, 1000));
+    runSubcommand->add_option("--seed", options.seed, "first seed, in place of the one in the file");
     runSubcommand->add_option("--to", options.outputFolder,
-                              "folder for figures, report and logs; lab-results/NAME "
-                              "where none is named");
+                              "folder for results, report and logs (default: lab-results/NAME)");
     runSubcommand->add_option("--json", options.jsonPath,
-                              "write all figures there too; - for standard output");
+                              "also write all results to this file as JSON; - for standard output");
     runSubcommand->footer(
         "Examples:\n  cottonwing_lab run deploy/lab/morning-spike.kdl\n "
         " cottonwing_lab run "
@@ -365,12 +362,12 @@
 
     std::string folder, other;
     CLI::App* const reportSubcommand =
-        app.add_subcommand("report", "make the page of an experiment anew from its figures");
-    reportSubcommand->add_option("DIR", folder, "its folder")->required();
-    CLI::App* const compareSubcommand =
-        app.add_subcommand("compare", "what one folder's plays earned beside another's, by name and seed");
-    compareSubcommand->add_option("A", folder, "a folder")->required();
-    compareSubcommand->add_option("B", other, "another")->required();
+        app.add_subcommand("report", "regenerate the report page of an experiment from its results");
+    reportSubcommand->add_option("DIR", folder, "results folder of the experiment")->required();
+    CLI::App* const compareSubcommand = app.add_subcommand(
+        "compare", "compare the value earned in two results folders, paired by experiment name and seed");
+    compareSubcommand->add_option("A", folder, "first results folder")->required();
+    compareSubcommand->add_option("B", other, "second results folder")->required();
     try {
         app.parse(argc, argv);
     } catch (const CLI::ParseError& error) {
--- a/src/loadtest/report.cpp
+++ b/src/loadtest/report.cpp
@@ -24,7 +24,7 @@
     return text;
 }
 
-// Short enough for an axis.
+// Short enough for an axis label: 12.5k, 3M.
 std::string axisLabel(double value) {
     const double size = std::abs(value);
     char text[40];
@@ -58,7 +58,7 @@
     return result;
 }
 
-// A step of 1, 2 or 5 times a power of ten that gives about so many of them.
+// A step of 1, 2 or 5 times a power of ten that divides the span into at most `wanted` parts.
 double tickStep(double span, int wanted) {
     const double raw = std::max(span, 1e-12) / wanted, power = std::pow(10, std::floor(std::log10(raw)));
     for (const double step : {1.0, 2.0, 5.0, 10.0})
@@ -98,8 +98,8 @@
     } else if (maxY <= minY) {
         maxY = minY + 1;
     }
-    // To the right the tail falls from all to one in many: at equal widths for
-    // each factor of ten.
+    // The tail runs from all requests on the left to the rarest on the right, with equal width for each
+    // factor of ten.
     const Scale xScale = plot.tailFractionX ? Scale{maxX, minX, kLeft, kWidth - kLeft - kRight, true}
                                             : Scale{minX, maxX, kLeft, kWidth - kLeft - kRight, false};
     const Scale yScale{minY, maxY * (plot.logarithmicY ? 1 : 1.05), kHeight - kBottom,
@@ -163,8 +163,8 @@
 
 struct Side {
     std::string name, dashClass;
-    const Json* firstRun;           // whose curves are drawn
-    std::vector<const Json*> runs;  // all of it
+    const Json* firstRun;           // its curves are drawn
+    std::vector<const Json*> runs;  // all runs of this build
 };
 
 mstch::map plotNode(const Plot& plot) {
@@ -174,7 +174,7 @@
     return {{"title", plot.title}, {"svg", renderSvg(plot)}, {"legend", legend}};
 }
 
-// Of each stretch of a play one figure, a second.
+// One point for each interval of a run, at the middle of the interval.
 template <typename Metric>
 std::vector<std::pair<double, double>> timeSeries(const Json& run, Metric&& metric) {
     std::vector<std::pair<double, double>> points;
@@ -208,7 +208,7 @@
             found = sides.insert(sides.end(), {side, sides.empty() ? "" : " dash", &run, {}});
         found->runs.push_back(&run);
     }
-    if (sides.empty()) throw std::runtime_error("there is no play to report");
+    if (sides.empty()) throw std::runtime_error("the results contain no run");
     const Json& firstRun = *sides[0].firstRun;
     const bool twoSides = sides.size() > 1;
     const auto withSide = [&](const Side& side, const std::string& what) {
@@ -220,10 +220,10 @@
     for (const Side& side : sides)
         for (const Json* run : side.runs) {
             if (!run->at("load").at("valid").get<bool>())
-                warnings.push_back(textNode(withSide(side, "play is INVALID: ") +
+                warnings.push_back(textNode(withSide(side, "run is INVALID: ") +
                                             run->at("load").at("why").get<std::string>()));
             if (run->at("broken").at("all").get<std::uint64_t>() > 0)
-                warnings.push_back(textNode(withSide(side, "play broke rules ") +
+                warnings.push_back(textNode(withSide(side, "run violated invariants ") +
                                             run->at("broken").at("all").dump() + " times"));
             for (const Json& example : run->at("broken").at("examples"))
                 violations.push_back(textNode(withSide(side, "") + example.get<std::string>()));
@@ -244,13 +244,13 @@
         }
         const Json& load = side.firstRun->at("load");
         addCard(withSide(side, "earned in time"), formatNumber(earnedFraction * 100) + "%",
-                "of what all commands were worth");
+                "of the value of all requests");
         addCard(withSide(side, "p99"), formatNumber(load.at("latency").at("p99_ms").get<double>(), 0) + " ms",
-                "from the scheduled time, of what was handled");
+                "of handled requests, from the scheduled time");
         addCard(withSide(side, "work wasted"), formatNumber(wastedFraction * 100) + "%",
-                "of core time, for commands that were not handled");
+                "of core time, spent on requests that were not handled");
         const auto violationCount = side.firstRun->at("broken").at("all").get<std::uint64_t>();
-        addCard(withSide(side, "rules broken"), std::to_string(violationCount),
+        addCard(withSide(side, "violated invariants"), std::to_string(violationCount),
                 violationCount == 0 ? "lost, twice, drain, fall-over, crashes" : "see below",
                 violationCount == 0 ? "good" : "bad");
     }
@@ -263,7 +263,7 @@
         addCard("A over B", valueOf("mean"),
                 "95% interval " + valueOf("low") + " to " + valueOf("high") + ", " +
                     ratio.at("pairs").dump() + " pairs" +
-                    (ratio.at("told").get<bool>() ? "" : ": chance may explain it"));
+                    (ratio.at("told").get<bool>() ? "" : ": not significant"));
     }
 
     std::vector<Band> bands;
@@ -275,7 +275,7 @@
         {"handled", "k4"},   {"handled late", "k5"},    {"bounced", "k1"},        {"scrapped", "k2"},
         {"no answer", "k3"}, {"connection lost", "k6"}, {"never sent", "k6 dash"}};
     for (const Side& side : sides) {
-        Plot rates{withSide(side, "commands a second, by what became of them"), "/s", {}, bands};
+        Plot rates{withSide(side, "requests per second by outcome"), "/s", {}, bands};
         rates.curves.push_back({"due", "k0", timeSeries(*side.firstRun, [](const Json& s) {
                                     double sum = 0;
                                     for (const auto& [end, count] : s.at("ends").items())
@@ -294,11 +294,11 @@
     }
     Plot latencyOverTime{"latency over time, from the scheduled time", "ms", {}, bands, true};
     Plot latencyTail{"tail of the latency", "ms", {}, {}, true, true};
-    Plot earnedValue{"earned in time, part of what was due", "%", {}, bands};
-    Plot openRequests{"commands open at the callers", "", {}, bands};
-    Plot backendMemory{"memory of the backends", "MB", {}, bands},
-        backendCpu{"CPU of the backends, seconds a second", "s", {}, bands},
-        runsOnCores{"runs on the cores of a pool", "", {}, bands};
+    Plot earnedValue{"value earned in time, fraction of the value due", "%", {}, bands};
+    Plot openRequests{"open requests at the clients", "", {}, bands};
+    Plot backendMemory{"backend memory", "MB", {}, bands},
+        backendCpu{"backend CPU, seconds per second", "s", {}, bands},
+        runsOnCores{"runs on the cores of each worker pool", "", {}, bands};
     int colorIndex = 0;
     for (const Side& side : sides) {
         const Json& run = *side.firstRun;
@@ -372,7 +372,7 @@
         }
     tables.push_back(tableNode("Plays",
                                {"build", "seed", "earned", "commands", "tries", "broken", "wasted", "calls",
-                                "most in records' hands", "sent late p99.9 ms"},
+                                "max mean dependency calls in flight", "send lag p99.9 ms"},
                                rows));
     rows.clear();
     for (const Json& fault : firstRun.at("troubles"))
@@ -380,10 +380,10 @@
                         formatNumber(fault.at("for_s").get<double>()) + " s"});
     if (!rows.empty()) tables.push_back(tableNode("Troubles", {"what", "at", "for"}, rows));
     if (!violations.empty())
-        lists.push_back(mstch::map{{"title", std::string("Broken rules")}, {"items", violations}});
+        lists.push_back(mstch::map{{"title", std::string("Violated invariants")}, {"items", violations}});
     if (!notes.empty()) lists.push_back(mstch::map{{"title", std::string("Notes")}, {"items", notes}});
 
-    std::string footer = "Made by cottonwing_lab " COTTONWING_VERSION ".";
+    std::string footer = "Generated by cottonwing_lab " COTTONWING_VERSION ".";
     for (const Side& side : sides)
         footer += " " + side.name + ": " + side.firstRun->at("build").get<std::string>() + ".";
     return mstch::render(kReportTemplate, mstch::map{{"name", firstRun.at("name").get<std::string>()},
