--- a/tests/config/deployment_variants_test.cpp
+++ b/tests/config/deployment_variants_test.cpp
@@ -43,7 +43,7 @@
     request::RequestManager requestManager(loop, processConfig.controller, 1 << 20, 1 << 20, log, counters);
     dependency::HttpDependencyClient dependencyClient(loop, processConfig.dependency, processConfig.limits,
                                                       requestManager, counters);
-    dependencyClient.startCall(1, ThriftTestClient::trace(1), 1s, "call");
+    dependencyClient.startCall(1, ThriftTestClient::requestId(1), 1s, "call");
     dependencyClient.changeAddress(std::nullopt);
     EXPECT_EQ(counters.of(telemetry::Count::CallsUnreachable), 1U);
     EXPECT_EQ(dependencyClient.callsInFlight(), 0U);
@@ -54,40 +54,41 @@
     file["settings"]["family_info"]["below"] = "tier";
     file["settings"]["family_info"]["dep_share"] = 0;
     ServerFixture fixture(file);
-    fixture.bound();
+    fixture.waitUntilHealthy();
     ThriftTestClient client(fixture.loop, fixture.port());
-    client.ask(1);
-    fixture.wait([&] { return fixture.pool.running.contains(ThriftTestClient::trace(1)); });
-    fixture.pool.block(ThriftTestClient::trace(1), "call");
-    fixture.wait([&] { return fixture.pool.supplied.contains(ThriftTestClient::trace(1)); });
-    EXPECT_EQ(fixture.pool.supplied.at(ThriftTestClient::trace(1)), "re:call");
+    client.sendRequest(1);
+    fixture.waitUntil([&] { return fixture.pool.running.contains(ThriftTestClient::requestId(1)); });
+    fixture.pool.block(ThriftTestClient::requestId(1), "call");
+    fixture.waitUntil(
+        [&] { return fixture.pool.dependencyResponses.contains(ThriftTestClient::requestId(1)); });
+    EXPECT_EQ(fixture.pool.dependencyResponses.at(ThriftTestClient::requestId(1)), "re:call");
 }
 
 // Unless the settings say that clients send their timeout, the field is absent.
 TEST(DeploymentVariants, ATimeoutIsRequiredOnlyWhereClientsSendIt) {
-    testing::FieldMap fields = ThriftTestClient::fields(1);
+    testing::FieldMap fields = ThriftTestClient::requestFields(1);
     fields.erase("patience");
     for (const bool clientsSendTimeout : {true, false}) {
         Json file = testing::plainConfigFile();
         file["settings"]["family_info"]["passes_deadline"] = clientsSendTimeout;
         ServerFixture fixture(file);
-        fixture.bound();
+        fixture.waitUntilHealthy();
         ThriftTestClient client(fixture.loop, fixture.port());
-        client.say(frames::serve(1, fields, "body"));
+        client.send(frames::serve(1, fields, "body"));
         if (clientsSendTimeout) {
-            fixture.wait([&] { return client.answers.contains(1); });
+            fixture.waitUntil([&] { return client.answers.contains(1); });
             EXPECT_EQ(client.answers[1].kind, "refusal");
             continue;
         }
-        fixture.wait([&] { return fixture.pool.running.contains(ThriftTestClient::trace(1)); });
-        fixture.pool.finish(ThriftTestClient::trace(1), "ok", "done");
-        fixture.wait([&] { return client.answers.contains(1); });
+        fixture.waitUntil([&] { return fixture.pool.running.contains(ThriftTestClient::requestId(1)); });
+        fixture.pool.finish(ThriftTestClient::requestId(1), "ok", "done");
+        fixture.waitUntil([&] { return client.answers.contains(1); });
         EXPECT_EQ(client.answers[1].body, "done");
         // A value that is present is still validated.
-        testing::FieldMap bad = ThriftTestClient::fields(2);
+        testing::FieldMap bad = ThriftTestClient::requestFields(2);
         bad["patience"] = "-4";
-        client.say(frames::serve(2, bad, "body"));
-        fixture.wait([&] { return client.answers.contains(2); });
+        client.send(frames::serve(2, bad, "body"));
+        fixture.waitUntil([&] { return client.answers.contains(2); });
         EXPECT_EQ(client.answers[2].kind, "refusal");
     }
     Json file = testing::plainConfigFile();
--- a/tests/overload/controller_rules_test.cpp
+++ b/tests/overload/controller_rules_test.cpp
@@ -36,7 +36,7 @@
               runStepOneIn = 1 + randomUpTo(19), earlyResultOneIn = 1 + randomUpTo(99);
     const int shutdownBatch = oneIn(2) ? randomUpTo(batches) : -1;
     RequestId nextId = 1;
-    for (int i = 0; i < batches && harness.broken.empty(); ++i) {
+    for (int i = 0; i < batches && harness.violations.empty(); ++i) {
         EventBatch batch;
         const bool shutdownIsNear = harness.processEnd >= 0ns && harness.now + 700ms > harness.processEnd;
         for (int n = shutdownIsNear ? 0 : randomUpTo(maxArrivals); n > 0; --n) {
@@ -59,7 +59,7 @@
         for (const auto& [id, tracked] : harness.requests) ids.push_back(id);
         for (const RequestId id : ids) {
             const ControllerHarness::TrackedRequest& tracked = harness.requests.at(id);
-            if (tracked.stage == ControllerHarness::Stage::CallInFlight &&
+            if (tracked.state == ControllerHarness::RequestState::CallInFlight &&
                 (harness.now >= tracked.callEnds || oneIn(earlyResultOneIn))) {
                 const auto outcome = harness.now >= tracked.callEnds ? Outcome::TimedOut
                                      : oneIn(failureOneIn)           ? static_cast<Outcome>(1 + randomUpTo(4))
@@ -68,15 +68,15 @@
                     batch.runResults.push_back({id, Outcome::Cancelled, 100ms});
                 else
                     batch.dependencyResults.push_back({id, outcome, 50ms});
-            } else if (tracked.stage == ControllerHarness::Stage::WaitingForCall &&
+            } else if (tracked.state == ControllerHarness::RequestState::WaitingForCall &&
                        (tracked.answered || tracked.cancelled)) {
                 batch.runResults.push_back({id, Outcome::Cancelled, 100ms});
-            } else if (tracked.stage == ControllerHarness::Stage::OnCores && oneIn(runStepOneIn)) {
+            } else if (tracked.state == ControllerHarness::RequestState::OnCores && oneIn(runStepOneIn)) {
                 if (oneIn(2) && !tracked.answered && !tracked.cancelled)
                     batch.waitingForDependency.push_back(id);
                 else
                     batch.runResults.push_back({id, oneIn(9) ? Outcome::Error : Outcome::Ok, 100ms});
-            } else if (tracked.stage == ControllerHarness::Stage::JoinedDuplicate && oneIn(20)) {
+            } else if (tracked.state == ControllerHarness::RequestState::JoinedDuplicate && oneIn(20)) {
                 batch.runResults.push_back({id, Outcome::Ok, 100ms});
             } else if (!tracked.cancelled && !tracked.answered && oneIn(60)) {
                 batch.clientCancellations.push_back(id);
@@ -86,7 +86,7 @@
         if (harness.processEnd >= 0ns && harness.now + 60ms > harness.processEnd) break;
         harness.step(batch, oneIn(40) && harness.processEnd < 0ns ? 60ms : 20ms);
     }
-    const std::vector<std::string> violations = std::exchange(harness.broken, {});
+    const std::vector<std::string> violations = std::exchange(harness.violations, {});
     RC_ASSERT(violations == std::vector<std::string>{});
 }
 
--- a/tests/overload/controller_test.cpp
+++ b/tests/overload/controller_test.cpp
@@ -137,7 +137,7 @@
         reachDependencyCall(harness, id);
         completeCall(harness, id, Outcome::LocalLimit);
         for (int n = 0; n < 10; ++n) harness.step();
-        EXPECT_EQ(harness.requests.at(id).stage, ControllerHarness::Stage::CallInFlight)
+        EXPECT_EQ(harness.requests.at(id).state, ControllerHarness::RequestState::CallInFlight)
             << "it was never sent, so it may be retried";
         completeCall(harness, id, Outcome::Ok);
         completeRun(harness, id, Outcome::Superseded);
@@ -155,7 +155,7 @@
             completeCall(harness, id, Outcome::MalformedResponse);
             for (int n = 0; n < 10; ++n) harness.step();
         }
-        if (harness.requests.at(id).stage == ControllerHarness::Stage::CallInFlight)
+        if (harness.requests.at(id).state == ControllerHarness::RequestState::CallInFlight)
             completeCall(harness, id, Outcome::Ok);
         completeRun(harness, id);
     }
@@ -182,10 +182,11 @@
     EXPECT_EQ(harness.attemptTimeout, 100ms);  // at least a twentieth of the latency objective
     EventBatch batch;                          // as many calls as the quota allows are sent at once
     for (RequestId id = 300; id < 310; ++id) batch.arrivals.push_back(harness.newRequest(id));
-    for (harness.step(batch); harness.countIn(ControllerHarness::Stage::OnCores) > 0;) {
+    for (harness.step(batch); harness.countInState(ControllerHarness::RequestState::OnCores) > 0;) {
         EventBatch calls;
         for (const auto& [id, tracked] : harness.requests)
-            if (tracked.stage == ControllerHarness::Stage::OnCores) calls.waitingForDependency.push_back(id);
+            if (tracked.state == ControllerHarness::RequestState::OnCores)
+                calls.waitingForDependency.push_back(id);
         harness.step(calls);
     }
     EXPECT_GE(harness.callsInFlight, 7) << "nothing is overloaded";
@@ -219,8 +220,8 @@
     for (int requestClass = 0; requestClass < 2; ++requestClass)
         batch.arrivals.push_back(harness.newRequest(50 + requestClass, requestClass, 90s));
     harness.step(batch);
-    EXPECT_EQ(harness.requests.at(50).stage, ControllerHarness::Stage::Queued);
-    EXPECT_EQ(harness.requests.at(51).stage, ControllerHarness::Stage::OnCores);
+    EXPECT_EQ(harness.requests.at(50).state, ControllerHarness::RequestState::Queued);
+    EXPECT_EQ(harness.requests.at(51).state, ControllerHarness::RequestState::OnCores);
 }
 
 TEST(ControllerCalls, HalfOfTheLastTwentyOutcomesOpenTheCircuitBreaker) {
@@ -259,11 +260,11 @@
             EventBatch batch;
             if (id % 10 == 0) batch.arrivals = {harness.newRequest(id)};
             for (const auto& [other, tracked] : harness.requests)
-                if (tracked.stage == ControllerHarness::Stage::OnCores)
+                if (tracked.state == ControllerHarness::RequestState::OnCores)
                     batch.waitingForDependency.push_back(other);
-                else if (tracked.stage != ControllerHarness::Stage::Queued && tracked.answered)
+                else if (tracked.state != ControllerHarness::RequestState::Queued && tracked.answered)
                     batch.runResults.push_back({other, Outcome::Cancelled, 1s});
-                else if (tracked.stage == ControllerHarness::Stage::CallInFlight &&
+                else if (tracked.state == ControllerHarness::RequestState::CallInFlight &&
                          harness.now >= tracked.callEnds)
                     batch.dependencyResults.push_back({other, Outcome::TimedOut, 1s});
             const int before = harness.calls;
@@ -286,7 +287,7 @@
     for (int n = 0; n < 20; ++n) harness.step();
     for (; id <= 30; ++id) {
         reachDependencyCall(harness, id);
-        ASSERT_EQ(harness.requests.at(id).stage, ControllerHarness::Stage::CallInFlight);
+        ASSERT_EQ(harness.requests.at(id).state, ControllerHarness::RequestState::CallInFlight);
         completeCall(harness, id, Outcome::Ok);
         completeRun(harness, id);
         for (int n = 0; n < 20; ++n) harness.step();
@@ -359,14 +360,14 @@
             completeRun(*harness, id);
             for (int n = 0; n < 7; ++n) harness->step();
         }
-    EXPECT_LT(fewClients.idle, 0s);  // never set
-    EXPECT_EQ(manyClients.idle, 1s);
+    EXPECT_LT(fewClients.idleTimeout, 0s);  // never set
+    EXPECT_EQ(manyClients.idleTimeout, 1s);
     for (RequestId id = 1000; id < 2000; id += 5) {
         EventBatch batch;
         for (RequestId n = 0; n < 5; ++n) batch.arrivals.push_back(manyClients.newRequest(id + n));
         manyClients.step(batch);
     }
-    EXPECT_GT(manyClients.idle, 2s);
+    EXPECT_GT(manyClients.idleTimeout, 2s);
 }
 
 // Rejected first attempts sustain a retry storm, because all of them are retried.
@@ -392,7 +393,7 @@
         harness.coreDemand = n % 5 == 0 ? 12.0 : 1.0;
         harness.step(batch);
     }
-    EXPECT_GE(harness.countIn(ControllerHarness::Stage::OnCores), 4);
+    EXPECT_GE(harness.countInState(ControllerHarness::RequestState::OnCores), 4);
 }
 
 TEST(ControllerQueue, StartsByDeadline) {
@@ -465,23 +466,25 @@
     EventBatch batch;
     for (int n = 0; n < 12; ++n) batch.arrivals.push_back(harness.newRequest(next++));
     harness.step(batch);
-    const auto firstUnansweredAt = [&](ControllerHarness::Stage searched) {
+    const auto firstUnansweredAt = [&](ControllerHarness::RequestState searched) {
         for (const auto& [id, tracked] : harness.requests)
-            if (tracked.stage == searched && !tracked.answered) return id;
+            if (tracked.state == searched && !tracked.answered) return id;
         return RequestId{0};
     };
     for (int failed = 0; failed < 5; ++failed) {
-        for (int n = 0; n < 200 && firstUnansweredAt(ControllerHarness::Stage::OnCores) == 0; ++n)
+        for (int n = 0; n < 200 && firstUnansweredAt(ControllerHarness::RequestState::OnCores) == 0; ++n)
             harness.step();
         batch = {};
-        batch.runResults = {{firstUnansweredAt(ControllerHarness::Stage::OnCores), Outcome::Error, 5ms}};
-        if (failed == 4) batch.clientCancellations = {firstUnansweredAt(ControllerHarness::Stage::Queued)};
+        batch.runResults = {
+            {firstUnansweredAt(ControllerHarness::RequestState::OnCores), Outcome::Error, 5ms}};
+        if (failed == 4)
+            batch.clientCancellations = {firstUnansweredAt(ControllerHarness::RequestState::Queued)};
         ASSERT_NE(batch.runResults[0].id, 0U);
         harness.step(batch, 1ms);
     }
     EXPECT_TRUE(harness.logged("circuit breaker opened: target=runs"));
     EXPECT_GT(harness.rejections, 0);
-    EXPECT_EQ(harness.countIn(ControllerHarness::Stage::Queued), 0);
+    EXPECT_EQ(harness.countInState(ControllerHarness::RequestState::Queued), 0);
 }
 
 // Regression test: a cold server with one core survives 1.6 runs at first, but two were started, because 1 is
@@ -499,7 +502,7 @@
         harness.step(batch);
         // Two runs are allowed once the server is at half of its capacity.
         if (harness.now - harness.startedAt < 3s) {
-            EXPECT_LE(harness.countIn(ControllerHarness::Stage::OnCores), 1) << n;
+            EXPECT_LE(harness.countInState(ControllerHarness::RequestState::OnCores), 1) << n;
         }
     }
     EXPECT_GT(harness.starts, 0);
@@ -519,7 +522,7 @@
     batch.waitingForDependency = {1};
     harness.step(batch);
     harness.step();
-    ASSERT_EQ(harness.countIn(ControllerHarness::Stage::CallInFlight), 1);
+    ASSERT_EQ(harness.countInState(ControllerHarness::RequestState::CallInFlight), 1);
     batch = {};
     batch.clientCancellations = {1};
     harness.step(batch);
--- a/tests/raw_client.h
+++ b/tests/raw_client.h
@@ -52,7 +52,7 @@
         at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
         EXPECT_EQ(::connect(socket_, reinterpret_cast<const sockaddr*>(&at), sizeof at), 0);
     }
-    ~RawClient() { hangUp(); }
+    ~RawClient() { close(); }
     RawClient(const RawClient&) = delete;
     RawClient& operator=(const RawClient&) = delete;
 
@@ -64,23 +64,23 @@
     ssize_t receive() {
         char bytes[65536];
         const ssize_t count = ::recv(socket_, bytes, sizeof bytes, MSG_DONTWAIT);
-        if (count > 0) text.append(bytes, static_cast<std::size_t>(count));
-        if (count == 0) ended = true;
-        if (count < 0 && errno != EAGAIN) reset = true;
+        if (count > 0) received.append(bytes, static_cast<std::size_t>(count));
+        if (count == 0) peerClosed = true;
+        if (count < 0 && errno != EAGAIN) wasReset = true;
         return count;
     }
-    bool over() {
+    bool hasEnded() {
         while (receive() > 0) {
         }
-        return ended || reset;
+        return peerClosed || wasReset;
     }
-    void hangUp() {
+    void close() {
         if (socket_ >= 0) ::close(socket_);
         socket_ = -1;
     }
 
-    std::string text;
-    bool ended = false, reset = false;
+    std::string received;
+    bool peerClosed = false, wasReset = false;
 
 private:
     int socket_;
--- a/tests/request/idempotent_requests_test.cpp
+++ b/tests/request/idempotent_requests_test.cpp
@@ -31,22 +31,22 @@
 
 struct IdempotentRequests : ServerFixture {
     explicit IdempotentRequests(Json config = configWithKeyedClass()) : ServerFixture(std::move(config)) {
-        bound();
+        waitUntilHealthy();
         client = std::make_unique<ThriftTestClient>(loop, port());
     }
     // Sends an attempt with the key and with its own request id.
     std::int32_t sendAttempt(int number, const std::string& key, const std::string& body = "body") {
-        testing::FieldMap fields = ThriftTestClient::fields(number);
+        testing::FieldMap fields = ThriftTestClient::requestFields(number);
         if (!key.empty()) fields["nonce"] = key;
-        client->say(frames::serve(++client->sequence, fields, body));
+        client->send(frames::serve(++client->sequence, fields, body));
         return client->sequence;
     }
-    const frames::Read& awaitAnswer(std::int32_t sequence) {
-        wait([&] { return client->answers.contains(sequence); });
+    const frames::Message& awaitAnswer(std::int32_t sequence) {
+        waitUntil([&] { return client->answers.contains(sequence); });
         return client->answers[sequence];
     }
     void awaitRun(int number) {
-        wait([&] { return pool.running.contains(ThriftTestClient::trace(number)); });
+        waitUntil([&] { return pool.running.contains(ThriftTestClient::requestId(number)); });
     }
     std::unique_ptr<ThriftTestClient> client;
 };
@@ -56,49 +56,49 @@
     const auto first = fixture.sendAttempt(1, "k1");
     fixture.awaitRun(1);
     const auto second = fixture.sendAttempt(2, "k1");
-    fixture.wait([&] { return fixture.count(Count::DuplicateRequests) == 1; });
-    fixture.pool.finish(ThriftTestClient::trace(1), "ok", "result");
+    fixture.waitUntil([&] { return fixture.count(Count::DuplicateRequests) == 1; });
+    fixture.pool.finish(ThriftTestClient::requestId(1), "ok", "result");
     EXPECT_EQ(fixture.awaitAnswer(first).body, "result");
     EXPECT_EQ(fixture.awaitAnswer(second).kind, "answer");
     EXPECT_EQ(fixture.awaitAnswer(second).body, "result");
     const auto third = fixture.sendAttempt(3, "k1");  // after the run ended
     EXPECT_EQ(fixture.awaitAnswer(third).body, "result");
-    EXPECT_EQ(fixture.pool.starts, 1);
-    fixture.expectBooksClosed();
+    EXPECT_EQ(fixture.pool.startCount, 1);
+    fixture.expectCountersBalanced();
 }
 
 TEST(IdempotentRequestsTest, ADuplicateReadInTheSameTurnWaitsForTheFirstAttempt) {
     IdempotentRequests fixture;
-    testing::FieldMap one = ThriftTestClient::fields(1);
-    testing::FieldMap two = ThriftTestClient::fields(2);
+    testing::FieldMap one = ThriftTestClient::requestFields(1);
+    testing::FieldMap two = ThriftTestClient::requestFields(2);
     one["nonce"] = "k1";
     two["nonce"] = "k1";
-    fixture.client->say(frames::serve(1, one, "body") + frames::serve(2, two, "body"));
+    fixture.client->send(frames::serve(1, one, "body") + frames::serve(2, two, "body"));
     fixture.awaitRun(1);
-    fixture.pool.finish(ThriftTestClient::trace(1), "ok", "result");
+    fixture.pool.finish(ThriftTestClient::requestId(1), "ok", "result");
     EXPECT_EQ(fixture.awaitAnswer(1).body, "result");
     EXPECT_EQ(fixture.awaitAnswer(2).body, "result");
-    EXPECT_EQ(fixture.pool.starts, 1);
+    EXPECT_EQ(fixture.pool.startCount, 1);
 }
 
 TEST(IdempotentRequestsTest, ADuplicateOfAFailedRequestFails) {
     IdempotentRequests fixture;
     const auto first = fixture.sendAttempt(1, "k1");
     fixture.awaitRun(1);
-    fixture.pool.finish(ThriftTestClient::trace(1), "failed");
+    fixture.pool.finish(ThriftTestClient::requestId(1), "failed");
     EXPECT_EQ(fixture.awaitAnswer(first).kind, "failed");
     // A rejection would mean that it never ran.
     EXPECT_EQ(fixture.awaitAnswer(fixture.sendAttempt(2, "k1")).kind, "failed");
-    EXPECT_EQ(fixture.pool.starts, 1);
+    EXPECT_EQ(fixture.pool.startCount, 1);
 }
 
 TEST(IdempotentRequestsTest, ARequestThatNeverRanMayBeRetried) {
     IdempotentRequests fixture;
-    fixture.pool.refused.push_back(ThriftTestClient::trace(1));
+    fixture.pool.unknownRequests.push_back(ThriftTestClient::requestId(1));
     EXPECT_EQ(fixture.awaitAnswer(fixture.sendAttempt(1, "k1")).kind, "failed");
     const auto again = fixture.sendAttempt(2, "k1");
     fixture.awaitRun(2);
-    fixture.pool.finish(ThriftTestClient::trace(2), "ok", "result");
+    fixture.pool.finish(ThriftTestClient::requestId(2), "ok", "result");
     EXPECT_EQ(fixture.awaitAnswer(again).body, "result");
 }
 
@@ -109,12 +109,12 @@
     const auto first = fixture.sendAttempt(1, "k1", "mine");
     fixture.awaitRun(1);
     EXPECT_EQ(fixture.awaitAnswer(fixture.sendAttempt(2, "k1", "theirs")).kind, "failed");
-    fixture.pool.finish(ThriftTestClient::trace(1), "ok", "result");
+    fixture.pool.finish(ThriftTestClient::requestId(1), "ok", "result");
     EXPECT_EQ(fixture.awaitAnswer(first).body, "result");
     EXPECT_EQ(fixture.awaitAnswer(fixture.sendAttempt(3, "k1", "theirs")).kind, "failed");
     EXPECT_EQ(fixture.count(Count::KeyConflicts), 2U);
-    EXPECT_EQ(fixture.pool.starts, 1);
-    fixture.expectBooksClosed();
+    EXPECT_EQ(fixture.pool.startCount, 1);
+    fixture.expectCountersBalanced();
 }
 
 TEST(IdempotentRequestsTest, AKeyIsRequiredAndLimitedInLength) {
@@ -129,13 +129,13 @@
     const auto first = fixture.sendAttempt(1, "k1");
     fixture.awaitRun(1);
     const auto second = fixture.sendAttempt(2, "k1");
-    fixture.wait([&] { return fixture.count(Count::DuplicateRequests) == 1; });
-    fixture.client->say(frames::forget(99, second));
-    fixture.wait([&] { return fixture.count(Count::ClientCancellations) == 1; });
-    fixture.pool.finish(ThriftTestClient::trace(1), "ok", "result");
+    fixture.waitUntil([&] { return fixture.count(Count::DuplicateRequests) == 1; });
+    fixture.client->send(frames::forget(99, second));
+    fixture.waitUntil([&] { return fixture.count(Count::ClientCancellations) == 1; });
+    fixture.pool.finish(ThriftTestClient::requestId(1), "ok", "result");
     EXPECT_EQ(fixture.awaitAnswer(first).body, "result");
     EXPECT_FALSE(fixture.client->answers.contains(second));
-    fixture.expectBooksClosed();
+    fixture.expectCountersBalanced();
 }
 
 // After the drain grace no run may start, but a duplicate of a request that ran must not be rejected either:
@@ -149,32 +149,32 @@
     fixture.awaitRun(5);
     fixture.sendAttempt(1, "k1");
     fixture.awaitRun(1);
-    fixture.pool.finish(ThriftTestClient::trace(1), "ok", "result");
-    fixture.program->beginShutdown();
-    fixture.wait([&] { return fixture.client->goaways > 0; });
+    fixture.pool.finish(ThriftTestClient::requestId(1), "ok", "result");
+    fixture.server->beginShutdown();
+    fixture.waitUntil([&] { return fixture.client->goawayCount > 0; });
     // Arrival times are sent in whole milliseconds, so a request of this millisecond may appear to predate
     // the shutdown notice.
     const auto noticedIn = net::unixNow() / 1ms;
-    fixture.wait([&] { return net::unixNow() / 1ms > noticedIn; });
+    fixture.waitUntil([&] { return net::unixNow() / 1ms > noticedIn; });
     const auto duplicate = fixture.sendAttempt(2, "k1");
     const auto newRequest = fixture.sendAttempt(3, "k2");
     EXPECT_EQ(fixture.awaitAnswer(duplicate).body, "result");
     EXPECT_EQ(fixture.awaitAnswer(newRequest).kind, "busy");
-    fixture.pool.finish(ThriftTestClient::trace(5), "ok", "done");
+    fixture.pool.finish(ThriftTestClient::requestId(5), "ok", "done");
     EXPECT_EQ(fixture.awaitAnswer(inUse).body, "done");
 }
 
 TEST(IdempotentRequestsTest, AFailedCallIsSkippedWhereTheClassAllowsADegradedResponse) {
     IdempotentRequests fixture;
-    fixture.records.answer = [](net::Connection&, const std::string&, const std::string&) {
+    fixture.dependency.handler = [](net::Connection&, const std::string&, const std::string&) {
         return testing::FakeHttpServer::reply(500);
     };
-    const auto sequence = fixture.client->ask(1, "body", "pay");
+    const auto sequence = fixture.client->sendRequest(1, "body", "pay");
     fixture.awaitRun(1);
-    fixture.pool.block(ThriftTestClient::trace(1), "call");
-    fixture.wait([&] { return !fixture.pool.passed.empty(); });
-    EXPECT_EQ(fixture.pool.passed.front(), ThriftTestClient::trace(1));
-    fixture.pool.finish(ThriftTestClient::trace(1), "ok", "poorer");
+    fixture.pool.block(ThriftTestClient::requestId(1), "call");
+    fixture.waitUntil([&] { return !fixture.pool.skippedCalls.empty(); });
+    EXPECT_EQ(fixture.pool.skippedCalls.front(), ThriftTestClient::requestId(1));
+    fixture.pool.finish(ThriftTestClient::requestId(1), "ok", "poorer");
     EXPECT_EQ(fixture.awaitAnswer(sequence).body, "poorer");
 }
 
@@ -183,19 +183,19 @@
 // nothing ran, and the request is removed from the table.
 TEST(IdempotentRequestsTest, AnUnconfirmedStartIsCheckedOnceItsClientHasBeenAnswered) {
     IdempotentRequests fixture;
-    testing::FieldMap fields = ThriftTestClient::fields(1, "pay", 1500);
-    fixture.client->say(frames::serve(++fixture.client->sequence, fields, "body"));
+    testing::FieldMap fields = ThriftTestClient::requestFields(1, "pay", 1500);
+    fixture.client->send(frames::serve(++fixture.client->sequence, fields, "body"));
     fixture.awaitRun(1);
     fixture.pool.running.clear();  // lost
-    fixture.pool.server.hangUp();
-    fixture.wait([&] { return fixture.count(Count::WorkerPoolConnections) == 2; });
+    fixture.pool.server.closeConnections();
+    fixture.waitUntil([&] { return fixture.count(Count::WorkerPoolConnections) == 2; });
     EXPECT_EQ(fixture.awaitAnswer(1).kind, "failed");
-    EXPECT_EQ(fixture.pool.starts, 1);
-    EXPECT_EQ(fixture.program->requestManager().trackedCount(), 1U);
-    fixture.wait([&] { return fixture.pool.starts == 2; });
-    fixture.pool.finish(ThriftTestClient::trace(1), "void");
-    fixture.wait([&] { return fixture.program->requestManager().trackedCount() == 0; });
-    fixture.expectBooksClosed();
+    EXPECT_EQ(fixture.pool.startCount, 1);
+    EXPECT_EQ(fixture.server->requestManager().trackedCount(), 1U);
+    fixture.waitUntil([&] { return fixture.pool.startCount == 2; });
+    fixture.pool.finish(ThriftTestClient::requestId(1), "void");
+    fixture.waitUntil([&] { return fixture.server->requestManager().trackedCount() == 0; });
+    fixture.expectCountersBalanced();
 }
 
 }  // namespace
--- a/tests/scgi/scgi_test.cpp
+++ b/tests/scgi/scgi_test.cpp
@@ -290,7 +290,7 @@
 TEST(Gateway, ThriftAndScgiShareOneRequestManager) {
     GatewayFixture fixture({loadtest::ScgiServerTerms{}});
     testing::ThriftTestClient thriftClient(fixture.loop, fixture.gateway->thriftServer()->port());
-    const auto sequence = thriftClient.ask(7, "plain bytes", "cause-list", 1500);
+    const auto sequence = thriftClient.sendRequest(7, "plain bytes", "cause-list", 1500);
     runUntil(fixture.loop, [&] { return thriftClient.answers.contains(sequence); });
     EXPECT_EQ(thriftClient.answers.at(sequence).body, "ok 0000000000000007");
     EXPECT_EQ(fixture.servers[0]->lastBody(), "plain bytes");
@@ -309,9 +309,9 @@
     client.send(scgi::writeRequest({{"REQUEST_METHOD", "GET"}, {"REQUEST_URI", "/list/all"}}, ""));
     // The drain is due by now, so its timer fires before the loop polls the sockets.
     std::this_thread::sleep_for(from + 302ms - net::unixNow());
-    runUntil(fixture.loop, [&] { return client.over(); });
-    EXPECT_FALSE(client.reset);
-    EXPECT_TRUE(client.text.starts_with("Status: ")) << client.text;
+    runUntil(fixture.loop, [&] { return client.hasEnded(); });
+    EXPECT_FALSE(client.wasReset);
+    EXPECT_TRUE(client.received.starts_with("Status: ")) << client.received;
     fixture.expectEveryRequestEnded();
 }
 
@@ -329,7 +329,7 @@
         if (net::unixNow() - from < 1200ms) return;
         ++number;
         client.send(testing::frames::serve(
-            number, testing::ThriftTestClient::fields(number, "cause-list", 1500), "body"));
+            number, testing::ThriftTestClient::requestFields(number, "cause-list", 1500), "body"));
     });
     fixture.loop.run();
     EXPECT_GT(fixture.counters.of(telemetry::Count::RequestsRead), 0U);
--- a/tests/soak/client_connection.cpp
+++ b/tests/soak/client_connection.cpp
@@ -63,7 +63,7 @@
     }
 }
 
-bool ClientConnection::read(const std::function<void(const testing::frames::Read&)>& onMessage) {
+bool ClientConnection::read(const std::function<void(const testing::frames::Message&)>& onMessage) {
     char bytes[65536];
     while (isOpen()) {
         const ssize_t count = recv(socket_, bytes, sizeof bytes, 0);
@@ -83,7 +83,7 @@
         input_.erase(0, kFrameHeaderBytes + length);
         served = true;
         try {
-            onMessage(testing::frames::read(frame));
+            onMessage(testing::frames::readMessage(frame));
         } catch (const std::exception&) {
             return false;
         }
--- a/tests/soak/client_connection.h
+++ b/tests/soak/client_connection.h
@@ -32,7 +32,7 @@
     void writeDue(Duration now);
     /// Reads what lies there and passes whole messages on.
     /// @param onMessage of each; @return whether all could be read
-    bool read(const std::function<void(const testing::frames::Read&)>& onMessage);
+    bool read(const std::function<void(const testing::frames::Message&)>& onMessage);
     /// Notices that it has opened or was refused.
     void checkConnected();
     /// Notices that the server has ended the connection, without reading what lies before its end.
--- a/tests/soak/clients.cpp
+++ b/tests/soak/clients.cpp
@@ -143,7 +143,7 @@
         return;
     }
     const bool readable =
-        connection.read([&](const frames::Read& message) { received(client, connection, message); });
+        connection.read([&](const frames::Message& message) { received(client, connection, message); });
     if (!readable) {
         ++recorder_.life().unreadableBytes;
         connection.close(true);
@@ -163,7 +163,7 @@
     for (const auto& connection : idle_) {
         connection->checkConnected();
         connection->writeDue(now);
-        connection->read([](const frames::Read&) {});
+        connection->read([](const frames::Message&) {});
     }
     std::erase_if(idle_, [](const auto& connection) {
         return connection->state() == State::Refused || connection->state() == State::ClosedByServer;
@@ -181,7 +181,7 @@
     if (!health_ || !(health_->isOpen() || health_->state() == State::Connecting))
         health_ = std::make_unique<ClientConnection>(server_);
     health_->checkConnected();
-    health_->read([this](const frames::Read& message) { ready_ = ready_ || message.good; });
+    health_->read([this](const frames::Message& message) { ready_ = ready_ || message.good; });
     if (ready_) return health_.reset();
     if (!health_->hasOutput()) health_->write(frames::isWell(++health_->sequence, false), 0ns);
     health_->writeDue(now);
@@ -321,7 +321,7 @@
 
 // ---- Receiving ------------------------------------------------------------------------------------------
 
-void Clients::received(Client& client, ClientConnection& connection, const frames::Read& message) {
+void Clients::received(Client& client, ClientConnection& connection, const frames::Message& message) {
     if (message.method == "goaway") {
         connection.sawGoaway = true;
         for (const auto& [sequence, id] : connection.open)
@@ -340,7 +340,7 @@
     answered(attempt, message);
 }
 
-void Clients::answered(Attempt& attempt, const frames::Read& message) {
+void Clients::answered(Attempt& attempt, const frames::Message& message) {
     Response response;
     response.at = net::unixNow();
     response.kind = message.kind == "answer" ? Response::Kind::Served
--- a/tests/soak/clients.h
+++ b/tests/soak/clients.h
@@ -52,8 +52,8 @@
                        std::function<void()> onWritten);
     void written(Client& client, ClientConnection& connection, std::int32_t sequence, const std::string& id);
     ClientConnection* findWaiting(Client& client, std::int32_t sequence, const std::string& id);
-    void received(Client& client, ClientConnection& connection, const testing::frames::Read& message);
-    void answered(Attempt& attempt, const testing::frames::Read& message);
+    void received(Client& client, ClientConnection& connection, const testing::frames::Message& message);
+    void answered(Attempt& attempt, const testing::frames::Message& message);
     void retry(const Attempt& attempt, Duration after);
     void noteFate(ClientConnection& connection, ConnectionFate fate);
 
--- a/tests/soak/worker_pool_process.cpp
+++ b/tests/soak/worker_pool_process.cpp
@@ -53,8 +53,8 @@
 
 void WorkerPoolProcess::serverStarted() {
     server_ = nullptr;
-    first_->hangUp();
-    second_->hangUp();
+    first_->closeConnections();
+    second_->closeConnections();
     notices_.clear();
     lastNotice_ = 0;
     pieceLeft_.clear();
@@ -74,8 +74,8 @@
     recorder_.note("pool", "closes its connection");
     server_ = nullptr;
     pieceLeft_.clear();
-    first_->hangUp();
-    second_->hangUp();
+    first_->closeConnections();
+    second_->closeConnections();
 }
 
 bool WorkerPoolProcess::isBlocked(const std::string& id) const {
--- a/tests/support/before_each_poll.h
+++ b/tests/support/before_each_poll.h
@@ -14,12 +14,12 @@
 /// Calls a function in each turn of the loop, after its timers and before it looks at the sockets.
 class BeforeEachPoll {
 public:
-    BeforeEachPoll(net::Loop& loop, std::function<void()> what)
-        : handle_(new uv_prepare_t), what_(std::move(what)) {
+    BeforeEachPoll(net::Loop& loop, std::function<void()> callback)
+        : handle_(new uv_prepare_t), callback_(std::move(callback)) {
         uv_prepare_init(loop.uvLoop(), handle_);
         handle_->data = this;
-        uv_prepare_start(handle_,
-                         [](uv_prepare_t* handle) { static_cast<BeforeEachPoll*>(handle->data)->what_(); });
+        uv_prepare_start(
+            handle_, [](uv_prepare_t* handle) { static_cast<BeforeEachPoll*>(handle->data)->callback_(); });
     }
     ~BeforeEachPoll() {
         uv_close(reinterpret_cast<uv_handle_t*>(handle_),
@@ -30,7 +30,7 @@
 
 private:
     uv_prepare_t* handle_;
-    std::function<void()> what_;
+    std::function<void()> callback_;
 };
 
 }  // namespace cottonwing::testing
--- a/tests/support/controller_harness.h
+++ b/tests/support/controller_harness.h
@@ -37,7 +37,7 @@
     // The last value of each decision that carries one.
     Duration attemptTimeout{0};   ///< Attempt timeout of the last call.
     Duration retryAfter{0};       ///< Of the last rejection.
-    Duration idle{-1};            ///< Idle time after which client connections are closed.
+    Duration idleTimeout{-1};     ///< Idle time after which client connections are closed.
     bool healthReported = false;  ///< Health.
     std::vector<std::string> logs;
 
@@ -52,12 +52,12 @@
         now += passed;
         batch.now = now;
         if (nextTickAt_ >= 0ns && now >= nextTickAt_ && !batch.gauges) {
-            batch.gauges = Gauges{0.5, coreDemand.value_or(countIn(Stage::OnCores)), 0.1, 3.0};
+            batch.gauges = Gauges{0.5, coreDemand.value_or(countInState(RequestState::OnCores)), 0.1, 3.0};
             nextTickAt_ = -1ns;
         }
         observe(batch);
         controller->decide(batch, *this);
-        judge();
+        checkInvariants();
     }
     void step(Duration passed = 20ms) { step(EventBatch{}, passed); }
 
@@ -94,7 +94,7 @@
         ReferenceModel::skipDependencyCall(id);
     }
     void setHealth(bool healthy) override { healthReported = healthy; }
-    void setIdleTimeout(Duration idleTimeout) override { idle = idleTimeout; }
+    void setIdleTimeout(Duration timeout) override { idleTimeout = timeout; }
     void scheduleTick(Duration delay) override { nextTickAt_ = now + delay; }
     void log(std::string_view line) override { logs.emplace_back(line); }
 
--- a/tests/support/fake_http_server.h
+++ b/tests/support/fake_http_server.h
@@ -16,23 +16,23 @@
 /// Answers each request by a function; an empty answer holds the response back.
 class FakeHttpServer {
 public:
-    using Answer =
+    using Handler =
         std::function<std::string(net::Connection&, const std::string& head, const std::string& body)>;
-    FakeHttpServer(net::Loop& loop, Answer answerWith, int port = 0)
-        : answer(std::move(answerWith)),
+    FakeHttpServer(net::Loop& loop, Handler requestHandler, int port = 0)
+        : handler(std::move(requestHandler)),
           server(
               loop,
-              [this](net::Connection& on, std::string& text) {
+              [this](net::Connection& connection, std::string& text) {
                   const std::size_t end = text.find("\r\n\r\n");
                   if (end == text.npos) return;
                   const std::size_t length = std::stoul(text.substr(text.find("Content-Length: ") + 16));
                   if (text.size() < end + 4 + length) return;
                   const std::string head = text.substr(0, end + 2), body = text.substr(end + 4, length);
                   text.clear();
-                  heads.push_back(head);
-                  bodies.push_back(body);
-                  const std::string reply = answer(on, head, body);
-                  if (!reply.empty()) on.send(reply);
+                  requestHeads.push_back(head);
+                  requestBodies.push_back(body);
+                  const std::string reply = handler(connection, head, body);
+                  if (!reply.empty()) connection.send(reply);
               },
               port) {}
     /// @return a response with this status, body and further header lines.
@@ -49,8 +49,8 @@
         return head.substr(from, head.find("\r\n", from) - from);
     }
 
-    Answer answer;
-    std::vector<std::string> heads, bodies;
+    Handler handler;
+    std::vector<std::string> requestHeads, requestBodies;
     FakeServer server;
 };
 
--- a/tests/support/fake_server.h
+++ b/tests/support/fake_server.h
@@ -18,64 +18,66 @@
 class FakeServer : private net::ConnectionHandler {
 public:
     /// Gets all unread text of a connection and removes what it has used.
-    using OnText = std::function<void(net::Connection&, std::string&)>;
-    FakeServer(net::Loop& loop, OnText onText, int port = 0)
-        : onText_(std::move(onText)),
+    using OnInput = std::function<void(net::Connection&, std::string&)>;
+    FakeServer(net::Loop& loop, OnInput onInput, int port = 0)
+        : onInput_(std::move(onInput)),
           listener_(std::make_unique<net::Listener>(
               loop, net::Address{"127.0.0.1", port},
               [this, &loop](net::PendingConnection socket) {
-                  ++accepted;
-                  Line line;
-                  line.number = accepted;
-                  line.connection = newConnection(loop, socket);
-                  lines.push_back(std::move(line));
+                  ++acceptedCount;
+                  AcceptedConnection entry;
+                  entry.number = acceptedCount;
+                  entry.connection = newConnection(loop, socket);
+                  connections.push_back(std::move(entry));
               },
               [] { return false; })) {}
     net::Address address() const { return {"127.0.0.1", listener_->port()}; }
     void stopListening() { listener_.reset(); }
     /// Closes all connections.
-    void hangUp() { lines.clear(); }
-    void hangUp(net::Connection& on) {
-        std::erase_if(lines, [&](const Line& line) { return line.connection.get() == &on; });
+    void closeConnections() { connections.clear(); }
+    void closeConnection(net::Connection& connection) {
+        std::erase_if(connections,
+                      [&](const AcceptedConnection& entry) { return entry.connection.get() == &connection; });
     }
 
     /// @return the number of a connection, in the order of acceptance; 0 where it has ended.
     int numberOf(const net::Connection& connection) const {
-        for (const Line& line : lines)
-            if (line.connection.get() == &connection) return line.number;
+        for (const AcceptedConnection& entry : connections)
+            if (entry.connection.get() == &connection) return entry.number;
         return 0;
     }
     /// @return the connection of this number, while it is open.
     net::Connection* find(int number) const {
-        for (const Line& line : lines)
-            if (line.number == number) return line.connection.get();
+        for (const AcceptedConnection& entry : connections)
+            if (entry.number == number) return entry.connection.get();
         return nullptr;
     }
 
     /// A connection and what was read from it but not used.
-    struct Line {
+    struct AcceptedConnection {
         int number = 0;
         std::unique_ptr<net::Connection> connection;
         std::string text;
     };
-    std::list<Line> lines;
-    int accepted = 0;
+    std::list<AcceptedConnection> connections;
+    int acceptedCount = 0;
 
 private:
     std::unique_ptr<net::Connection> newConnection(net::Loop& loop, net::PendingConnection socket) {
         return std::unique_ptr<net::Connection>(new net::Connection(loop, socket, *this, {1 << 20, 1 << 20}));
     }
     void arrived(net::Connection& from) override {
-        const auto line = std::find_if(lines.begin(), lines.end(),
-                                       [&](const Line& l) { return l.connection.get() == &from; });
+        const auto entry = std::find_if(
+            connections.begin(), connections.end(),
+            [&](const AcceptedConnection& candidate) { return candidate.connection.get() == &from; });
         std::string scratch;
-        line->text += from.input().peek(from.input().size(), scratch);
+        entry->text += from.input().peek(from.input().size(), scratch);
         from.input().drop(from.input().size());
-        onText_(from, line->text);
+        onInput_(from, entry->text);
     }
-    void ended(net::Connection& of, net::ConnectionEnd) override { hangUp(of); }
+    void ended(net::Connection& of, net::ConnectionEnd) override { closeConnection(of); }
 
-    OnText onText_;
+    OnInput onInput_;
     std::unique_ptr<net::Listener> listener_;
 };
 
--- a/tests/support/invariant_violations.h
+++ b/tests/support/invariant_violations.h
@@ -1,5 +1,5 @@
 /// @file
-/// Collects what a test finds broken, and fails the test with it.
+/// Collects violated invariants and fails the test with it.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -9,22 +9,22 @@
 
 namespace cottonwing::testing {
 
-/// The rules found broken. What is still listed at the end fails the running test.
+/// The violations found. What is still listed at the end fails the running test.
 class InvariantViolations {
 public:
     InvariantViolations() = default;
     InvariantViolations(const InvariantViolations&) = delete;
     InvariantViolations& operator=(const InvariantViolations&) = delete;
     ~InvariantViolations() {
-        for (const std::string& violation : broken) ADD_FAILURE() << violation;
+        for (const std::string& violation : violations) ADD_FAILURE() << violation;
     }
 
     /// Lists the violation unless the rule was kept.
-    void rule(bool kept, const std::string& violation) {
-        if (!kept) broken.push_back(violation);
+    void check(bool holds, const std::string& violation) {
+        if (!holds) violations.push_back(violation);
     }
 
-    std::vector<std::string> broken;
+    std::vector<std::string> violations;
 };
 
 }  // namespace cottonwing::testing
--- a/tests/support/server_fixture.h
+++ b/tests/support/server_fixture.h
@@ -22,39 +22,39 @@
 public:
     explicit ServerFixture(const Json& configFile = plainConfigFile())
         : pool(loop),
-          records(loop, [](net::Connection&, const std::string&,
-                           const std::string& body) { return FakeHttpServer::reply(200, "re:" + body); }),
+          dependency(loop, [](net::Connection&, const std::string&,
+                              const std::string& body) { return FakeHttpServer::reply(200, "re:" + body); }),
           registry(loop, [](net::Connection&, const std::string&,
                             const std::string&) { return FakeHttpServer::reply(204); }),
-          log(lines, telemetry::Level::Debug),
-          server([&]() -> config::ProcessConfig {
-              config::ProcessConfig processConfig = processConfigFrom(configFile);
-              processConfig.workerPool = pool.server.address();
-              processConfig.dependency = records.server.address();
-              processConfig.registry = registry.server.address();
-              return processConfig;
+          log(logOutput, telemetry::Level::Debug),
+          processConfig([&]() -> config::ProcessConfig {
+              config::ProcessConfig loaded = processConfigFrom(configFile);
+              loaded.workerPool = pool.server.address();
+              loaded.dependency = dependency.server.address();
+              loaded.registry = registry.server.address();
+              return loaded;
           }()) {
         loop.onUncaughtException([](const std::string& what) { ADD_FAILURE() << what; });
-        program = std::make_unique<Server>(loop, server, log, counters);
+        server = std::make_unique<Server>(loop, processConfig, log, counters);
     }
     /// Waits until the worker pool is connected and the server healthy.
-    void bound() {
-        runUntil(loop, [&] { return program->requestManager().healthy(); });
+    void waitUntilHealthy() {
+        runUntil(loop, [&] { return server->requestManager().healthy(); });
     }
     template <typename Condition>
-    void wait(Condition&& condition) {
+    void waitUntil(Condition&& condition) {
         runUntil(loop, condition);
     }
-    /// Replaces the configuration file and has the program read it again.
-    void readAgain(const Json& file) {
-        withConfigFile(file, [&](const auto& environment) { program->reload(environment); });
+    /// Replaces the configuration file and has the server read it again.
+    void reloadWith(const Json& file) {
+        withConfigFile(file, [&](const auto& environment) { server->reload(environment); });
     }
-    int port() const { return program->thriftServer().port(); }
+    int port() const { return server->thriftServer().port(); }
     std::uint64_t count(telemetry::Count kind) const { return counters.of(kind); }
     std::uint64_t count(net::ConnectionEnd end) const { return counters.of(end); }
     /// Every request has exactly one kind of end and every dependency call one outcome; nothing is tracked
     /// any more.
-    void expectBooksClosed() const {
+    void expectCountersBalanced() const {
         using telemetry::Count;
         EXPECT_EQ(count(Count::RequestsRead), count(Count::Completed) + count(Count::Rejected) +
                                                   count(Count::Failed) + count(Count::ClientCancellations));
@@ -64,18 +64,18 @@
                       count(Count::CallsConnectionLost) + count(Count::CallsSuperseded) +
                       count(Count::CallsAbandoned) + count(Count::CallsLocalLimit) +
                       count(Count::CallsMalformedResponse));
-        EXPECT_EQ(program->requestManager().trackedCount(), 0U);
-        EXPECT_EQ(program->dependencyClient().callsInFlight(), 0U);
+        EXPECT_EQ(server->requestManager().trackedCount(), 0U);
+        EXPECT_EQ(server->dependencyClient().callsInFlight(), 0U);
     }
 
     net::Loop loop;
     FakeWorkerPool pool;
-    FakeHttpServer records, registry;
-    std::ostringstream lines;
+    FakeHttpServer dependency, registry;
+    std::ostringstream logOutput;
     telemetry::Log log;
     telemetry::Counters counters;
-    config::ProcessConfig server;
-    std::unique_ptr<Server> program;
+    config::ProcessConfig processConfig;
+    std::unique_ptr<Server> server;
 };
 
 }  // namespace cottonwing::testing
--- a/tests/support/thrift_frames.h
+++ b/tests/support/thrift_frames.h
@@ -64,30 +64,30 @@
     });
 }
 
-/// A message as it was read.
-struct Read {
+/// A message as it was message.
+struct Message {
     std::string method, kind, body;  // kind: answer, busy, failed, refusal, oneway
     std::int32_t sequence = 0;
     FieldMap fields;
     bool good = false;
 };
 
-inline void readFields(TBinaryProtocol& in, Read& read) {
+inline void readFields(TBinaryProtocol& in, Message& message) {
     std::string name;
     protocol::TType type, key, value;
     std::int16_t id;
     for (in.readFieldBegin(name, type, id); type != protocol::T_STOP; in.readFieldBegin(name, type, id)) {
         if (type == protocol::T_STRING) {
-            in.readBinary(read.body);
+            in.readBinary(message.body);
         } else if (type == protocol::T_BOOL) {
-            in.readBool(read.good);
+            in.readBool(message.good);
         } else if (type == protocol::T_MAP) {
             std::uint32_t size;
             in.readMapBegin(key, value, size);
             for (std::uint32_t i = 0; i < size; ++i) {
                 std::string first, second;
                 in.readString(first), in.readString(second);
-                read.fields[first] = second;
+                message.fields[first] = second;
             }
         } else {
             in.skip(type);
@@ -96,25 +96,25 @@
 }
 
 /// Reads one message, without its length.
-inline Read read(const std::string& content) {
+inline Message readMessage(const std::string& content) {
     const auto memory = std::make_shared<TMemoryBuffer>();
     memory->write(reinterpret_cast<const std::uint8_t*>(content.data()),
                   static_cast<std::uint32_t>(content.size()));
     TBinaryProtocol in(memory, 0, 0, true, true);
-    Read read;
+    Message message;
     protocol::TMessageType kind;
-    in.readMessageBegin(read.method, kind, read.sequence);
+    in.readMessageBegin(message.method, kind, message.sequence);
     if (kind == protocol::T_REPLY) {
         std::string name;
         protocol::TType type;
         std::int16_t id;
         in.readFieldBegin(name, type, id);
-        read.kind = id == 0 ? "answer" : id == 1 ? "busy" : "failed";
+        message.kind = id == 0 ? "answer" : id == 1 ? "busy" : "failed";
     } else {
-        read.kind = kind == protocol::T_ONEWAY ? "oneway" : "refusal";
+        message.kind = kind == protocol::T_ONEWAY ? "oneway" : "refusal";
     }
-    readFields(in, read);
-    return read;
+    readFields(in, message);
+    return message;
 }
 
 }  // namespace frames
--- a/tests/support/thrift_test_client.h
+++ b/tests/support/thrift_test_client.h
@@ -25,50 +25,52 @@
         : connection(new net::Connection(loop, {"127.0.0.1", port}, *this, {1 << 20, 1 << 20})) {}
 
     /// @return a request id as the wire gives it: 16 hex digits.
-    static std::string trace(int number) {
+    static std::string requestId(int number) {
         char text[17];
         std::snprintf(text, sizeof text, "%016x", number);
         return text;
     }
     /// @return the fields of a valid request; `patience` in milliseconds.
-    static FieldMap fields(int number, const std::string& route = "read", int patience = 4000) {
-        return {{"route", route}, {"trace", trace(number)}, {"born", std::to_string(net::unixNow() / 1ms)},
-                {"client", "4"},  {"customer", "acme"},     {"patience", std::to_string(patience)},
-                {"size", "12.5"}, {"weight", "20.00"},      {"order", "0.5"}};
+    static FieldMap requestFields(int number, const std::string& route = "read", int patience = 4000) {
+        return {
+            {"route", route}, {"trace", requestId(number)}, {"born", std::to_string(net::unixNow() / 1ms)},
+            {"client", "4"},  {"customer", "acme"},         {"patience", std::to_string(patience)},
+            {"size", "12.5"}, {"weight", "20.00"},          {"order", "0.5"}};
     }
     /// Sends a request under a new sequence number.
     /// @return the sequence number.
-    std::int32_t ask(int number, const std::string& body = "body", const std::string& route = "read",
-                     int patience = 4000) {
-        say(frames::serve(++sequence, fields(number, route, patience), body));
+    std::int32_t sendRequest(int number, const std::string& body = "body", const std::string& route = "read",
+                             int patience = 4000) {
+        send(frames::serve(++sequence, requestFields(number, route, patience), body));
         return sequence;
     }
-    void say(const std::string& bytes) { connection->send(bytes); }
-    void hangUp() { connection.reset(); }
+    void send(const std::string& bytes) { connection->send(bytes); }
+    void close() { connection.reset(); }
 
     std::unique_ptr<net::Connection> connection;
     std::int32_t sequence = 0;
-    std::vector<frames::Read> heard;
-    std::map<std::int32_t, frames::Read> answers;  // by sequence number
-    int twice = 0;                                 // second answers under one number
-    int goaways = 0;
-    bool gone = false;
+    std::vector<frames::Message> messages;
+    std::map<std::int32_t, frames::Message> answers;  // by sequence number
+    int duplicateAnswers = 0;                         // second answers under one number
+    int goawayCount = 0;
+    bool closed = false;
 
 private:
     void arrived(net::Connection& from) override {
         std::size_t length = 0;
         std::string scratch;
         while (thrift::peekFrame(from.input(), length) == thrift::FrameState::Complete) {
-            heard.push_back(frames::read(std::string(from.input().peek(4 + length, scratch).substr(4))));
+            messages.push_back(
+                frames::readMessage(std::string(from.input().peek(4 + length, scratch).substr(4))));
             from.input().drop(4 + length);
-            if (heard.back().method == "goaway")
-                ++goaways;
-            else if (!answers.emplace(heard.back().sequence, heard.back()).second)
-                ++twice;
+            if (messages.back().method == "goaway")
+                ++goawayCount;
+            else if (!answers.emplace(messages.back().sequence, messages.back()).second)
+                ++duplicateAnswers;
         }
     }
     void ended(net::Connection&, net::ConnectionEnd) override {
-        gone = true;
+        closed = true;
         connection.reset();
     }
 };
--- a/tests/thrift/codec_test.cpp
+++ b/tests/thrift/codec_test.cpp
@@ -37,7 +37,7 @@
 }
 
 TEST(ThriftCodec, ThePublishedLibraryDecodesTheReplies) {
-    const auto read = [](const std::string& frame) { return frames::read(frame.substr(4)); };
+    const auto read = [](const std::string& frame) { return frames::readMessage(frame.substr(4)); };
     const auto answer = read(thrift::writeAnswer("serve", 5, "result", {{"advice", "0.5"}}, true));
     EXPECT_EQ(answer.kind + answer.method + answer.body, "answerserveresult");
     EXPECT_TRUE(answer.good);
