--- a/tests/raw_client.h
+++ b/tests/raw_client.h
@@ -1,5 +1,6 @@
-// A client on a blocking socket of its own: what it sends lies in the system until the loop turns, so a test
-// chooses the order in which the loop finds things.
+/// @file
+/// A client on a blocking socket outside the event loop: what it sends stays in the kernel until the loop
+/// runs, so a test controls the order in which the loop finds events.
 #pragma once
 
 #include <arpa/inet.h>
@@ -14,7 +15,7 @@
 
 namespace cottonwing::testing {
 
-// The other side, on a port that the system chooses.
+/// A listener on a port chosen by the operating system.
 class RawServer {
 public:
     RawServer() : listener_(::socket(AF_INET, SOCK_STREAM, 0)) {
@@ -30,7 +31,8 @@
     ~RawServer() { ::close(listener_); }
     RawServer(const RawServer&) = delete;
     RawServer& operator=(const RawServer&) = delete;
-    // Waits for the next connection, which the other side has opened.
+    /// Accepts the next connection.
+    /// @return its socket.
     int accept() const { return ::accept(listener_, nullptr, nullptr); }
 
     int port = 0;
@@ -39,8 +41,10 @@
     int listener_;
 };
 
+/// One connection, opened by the client or accepted by a RawServer.
 class RawClient {
 public:
+    /// The socket of an accepted connection.
     struct Accepted {
         int socket;
     };
@@ -60,7 +64,9 @@
         EXPECT_EQ(::send(socket_, bytes.data(), bytes.size(), MSG_NOSIGNAL),
                   static_cast<ssize_t>(bytes.size()));
     }
-    // Takes what has come: more than 0 bytes, 0 at the other side's end, less on nothing or a reset.
+    /// Reads the available bytes without blocking.
+    /// @return their number; 0 once the peer has closed the connection; negative without input or after a
+    /// reset.
     ssize_t receive() {
         char bytes[65536];
         const ssize_t count = ::recv(socket_, bytes, sizeof bytes, MSG_DONTWAIT);
@@ -69,6 +75,8 @@
         if (count < 0 && errno != EAGAIN) wasReset = true;
         return count;
     }
+    /// Reads all available bytes.
+    /// @return whether the peer has closed or reset the connection.
     bool hasEnded() {
         while (receive() > 0) {
         }
--- a/tests/request/event_ordering_test.cpp
+++ b/tests/request/event_ordering_test.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Pairs of events that may meet in an unexpected order: each test makes that order happen every time.
-/// docs/design/crossings.md lists them.
+/// Pairs of events that may occur in an unexpected order; each test forces that order.
+/// docs/design/crossings.md lists the pairs.
 #include <string>
 #include <thread>
 
@@ -25,7 +25,7 @@
     return frames::serve(sequence, ThriftTestClient::requestFields(number), "body");
 }
 
-// One connection accepted, without a protocol on it.
+// Accepts one connection and discards its input.
 struct AcceptingServer : private net::ConnectionHandler {
     explicit AcceptingServer(net::Loop& theLoop)
         : loop(theLoop),
@@ -43,13 +43,14 @@
     net::Listener listener;
 };
 
-// Closed with unread input, the connection was reset, and an answer on its way was lost with it.
+// Guards against a lost answer: closing a socket with unread input resets the connection, which discards
+// output that the client has not read yet.
 TEST(ConnectionEnding, AnOrderlyEndFollowsTheOutputAndDropsUnreadInput) {
     net::Loop loop;
     AcceptingServer server(loop);
     RawClient client(server.listener.port());
     runUntil(loop, [&] { return server.connection != nullptr; });
-    const std::string answer(300000, 'a');  // more than the system takes at once
+    const std::string answer(300000, 'a');  // more than the kernel buffers at once
     server.connection->send(answer);
     client.send("crosses");
     EXPECT_TRUE(server.connection->hasUnreadBytes());
@@ -74,7 +75,7 @@
     bool done = false;
     server.connection->closeGracefully([&] { done = true; });
     server.connection.reset();
-    runUntil(loop, [&] { return done; });  // the client neither reads nor ends
+    runUntil(loop, [&] { return done; });  // the client neither reads nor closes
     EXPECT_TRUE(client.hasEnded());
 }
 
@@ -89,8 +90,8 @@
     loop.reset();
 }
 
-// Found in a long run: a client's connection lives for most of an hour, and the eighth malformed request
-// closed it with all that was open on it.
+// Guards against open requests lost to occasional malformed ones: the eighth malformed request in the
+// lifetime of a connection, which can be most of an hour, used to close it with all its open requests.
 TEST(Crossings, MalformedRequestsBetweenGoodOnesDoNotEndAConnection) {
     ServerFixture fixture;
     fixture.waitUntilHealthy();
@@ -122,7 +123,7 @@
     fixture.pool.finish(ThriftTestClient::requestId(1), "ok", "done");
     fixture.waitUntil([&] { return client.closed; });
     EXPECT_EQ(client.answers[open].body, "done");
-    EXPECT_EQ(fixture.count(Count::MalformedRequests), 8U);  // the rest was not read any more
+    EXPECT_EQ(fixture.count(Count::MalformedRequests), 8U);  // the rest was not read
     EXPECT_EQ(fixture.count(ConnectionEnd::Malformed), 1U);
     fixture.expectCountersBalanced();
 }
@@ -143,8 +144,9 @@
     EXPECT_EQ(fixture.count(ConnectionEnd::TimedOut), 1U);
 }
 
-// The end of a run and the next request under its id, read in one turn, were one request to the controller;
-// the second was never answered. Where the request is read first, it is refused as it always was.
+// Guards against an unanswered request: when the end of a run and a new request with the same id were read in
+// one loop iteration, the controller took them for one request and the second was never answered. A request
+// that is read before the end of the run is refused.
 TEST(Crossings, AnIdStaysInUseUntilTheControllerHasProcessedItsEnd) {
     ServerFixture fixture;
     fixture.waitUntilHealthy();
@@ -160,7 +162,8 @@
     fixture.expectCountersBalanced();
 }
 
-// There is no bound for the expected work: rough hints beyond the class's timeout were refused.
+// Guards against the refusal of requests with a rough hint: expected work above the timeout of the request
+// class is valid, as it has no upper limit.
 TEST(Crossings, ExpectedWorkBeyondTheTimeoutIsAccepted) {
     ServerFixture fixture;
     fixture.waitUntilHealthy();
@@ -176,8 +179,8 @@
     EXPECT_EQ(fixture.count(Count::MalformedRequests), 0U);
 }
 
-// A client connects while the connection limit is reached, and the connection unused for longest has just
-// sent.
+// Guards against the eviction of a connection with an unread request: a client connects at the connection
+// limit just after the least recently used connection has sent a request.
 TEST(Crossings, AConnectionWithUnreadInputIsNotEvicted) {
     Json configFile = testing::plainConfigFile();
     configFile["limits"]["sockets"] = 64;
@@ -192,8 +195,8 @@
     }
     const Duration from = net::unixNow();
     fixture.waitUntil([&] { return net::unixNow() - from > 150ms; });
-    RawClient late(fixture.port());             // noticed first
-    clients.front()->send(serveRequest(2, 7));  // already there when a connection to evict is searched
+    RawClient late(fixture.port());             // accepted first
+    clients.front()->send(serveRequest(2, 7));  // unread when the connection to evict is chosen
     late.send(serveRequest(1, 8));
     fixture.waitUntil([&] {
         return fixture.pool.running.contains(ThriftTestClient::requestId(7)) &&
@@ -203,8 +206,8 @@
     EXPECT_FALSE(clients.front()->hasEnded());
 }
 
-// The address changes while messages are unread on the old connection: messages sent last were lost with its
-// reset.
+// Guards against lost messages to the worker pool: when the address changed while input was unread on the old
+// connection, closing it caused a reset that discarded the last output.
 TEST(Crossings, AWorkerPoolAddressChangeEndsTheOldConnectionInOrder) {
     net::Loop loop;
     std::ostringstream lines;
@@ -229,8 +232,8 @@
     EXPECT_NE(oldConnection.received.find("poll"), std::string::npos);
 }
 
-// Two configurations in a row, the first to where nobody listens: the connection is down, or being opened, as
-// the address changes.
+// Two address changes in a row, the first to a port without a listener: the address changes while the client
+// is connecting and while it waits to reconnect.
 TEST(Crossings, AWorkerPoolAddressChangesWhileThereIsNoConnection) {
     net::Loop loop;
     std::ostringstream lines;
@@ -241,14 +244,14 @@
     testing::FakeWorkerPool pool(loop);
     worker_pool::WorkerPoolClient client(loop, {"127.0.0.1", 1}, processConfig.limits, {"read", "look"},
                                          processConfig.gaugeNames, 7, requestManager, log, counters);
-    client.changeAddress({"127.0.0.1", 1});  // while it is being opened
+    client.changeAddress({"127.0.0.1", 1});  // while connecting
     runUntil(loop, [&] { return counters.of(ConnectionEnd::ConnectRefused) > 0; });
-    client.changeAddress(pool.server.address());  // while it waits to reconnect
+    client.changeAddress(pool.server.address());  // while waiting to reconnect
     runUntil(loop, [&] { return counters.of(Count::WorkerPoolConnections) == 1; });
     EXPECT_EQ(pool.bindMessages.size(), 1U);
 }
 
-// SIGTERM before the worker pool is ready: the server stays reported as draining when the pool comes up.
+// SIGTERM before the worker pool is ready: the server keeps reporting that it drains when the pool is ready.
 TEST(Crossings, ShutdownBeforeTheExecutorIsReadyKeepsReportingDraining) {
     ServerFixture fixture;
     fixture.pool.available = false;
@@ -273,8 +276,8 @@
     fixture.expectCountersBalanced();
 }
 
-// SIGTERM and SIGHUP together: the registry of the new file learns that the server is draining, and nothing
-// else.
+// SIGTERM together with SIGHUP: the registry of the new configuration receives only reports that the server
+// drains.
 TEST(Crossings, ANewRegistryAddressLearnsThatTheServerIsDraining) {
     ServerFixture fixture;
     fixture.waitUntilHealthy();
@@ -288,7 +291,7 @@
     next["registry"] = text(other.server.address());
     fixture.server->beginShutdown();
     fixture.reloadWith(next);
-    fixture.reloadWith(next);  // and once more: nothing moves
+    fixture.reloadWith(next);  // again, without a change
     fixture.waitUntil([&] { return !other.requestBodies.empty(); });
     for (const std::string& body : other.requestBodies) EXPECT_EQ(body, R"({"state":"draining"})");
     EXPECT_EQ(fixture.count(Count::Reloads), 2U);
@@ -301,25 +304,26 @@
     return configFile;
 }
 
-// AcceptingServer by the operating system, and not by the server when the listener closed.
+// Guards against a reset of connections that the operating system has established and the server has not
+// accepted when the listener closes.
 TEST(Crossings, ConnectionsThatWaitAtTheListenerAreAcceptedBeforeItCloses) {
     ServerFixture fixture(configWithoutDrainGrace());
     fixture.waitUntilHealthy();
     fixture.server->beginShutdown();
     RawClient early(fixture.port());
-    early.send(serveRequest(1, 1));  // the loop has not turned since
+    early.send(serveRequest(1, 1));  // no loop iteration since the shutdown began
     fixture.waitUntil([&] {
         return fixture.count(Count::Rejected) == 1 ||
                fixture.pool.running.contains(ThriftTestClient::requestId(1));
     });
-    // It runs where it came in the very moment of the notice.
+    // It runs if its arrival time, in whole milliseconds, equals that of the shutdown notice.
     if (fixture.count(Count::Rejected) == 0) fixture.pool.finish(ThriftTestClient::requestId(1));
     fixture.waitUntil([&] { return early.receive(), early.received.find("serve") != early.received.npos; });
     fixture.expectCountersBalanced();
 }
 
-// Guards against a request that is run although it was whole only after the drain grace, as its client names
-// the moment at which it began to write.
+// Guards against a run of a request that was complete only after the drain grace: the time that its client
+// sends is when it began to write.
 TEST(Crossings, ARequestCompletedAfterTheDrainGraceIsNotRun) {
     ServerFixture fixture;
     fixture.waitUntilHealthy();
@@ -346,8 +350,8 @@
     return count;
 }
 
-// Guards against a request that is read in the turn in which the process stops, and never answered: one comes
-// in every turn around that time.
+// Guards against a request that is read in the last loop iteration and never answered. A request is sent in
+// every iteration around the end of the process.
 TEST(Crossings, ARequestReadInTheLastTurnIsAnswered) {
     Json configFile = testing::plainConfigFile();
     configFile["stop_ms"] = 800;  // an idle connection is not closed before that
@@ -373,7 +377,8 @@
     EXPECT_EQ(occurrences(client.received, "serve"), fixture.count(Count::RequestsRead));
 }
 
-// A turn that begins past the time to close a draining connection, with a request on it unread.
+// Guards against a lost request when a loop iteration begins after a draining connection is due to be closed,
+// with a request unread on it.
 TEST(Crossings, ADrainingConnectionIsNotClosedWithAnUnreadRequest) {
     ServerFixture fixture(configWithoutDrainGrace());
     fixture.waitUntilHealthy();
--- a/tests/server_test.cpp
+++ b/tests/server_test.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// The whole server against fake peers on loopback, on one event loop, waiting for conditions.
+/// The complete server with fake peers on loopback. All run on one event loop, and tests wait for conditions
+/// instead of sleeping.
 #include <sys/resource.h>
 #include <uv.h>
 
@@ -27,7 +28,7 @@
 using testing::ThriftTestClient;
 namespace frames = testing::frames;
 
-// A server whose worker pool is bound, with one Thrift client.
+// A healthy server with one Thrift client.
 struct ServerWithClient : ServerFixture {
     explicit ServerWithClient(Json configFile = testing::plainConfigFile())
         : ServerFixture(std::move(configFile)) {
@@ -44,19 +45,20 @@
     void finish(int number, const std::string& state = "ok", const std::string& result = "") {
         pool.finish(ThriftTestClient::requestId(number), state, result);
     }
-    // A command that waits at its call below.
+    // Sends a request whose run waits for its dependency call.
     std::int32_t sendRequestWithCall(int number, const std::string& body = "call") {
         const std::int32_t sequence = client->sendRequest(number);
         awaitRun(number);
         pool.block(ThriftTestClient::requestId(number), body);
         return sequence;
     }
-    // Past the moment in which a kept connection is not used, as something may follow the reply on it.
+    // A connection that has received a response is not reused at once, as surplus bytes may follow the
+    // response. Waits until that time has passed.
     void waitUntilConnectionIsReusable() {
         const Duration from = net::unixNow();
         waitUntil([&] { return net::unixNow() > from + 10ms; });
     }
-    // Not from under the handler of that very connection.
+    // Closes the connection from a timer, as its own handler must not destroy it.
     void closeAfterHandler(net::Connection& from) {
         closeTimer = std::make_unique<net::Timer>(loop, [&] { dependency.server.closeConnection(from); });
         closeTimer->start(0ns);
@@ -165,7 +167,7 @@
         with("patience", "8001"),   with("born", std::to_string(net::unixNow() / 1ms + 5000))};
     std::int32_t sequence = 0;
     for (const testing::FieldMap& fields : bad) {
-        // A few are borne with on one connection, not many.
+        // A connection with too many malformed requests is closed, so each carries six at most.
         if (sequence % 6 == 0)
             fixture.client = std::make_unique<ThriftTestClient>(fixture.loop, fixture.port());
         fixture.client->send(frames::serve(++sequence, fields, "body"));
@@ -180,7 +182,7 @@
     EXPECT_EQ(fixture.awaitAnswer(sequence).kind, "refusal");
     fixture.client->send(frames::serve(++sequence, ThriftTestClient::requestFields(9), ""));
     fixture.client->send(frames::serve(++sequence, ThriftTestClient::requestFields(9), ""));
-    EXPECT_EQ(fixture.awaitAnswer(sequence).kind, "refusal");  // its trace is in hand already
+    EXPECT_EQ(fixture.awaitAnswer(sequence).kind, "refusal");  // its request id is in use
     EXPECT_EQ(fixture.count(Count::MalformedRequests), static_cast<std::uint64_t>(sequence - 1));
     EXPECT_EQ(fixture.count(Count::RequestsRead), 1U);
     EXPECT_FALSE(fixture.client->closed);
@@ -188,17 +190,17 @@
 
 TEST(ThriftServer, CancelMessageBeforeDuringAndAfterARun) {
     ServerWithClient fixture;
-    // Before: read and forgotten in one turn, it never starts.
+    // Before the run: request and cancellation are read in one loop iteration, so no run starts.
     fixture.client->send(frames::serve(1, ThriftTestClient::requestFields(1), "") + frames::forget(2, 1));
     fixture.waitUntil([&] { return fixture.count(Count::ClientCancellations) == 1; });
-    // While: it is halted, and its place is free once that is told.
+    // During the run: it is cancelled, and the request is tracked until the worker pool reports its end.
     fixture.client->sequence = 2;
     const std::int32_t second = fixture.client->sendRequest(2);
     fixture.awaitRun(2);
     fixture.client->send(frames::forget(4, second));
     fixture.waitUntil([&] { return fixture.server->requestManager().trackedCount() == 0; });
     EXPECT_EQ(fixture.pool.suspendedRuns, std::vector<std::string>{ThriftTestClient::requestId(2)});
-    // After.
+    // After the run.
     fixture.client->sequence = 4;
     const std::int32_t third = fixture.client->sendRequest(3);
     fixture.awaitRun(3);
@@ -230,14 +232,14 @@
     EXPECT_EQ(fixture.awaitAnswer(sequence).kind, "failed");
     EXPECT_LT(net::unixNow() - from, 950ms);
     fixture.waitUntil([&] { return fixture.server->requestManager().trackedCount() == 0; });
-    EXPECT_EQ(fixture.pool.suspendedRuns.size(), 1U);  // the run that nobody waits for any more
+    EXPECT_EQ(fixture.pool.suspendedRuns.size(), 1U);  // the run is cancelled, as its client no longer waits
     EXPECT_EQ(fixture.client->duplicateAnswers, 0);
     fixture.expectCountersBalanced();
 }
 
 TEST(ThriftServer, AClientThatReadsNoAnswersIsNotReadFrom) {
     ServerWithClient fixture;
-    // A peer of the system's own that never reads, with a small window.
+    // A blocking socket with a small receive buffer that is never read.
     const int peer = socket(AF_INET, SOCK_STREAM, 0), small = 4096;
     setsockopt(peer, SOL_SOCKET, SO_RCVBUF, &small, sizeof small);
     sockaddr_in to{};
@@ -246,7 +248,7 @@
     std::string asks;
     for (int i = 1; i <= 500; ++i) asks += frames::isWell(i, false);
     std::size_t written = 0;
-    // It is read from only as long as its output has room: the writes get stuck.
+    // The server stops reading from the connection once its output buffer is full, so the writes stall.
     for (int turns = 0, stuck = 0; stuck < 200 && turns < 100000; ++turns) {
         const ssize_t now = send(peer, asks.data() + written % asks.size(),
                                  asks.size() - written % asks.size(), MSG_DONTWAIT | MSG_NOSIGNAL);
@@ -259,12 +261,13 @@
     fixture.finish(1);
     EXPECT_EQ(fixture.awaitAnswer(sequence).kind, "answer");
     const std::uint64_t healthChecks = fixture.count(Count::HealthChecks);
-    EXPECT_LT(healthChecks * 40, 64U << 20);  // a bounded backlog, far from all that was asked
+    EXPECT_LT(healthChecks * 40, 64U << 20);  // a bounded backlog, far less than was requested
     close(peer);
     fixture.waitUntil([&] { return fixture.server->thriftServer().connections() == 1; });
 }
 
-// Places: those that stay silent, hold half a message or asked once keep nobody out.
+// Guards against clients that occupy all connections without using them: those that send nothing, part of a
+// message, or a single health check.
 TEST(ConnectionLimit, SilentConnectionsGiveWayToOthers) {
     ServerWithClient fixture;
     std::vector<std::unique_ptr<ThriftTestClient>> silent, once;
@@ -275,7 +278,7 @@
             list.back()->send(says);
         }
     };
-    // The first has a command in hand, and keeps its place while as many as there are come and stay.
+    // The first connection has an open request and is not evicted while more connections than the limit open.
     const std::int32_t sequence = fixture.client->sendRequest(1);
     fixture.awaitRun(1);
     const Duration from = net::unixNow();
@@ -292,7 +295,7 @@
     EXPECT_LT(net::unixNow() - from, 3s);
     EXPECT_GT(fixture.count(Count::ConnectionsEvicted), 20U);
     EXPECT_LE(fixture.server->thriftServer().connections(), fixture.processConfig.limits.thriftConnections);
-    // Half a message on one that has spoken before: it is closed, whatever else trickles in.
+    // An incomplete message on a connection that was used before: it is closed although bytes keep arriving.
     ThriftTestClient& half = *once.back();
     half.send(std::string("\0\0\1\0", 4));
     fixture.waitUntil([&] {
@@ -315,7 +318,7 @@
     asks(*fixture.client, [&] { fixture.client->sendRequest(1, "", "nothing"); });
     ThriftTestClient other(fixture.loop, fixture.port());
     int number = 100;
-    asks(other, [&] {  // whole, and unknown to the pool
+    asks(other, [&] {  // well-formed, but unknown to the worker pool
         fixture.pool.unknownRequests.push_back(ThriftTestClient::requestId(++number));
         other.sendRequest(number);
     });
@@ -334,7 +337,7 @@
         maxPerTurn = std::max(maxPerTurn, fixture.count(Count::CancelMessages) - before);
         return fixture.count(Count::CancelMessages) == 600;
     });
-    EXPECT_LE(maxPerTurn, 130U);  // two turns, at most, lie between two looks
+    EXPECT_LE(maxPerTurn, 130U);  // at most two loop iterations between two samples
 }
 
 TEST(MemoryLimit, BodiesOfOpenRequestsStayWithinTheirShare) {
@@ -348,7 +351,7 @@
         clients.push_back(std::make_unique<ThriftTestClient>(fixture.loop, fixture.port()));
         for (int n = 0; n < 32; ++n) {
             testing::FieldMap fields = ThriftTestClient::requestFields(++asked);
-            fields["size"] = "0.001";  // books next to nothing of the pool's memory
+            fields["size"] = "0.001";  // reserves almost none of the worker pool's memory
             clients.back()->send(frames::serve(++clients.back()->sequence, fields, body));
         }
     }
@@ -364,7 +367,7 @@
     });
     fixture.expectCountersBalanced();
     const std::int32_t sequence =
-        fixture.client->sendRequest(1000, body);  // all that was counted has been given back
+        fixture.client->sendRequest(1000, body);  // all reserved bytes have been released
     fixture.awaitRun(1000);
     fixture.finish(1000);
     EXPECT_EQ(fixture.awaitAnswer(sequence).kind, "answer");
@@ -381,7 +384,7 @@
     fixture.pool.verificationState = "failed";
     fixture.client->send(frames::isWell(3, true));
     EXPECT_FALSE(fixture.awaitAnswer(3).good);
-    fixture.pool.verificationState = "";  // no word: the wait has a limit, and the module's word stands
+    fixture.pool.verificationState = "";  // no answer: after a timeout the overload controller's state counts
     fixture.client->send(frames::isWell(4, true));
     EXPECT_TRUE(fixture.awaitAnswer(4).good);
     EXPECT_EQ(fixture.pool.verificationCount, 3);
@@ -391,7 +394,7 @@
     fixture.waitUntil([&] { return fixture.count(Count::Completed) == 1; });
     fixture.client->send(frames::isWell(5 + 9, true));
     EXPECT_TRUE(fixture.awaitAnswer(5 + 9).good);
-    EXPECT_EQ(fixture.pool.verificationCount, 3);  // a run just ended well: nothing to find out
+    EXPECT_EQ(fixture.pool.verificationCount, 3);  // a run has just succeeded, so no verification is needed
 }
 
 TEST(HealthCheck, IsUnhealthyUntilTheWorkerPoolIsBound) {
@@ -419,7 +422,8 @@
     fixture.waitUntil(
         [&] { return fixture.pool.dependencyResponses.contains(ThriftTestClient::requestId(3)); });
     fixture.pool.server.closeConnections();
-    // While there is no link: the end of one run is said to nobody, another run and a reply are lost.
+    // While disconnected, the end of one run is not delivered, and another run and a dependency response are
+    // lost.
     fixture.finish(1, "ok", "while away");
     fixture.pool.running.erase(ThriftTestClient::requestId(2));
     fixture.pool.dependencyResponses.clear();
@@ -428,7 +432,7 @@
     EXPECT_EQ(fixture.awaitAnswer(first).body, "while away");
     EXPECT_EQ(fixture.pool.bindMessages.back()["n"], 1);
     EXPECT_TRUE(fixture.pool.running.contains(ThriftTestClient::requestId(2)));
-    EXPECT_EQ(fixture.pool.startCount, 5);  // three, and again the two that have not ended
+    EXPECT_EQ(fixture.pool.startCount, 5);  // three, and the two unfinished ones again
     fixture.finish(2);
     fixture.finish(3);
     fixture.awaitAnswer(second);
@@ -451,7 +455,7 @@
     fixture.finish(2);
     fixture.awaitAnswer(once);
     fixture.awaitAnswer(often);
-    EXPECT_EQ(fixture.pool.startCount, 3);  // only the repeatable one was said again
+    EXPECT_EQ(fixture.pool.startCount, 3);  // only the idempotent one was started again
 }
 
 TEST(WorkerPoolClient, DropsNoticesThatWereSeen) {
@@ -473,7 +477,7 @@
     fixture.pool.unknownRequests.push_back(ThriftTestClient::requestId(1));
     EXPECT_EQ(fixture.awaitAnswer(fixture.client->sendRequest(1)).kind, "failed");
     EXPECT_EQ(fixture.count(Count::WorkerPoolUnknownRequests), 1U);
-    // Callers that ask for what the pool does not know do not close the backend for others.
+    // Requests that the worker pool does not know do not make the server unhealthy for other clients.
     for (int i = 2; i < 30; ++i) {
         if (i % 6 == 0) fixture.client = std::make_unique<ThriftTestClient>(fixture.loop, fixture.port());
         fixture.pool.unknownRequests.push_back(ThriftTestClient::requestId(i));
@@ -485,12 +489,12 @@
 
 TEST(WorkerPoolClient, ReconnectsWhenPollsGetNoAnswer) {
     ServerWithClient fixture;
-    fixture.pool.answersPolls = false;  // and nothing else is said
+    fixture.pool.answersPolls = false;  // and sends nothing else
     fixture.waitUntil([&] { return fixture.pool.bindMessages.size() == 2; });
     EXPECT_EQ(fixture.count(ConnectionEnd::TimedOut), 1U);
 }
 
-// The pool has lost what was said shortly before a break, and knows what was said long before.
+// A worker pool can miss only messages that were sent shortly before the connection broke.
 TEST(WorkerPoolClient, AfterReconnectOnlyRecentDependencyResponsesAreSentAgain) {
     ServerWithClient fixture;
     fixture.sendRequestWithCall(1);
@@ -508,7 +512,7 @@
     EXPECT_FALSE(fixture.pool.dependencyResponses.contains(ThriftTestClient::requestId(1)));
 }
 
-// SIGHUP: the three links move while commands run, and a bad file changes nothing.
+// SIGHUP: the three peers change their addresses while requests run, and a malformed file changes nothing.
 TEST(Reload, MovesClientsToNewAddressesAndRejectsABadFile) {
     ServerWithClient fixture;
     testing::FakeWorkerPool pool(fixture.loop);
@@ -533,14 +537,14 @@
               std::string::npos);
     configFile["limits"]["sockets"] = 300;
     fixture.reloadWith(configFile);
-    fixture.reloadWith(configFile);  // nothing is new now
+    fixture.reloadWith(configFile);  // unchanged
     EXPECT_EQ(fixture.count(Count::Reloads), 2U);
     EXPECT_NE(fixture.logOutput.str().find("change ignored until restart: key=limits"), std::string::npos);
     fixture.waitUntil([&] {
         return pool.running.contains(ThriftTestClient::requestId(1)) && !registry.requestBodies.empty();
     });
     EXPECT_EQ(pool.bindMessages.size(), 1U);
-    EXPECT_EQ(pool.bindMessages[0]["n"], fixture.pool.lastNumber);  // notices go on where they were
+    EXPECT_EQ(pool.bindMessages[0]["n"], fixture.pool.lastNumber);  // the numbering of notices continues
     pool.lastNumber = fixture.pool.lastNumber;
     pool.block(ThriftTestClient::requestId(2), "now");
     fixture.waitUntil([&] { return pool.dependencyResponses[ThriftTestClient::requestId(2)] == "new:now"; });
@@ -549,7 +553,7 @@
     EXPECT_EQ(fixture.awaitAnswer(first).body, "one");
     EXPECT_EQ(fixture.awaitAnswer(second).body, "two");
     fixture.server->beginShutdown();
-    fixture.reloadWith(testing::plainConfigFile());  // also while leaving
+    fixture.reloadWith(testing::plainConfigFile());  // also during shutdown
     fixture.expectCountersBalanced();
 }
 
@@ -579,13 +583,13 @@
     fixture.waitUntil([&] { return fixture.dependency.requestBodies.size() == 2; });
     fixture.waitUntil(
         [&] { return fixture.pool.dependencyResponses.at(ThriftTestClient::requestId(1)) == "re:second"; });
-    EXPECT_EQ(fixture.dependency.server.acceptedCount, 1);  // on the kept connection
+    EXPECT_EQ(fixture.dependency.server.acceptedCount, 1);  // on the cached connection
     fixture.finish(1);
     EXPECT_EQ(fixture.awaitAnswer(sequence).kind, "answer");
     fixture.expectCountersBalanced();
 }
 
-// Each reply, and each way in which the connection can end, is one kind of outcome.
+// Each kind of response and each way in which the connection can end has its own outcome.
 TEST(DependencyClient, EachResponseHasItsOutcome) {
     const std::string notBegun = "Op-Not-Begun: 1\r\n";
     const std::vector<std::pair<std::string, Count>> cases = {
@@ -658,7 +662,8 @@
     fixture.awaitAnswer(sequence);
 }
 
-// A peer of the system's own resets the kept connection between the loop's look at it and the write.
+// Guards against a call that is lost because the dependency resets the cached connection after the loop has
+// polled it and before the request is written. The dependency is a blocking socket outside the event loop.
 TEST(DependencyClient, AnUnwrittenCallMovesToANewConnection) {
     const int listener = socket(AF_INET, SOCK_STREAM, 0);
     sockaddr_in at{};
@@ -706,7 +711,7 @@
     runUntil(loop, [&, from = net::unixNow()] {
         return client.idleConnections() == 1 && net::unixNow() > from + 10ms;
     });
-    // A reply that came in time is read after a stand-still, though the patience is over by then.
+    // A response that arrived in time is read after a stall of the process, although the timeout has passed.
     client.startCall(4, ThriftTestClient::requestId(4), 100ms, "slow machine");
     loop.runWithoutWaiting();
     char bytes[4096];
@@ -715,7 +720,7 @@
     std::this_thread::sleep_for(200ms);
     runUntil(loop, [&] { return client.callsInFlight() == 0; });
     EXPECT_EQ(counters.of(Count::CallsOk), 3U);
-    // A second call for a command gives up the first.
+    // A second call for a request abandons the first.
     client.startCall(3, ThriftTestClient::requestId(3), 5s, "third");
     client.startCall(3, ThriftTestClient::requestId(3), 5s, "fourth");
     EXPECT_EQ(client.callsInFlight(), 1U);
@@ -732,7 +737,7 @@
               "PUT /v1/instances/n3 HTTP/1.1");
     EXPECT_EQ(fixture.registry.requestBodies[0], R"({"state":"ready"})");
     EXPECT_EQ(fixture.registry.server.acceptedCount, 1);
-    // It hangs, then hangs up: the next report comes well before the list lapses.
+    // The registry does not answer for a while: the next report comes well before the registration expires.
     fixture.registry.handler = [](net::Connection&, const std::string&, const std::string&) {
         return std::string();
     };
@@ -763,10 +768,10 @@
         runUntil(loop, [&] { return registry.requestBodies.size() == std::max<std::size_t>(before, 1) + 1; });
         EXPECT_EQ(registry.requestBodies.back(), ready ? R"({"state":"ready"})" : R"({"state":"draining"})");
     }
-    EXPECT_LT(net::unixNow() - from, 400ms);  // not when the wait for an answer is over
+    EXPECT_LT(net::unixNow() - from, 400ms);  // earlier than the timeout of a report
     EXPECT_EQ(counters.of(Count::RegistryReportsFailed), 2U);
     EXPECT_EQ(lines.str().find("registry unavailable"),
-              std::string::npos);  // one without an answer may have counted
+              std::string::npos);  // an unanswered report may have been accepted
 }
 
 TEST(GracefulShutdown, ReportsDrainingAnswersOpenRequestsAndStops) {
@@ -781,12 +786,12 @@
     fixture.client->send(frames::isWell(50, false));
     EXPECT_FALSE(fixture.awaitAnswer(50).good);
     fixture.waitUntil([&] { return idle.goawayCount == 1 && fixture.client->goawayCount == 1; });
-    // The grace is over: what still comes is not run.
+    // After the drain grace new requests are rejected.
     fixture.waitUntil([&] { return net::unixNow() > from + 210ms; });
     fixture.client->sequence = 60;
     EXPECT_EQ(fixture.awaitAnswer(fixture.client->sendRequest(2)).kind, "busy");
     ThriftTestClient late(fixture.loop, port);
-    fixture.waitUntil([&] { return late.closed; });  // refused: nothing ran
+    fixture.waitUntil([&] { return late.closed; });  // refused without a run
     fixture.finish(1, "ok", "in time");
     EXPECT_EQ(fixture.awaitAnswer(sequence).body, "in time");
     idle.close();
@@ -802,7 +807,7 @@
     fixture.awaitRun(1);
     const Duration from = net::unixNow();
     fixture.server->beginShutdown();
-    fixture.loop.run();  // comes back by itself
+    fixture.loop.run();  // returns once the shutdown is complete
     EXPECT_LT(net::unixNow() - from, 1500ms);
     EXPECT_EQ(fixture.client->answers[sequence].kind, "failed");
 }
@@ -811,23 +816,24 @@
     ServerWithClient fixture;
     const int polls = fixture.pool.pollCount;
     fixture.waitUntil([&] { return fixture.pool.pollCount > polls; });
-    std::this_thread::sleep_for(400ms);  // the machine stands still
+    std::this_thread::sleep_for(400ms);  // simulates a stalled machine
     const std::uint64_t before = fixture.count(Count::EventBatches);
     fixture.loop.runOnce();
     fixture.waitUntil(
         [&] { return fixture.logOutput.str().find("process stalled: tick_delay_ms=") != std::string::npos; });
     EXPECT_LE(fixture.count(Count::EventBatches) - before, 2U);
-    EXPECT_LE(fixture.pool.pollCount, polls + 2);  // of the twenty alarms that the time would hold
+    EXPECT_LE(fixture.pool.pollCount, polls + 2);  // instead of the twenty ticks due in that time
 }
 
 TEST(IdleConnections, AreToldToDrainAndStillServed) {
     Json configFile = testing::plainConfigFile();
-    configFile["settings"]["family_info"]["senders"] = 1000;  // each comes back seldom: idle ones go early
+    configFile["settings"]["family_info"]["senders"] =
+        1000;  // clients rarely return, so idle connections close early
     configFile["settings"]["family_info"]["idle_us"] = 1200000;
     ServerWithClient fixture(configFile);
     fixture.client->send(frames::isWell(++fixture.client->sequence, false));
     fixture.waitUntil([&] { return fixture.client->goawayCount == 1; });
-    const std::int32_t sequence = fixture.client->sendRequest(1);  // crossed the word
+    const std::int32_t sequence = fixture.client->sendRequest(1);  // crosses the goaway message
     fixture.awaitRun(1);
     fixture.finish(1);
     EXPECT_EQ(fixture.awaitAnswer(sequence).kind, "answer");
@@ -848,7 +854,8 @@
     fixture.waitUntil([&] { return fixture.server->dependencyClient().idleConnections() == 0; });
     setrlimit(RLIMIT_NOFILE, &tight);
     fixture.pool.block(ThriftTestClient::requestId(1), "no descriptor for this call");
-    // The stand-in's closed end gave a descriptor or two back: several calls are tried until one lacks it.
+    // The connection that the fake dependency closed has freed a descriptor or two, so it takes several calls
+    // until one fails for lack of a descriptor.
     fixture.pool.server.connections.back().connection->send("");
     fixture.waitUntil(
         [&] { return fixture.count(Count::CallsUnreachable) + fixture.count(Count::CallsOk) > 1; });
@@ -860,7 +867,8 @@
     fixture.waitUntil([&] { return other.answers.contains(1); });
 }
 
-// A day of random events: one answer a command, bodies unchanged, books closed, descriptors back.
+// Random events: each request gets one answer, bodies are unchanged, the counters balance, and all
+// descriptors are closed.
 TEST(Server, KeepsItsInvariantsThroughRandomEvents) {
     Json configFile = testing::plainConfigFile();
     configFile["settings"]["classes"][0]["aim_us"] = 400000;
@@ -898,7 +906,7 @@
         bool cancelled = false;
     };
     std::map<int, SentRequest> sentRequests;
-    std::map<std::string, int> remainingCalls;  // calls that a run will still make
+    std::map<std::string, int> remainingCalls;  // dependency calls that a run still makes
     int number = 0;
     const auto advanceRuns = [&] {
         for (std::string& job : std::vector<std::string>(fixture.pool.suspendedRuns))
@@ -912,7 +920,7 @@
                 --remainingCalls[job];
                 fixture.pool.block(job, "call of " + job);
             } else {
-                // A run that is started again after a lost link may end again: the first end counts.
+                // A run that is started again after a reconnect may end again; the first end counts.
                 const std::string result = "result " + std::to_string(draw(1000000));
                 results.emplace(job, result);
                 fixture.pool.finish(job, draw(15) == 0 ? "failed" : "ok", result);
@@ -936,7 +944,7 @@
             sentRequests[id] = {&from, sequence};
             if (draw(20) == 0) {
                 from.send(frames::forget(++from.sequence, sequence));
-                from.answers[from.sequence];  // not a question
+                from.answers[from.sequence];  // a cancellation gets no answer
                 sentRequests[id].cancelled = true;
             }
         }
@@ -957,7 +965,7 @@
         ThriftTestClient& from = *request.client;
         if (request.cancelled) continue;
         fixture.waitUntil([&] { return !from.connection || from.answers.contains(request.sequence); });
-        if (!from.answers.contains(request.sequence)) continue;  // its connection ended first
+        if (!from.answers.contains(request.sequence)) continue;  // its connection ended before the answer
         const frames::Message& answer = from.answers[request.sequence];
         ++answered;
         if (answer.kind != "answer") continue;
@@ -972,7 +980,7 @@
     fixture.client->close();
     fixture.waitUntil([&] { return fixture.server->thriftServer().connections() == 0; });
     fixture.expectCountersBalanced();
-    // All descriptors are back, and the two ends of the first client's connection.
+    // All descriptors are closed, as are the two ends of the first client's connection.
     fixture.waitUntil([&] { return descriptors() == before - 2; });
 }
 
--- a/tests/support/before_each_poll.h
+++ b/tests/support/before_each_poll.h
@@ -1,5 +1,5 @@
 /// @file
-/// Has a test act in the middle of a turn of the loop.
+/// Runs a test's code in the middle of an event loop iteration.
 #pragma once
 
 #include <uv.h>
@@ -11,7 +11,7 @@
 
 namespace cottonwing::testing {
 
-/// Calls a function in each turn of the loop, after its timers and before it looks at the sockets.
+/// Calls a function in each iteration of the loop, after its timers and before it polls the sockets.
 class BeforeEachPoll {
 public:
     BeforeEachPoll(net::Loop& loop, std::function<void()> callback)
--- a/tests/support/controller_harness.h
+++ b/tests/support/controller_harness.h
@@ -1,5 +1,5 @@
 /// @file
-/// Drives one overload controller on a clock of its own, records its decisions and checks them.
+/// Drives an overload controller on a simulated clock, records its decisions and checks them.
 #pragma once
 
 #include <algorithm>
@@ -16,17 +16,17 @@
 
 namespace cottonwing::testing {
 
-/// A controller and its surroundings. A test passes batches of events and reads what was decided; the
-/// reference model checks the four rules on the way.
+/// A controller and its decision sink. A test passes event batches and reads the decisions; the reference
+/// model checks the invariants after each batch.
 class ControllerHarness : public ReferenceModel {
 public:
     explicit ControllerHarness(const ControllerConfig& config)
         : ReferenceModel(config), controller(makeOverloadController(config)) {}
 
     std::unique_ptr<OverloadController> controller;
-    std::optional<double> coreDemand;  ///< Core demand that the gauges show; default: the runs on the cores.
+    std::optional<double> coreDemand;  ///< Core demand in the gauges; default: runs on the cores.
 
-    // How often each decision was made.
+    // Number of decisions of each kind.
     int starts = 0;
     int runCancellations = 0;
     int rejections = 0;
@@ -36,18 +36,18 @@
 
     // The last value of each decision that carries one.
     Duration attemptTimeout{0};   ///< Attempt timeout of the last call.
-    Duration retryAfter{0};       ///< Of the last rejection.
+    Duration retryAfter{0};       ///< Retry-After of the last rejection.
     Duration idleTimeout{-1};     ///< Idle time after which client connections are closed.
-    bool healthReported = false;  ///< Health.
+    bool healthReported = false;  ///< Last health reported.
     std::vector<std::string> logs;
 
-    /// @return a first attempt that arrives in the next batch.
+    /// @return a first attempt that arrives now.
     Request newRequest(RequestId id, int requestClass = 0, Duration timeLeft = 5s) const {
         return makeRequest(id, requestClass, now, timeLeft);
     }
 
-    /// Lets time pass, delivers the batch (with gauges, if a control tick is due) and checks what was
-    /// decided.
+    /// Advances the clock, delivers the batch (with gauges if a control tick is due) and checks the
+    /// decisions.
     void step(EventBatch batch, Duration passed = 20ms) {
         now += passed;
         batch.now = now;
@@ -61,7 +61,7 @@
     }
     void step(Duration passed = 20ms) { step(EventBatch{}, passed); }
 
-    /// @return whether a log line holds this text.
+    /// @return whether a log line contains this text.
     bool logged(std::string_view text) const {
         return std::any_of(logs.begin(), logs.end(),
                            [&](const std::string& line) { return line.find(text) != line.npos; });
--- a/tests/support/fake_http_server.h
+++ b/tests/support/fake_http_server.h
@@ -1,5 +1,5 @@
 /// @file
-/// An HTTP/1.1 server: the dependency, or the registry.
+/// A fake HTTP/1.1 server that stands for the dependency or the registry.
 #pragma once
 
 #include <functional>
@@ -13,7 +13,7 @@
 
 namespace cottonwing::testing {
 
-/// Answers each request by a function; an empty answer holds the response back.
+/// Answers each request with the result of a handler; an empty result sends no response.
 class FakeHttpServer {
 public:
     using Handler =
@@ -35,13 +35,13 @@
                   if (!reply.empty()) connection.send(reply);
               },
               port) {}
-    /// @return a response with this status, body and further header lines.
+    /// @return a response with this status, body and additional header lines.
     static std::string reply(int status, const std::string& body = "", const std::string& headers = "") {
         return "HTTP/1.1 " + std::to_string(status) + " X\r\n" + headers +
                (status == 204 ? "" : "Content-Length: " + std::to_string(body.size()) + "\r\n") + "\r\n" +
                body;
     }
-    /// @return the value of a header; empty without it.
+    /// @return the value of a header; empty if it is absent.
     static std::string header(const std::string& head, const std::string& name) {
         const std::size_t at = head.find("\r\n" + name + ": ");
         if (at == head.npos) return "";
--- a/tests/support/fake_server.h
+++ b/tests/support/fake_server.h
@@ -1,5 +1,5 @@
 /// @file
-/// A TCP server on loopback, driven by the event loop of the program under test; base of the other fakes.
+/// A TCP server on loopback that runs on the event loop of the server under test; the other fakes use it.
 #pragma once
 
 #include <algorithm>
@@ -14,10 +14,10 @@
 
 namespace cottonwing::testing {
 
-/// Accepts connections on loopback and hands what arrives on each of them to a callback.
+/// Accepts connections on loopback and passes the input of each connection to a callback.
 class FakeServer : private net::ConnectionHandler {
 public:
-    /// Gets all unread text of a connection and removes what it has used.
+    /// Receives all input of a connection that is not processed yet and erases what it has processed.
     using OnInput = std::function<void(net::Connection&, std::string&)>;
     FakeServer(net::Loop& loop, OnInput onInput, int port = 0)
         : onInput_(std::move(onInput)),
@@ -33,27 +33,26 @@
               [] { return false; })) {}
     net::Address address() const { return {"127.0.0.1", listener_->port()}; }
     void stopListening() { listener_.reset(); }
-    /// Closes all connections.
     void closeConnections() { connections.clear(); }
     void closeConnection(net::Connection& connection) {
         std::erase_if(connections,
                       [&](const AcceptedConnection& entry) { return entry.connection.get() == &connection; });
     }
 
-    /// @return the number of a connection, in the order of acceptance; 0 where it has ended.
+    /// @return the number of a connection, in the order of acceptance; 0 if it has ended.
     int numberOf(const net::Connection& connection) const {
         for (const AcceptedConnection& entry : connections)
             if (entry.connection.get() == &connection) return entry.number;
         return 0;
     }
-    /// @return the connection of this number, while it is open.
+    /// @return the connection with this number; null if it has ended.
     net::Connection* find(int number) const {
         for (const AcceptedConnection& entry : connections)
             if (entry.number == number) return entry.connection.get();
         return nullptr;
     }
 
-    /// A connection and what was read from it but not used.
+    /// A connection and its input that is not processed yet.
     struct AcceptedConnection {
         int number = 0;
         std::unique_ptr<net::Connection> connection;
--- a/tests/support/fake_worker_pool.h
+++ b/tests/support/fake_worker_pool.h
@@ -1,5 +1,5 @@
 /// @file
-/// A worker pool that speaks the published protocol: JSON lines over TCP.
+/// A fake worker pool that speaks the published protocol: JSON lines over TCP.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -18,14 +18,14 @@
 
 using Json = nlohmann::json;
 
-/// Keeps what the program sends, and sends what a test makes it say. Notices are numbered and are repeated on
-/// a new connection from the number that the `bind` message names.
+/// Records what the server sends, and sends what a test requests. Notices are numbered; on a new connection
+/// those after the number in the `bind` message are sent again.
 class FakeWorkerPool {
 public:
     explicit FakeWorkerPool(net::Loop& loop)
         : server(loop, [this](net::Connection&, std::string& text) { handleInput(text); }) {}
 
-    /// Sends a numbered notice, at once or on the next connection.
+    /// Sends a numbered notice, now or on the next connection.
     void sendNotice(Json notice) {
         notice["n"] = ++lastNumber;
         notices.push_back(notice);
@@ -40,11 +40,11 @@
                     {"took", 5},
                     {"data", worker_pool::encodeBase64(result)}});
     }
-    /// Has a run wait for its dependency call.
+    /// Reports that a run waits for its dependency call.
     void block(const std::string& job, const std::string& body) {
         sendNotice({{"type", "blocked"}, {"job", job}, {"data", worker_pool::encodeBase64(body)}});
     }
-    /// Sends a message without a number.
+    /// Sends a message that is not a numbered notice.
     void send(const Json& message) { server.connections.back().connection->send(message.dump() + "\n"); }
 
     bool available = true, answersPolls = true;
--- a/tests/support/invariant_violations.h
+++ b/tests/support/invariant_violations.h
@@ -1,5 +1,5 @@
 /// @file
-/// Collects violated invariants and fails the test with it.
+/// Collects violated invariants and fails the test with them.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -9,7 +9,7 @@
 
 namespace cottonwing::testing {
 
-/// The violations found. What is still listed at the end fails the running test.
+/// The violations found. Those still listed at destruction fail the running test.
 class InvariantViolations {
 public:
     InvariantViolations() = default;
@@ -19,7 +19,7 @@
         for (const std::string& violation : violations) ADD_FAILURE() << violation;
     }
 
-    /// Lists the violation unless the rule was kept.
+    /// Lists the violation unless the invariant holds.
     void check(bool holds, const std::string& violation) {
         if (!holds) violations.push_back(violation);
     }
--- a/tests/support/plain_config.h
+++ b/tests/support/plain_config.h
@@ -1,5 +1,5 @@
 /// @file
-/// The configurations that tests start from: one that shows every rule, without chance in it.
+/// Base configurations for tests: deterministic, and every rule of the controller can take effect.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -19,11 +19,11 @@
 
 using namespace std::chrono_literals;
 using Json = nlohmann::json;
-/// Names and values as text: the fields of a Thrift request, or environment variables.
+/// Names and values as text: fields of a Thrift request or environment variables.
 using FieldMap = std::map<std::string, std::string>;
 
-/// A warm server of two cores with three request classes: 0 idempotent, 1 with an idempotency key, 2 neither
-/// (it may be answered degraded).
+/// A warmed-up server with two cores and three request classes: 0 idempotent, 1 with an idempotency key,
+/// 2 neither (a degraded response is allowed).
 inline ControllerConfig plainControllerConfig() {
     ControllerConfig config;
     config.seed = 7;
@@ -64,7 +64,7 @@
         "permissions": {"max_retry_after_us": 1000000, "retry_after": true}, "peers_total": 3})");
 }
 
-/// A whole configuration file; the addresses are replaced by those of the fake peers.
+/// A complete configuration file; tests replace the addresses with those of the fake peers.
 inline Json plainConfigFile() {
     return {{"name", "n3"},
             {"listen", "127.0.0.1:0"},
@@ -77,7 +77,7 @@
             {"settings", plainSettings()}};
 }
 
-/// Writes a configuration file and passes an environment that names it to `use`.
+/// Writes a configuration file and calls `use` with an environment that refers to it.
 /// @return what `use` returns.
 template <typename Use>
 auto withConfigFile(const Json& file, Use&& use,
@@ -90,7 +90,7 @@
         return found == variables.end() ? nullptr : found->second.c_str();
     });
 }
-/// Reads the configuration as the program does at its start.
+/// Reads the configuration as the server does at startup.
 inline config::ProcessConfig processConfigFrom(const Json& file,
                                                FieldMap variables = {{"GW_NAME", "n3"},
                                                                      {"GW_LISTEN", "127.0.0.1:0"}}) {
--- a/tests/support/reference_model.h
+++ b/tests/support/reference_model.h
@@ -1,16 +1,16 @@
 /// @file
-/// A model of the four rules that every decision of the overload controller has to keep. It follows each
-/// request from the events and the decisions alone and shares nothing with the controller's own books.
+/// A reference model of the four rules that every decision of the overload controller must satisfy. It tracks
+/// each request from the events and decisions alone and shares no state with the controller.
 ///
 /// | rule | checked in |
 /// | --- | --- |
-/// | 1 no request is lost: each is answered by its deadline and before the process ends | `checkInvariants` |
-/// | 2 nothing happens twice: no run, dependency call or answer that may happen only once | `startRun`, |
+/// | 1 each request is answered by its deadline and before the process exits | `checkInvariants` |
+/// | 2 no second run, dependency call or answer where only one is allowed | `startRun`, |
 /// | | `callDependency`, `answer`, `reject`, `joinDuplicate` |
-/// | 3 after the drain grace nothing new runs | `startRun` |
-/// | 4 the server does not collapse: memory, runs on the cores, the dependency's quota | `checkInvariants` |
+/// | 3 no request that arrives after the drain grace runs | `startRun` |
+/// | 4 no collapse: memory, runs on the cores, the dependency's quota | `checkInvariants` |
 ///
-/// Beside these: each decision fits the request's state and the configuration (`reject`, `cancelRun`,
+/// In addition, each decision must fit the request's state and the configuration (`reject`, `cancelRun`,
 /// `skipDependencyCall`, `advertiseLoadShare`).
 #pragma once
 
@@ -30,16 +30,17 @@
 
 using namespace std::chrono_literals;
 
-/// Checks each decision as it is made and the whole after each batch. Time advances in steps of 20 ms.
+/// Checks each decision as it is made and the overall state after each batch. Time advances in steps of
+/// 20 ms.
 class ReferenceModel : public DecisionSink, public InvariantViolations {
 public:
-    /// Where a request is.
+    /// The progress of a request.
     enum class RequestState {
-        Queued,          ///< Queued, not started.
+        Queued,          ///< Not started.
         OnCores,         ///< Running.
         WaitingForCall,  ///< Waiting for its dependency call.
         CallInFlight,    ///< Its dependency call is in progress.
-        JoinedDuplicate  ///< A duplicate that waits for the attempt with its idempotency key.
+        JoinedDuplicate  ///< A duplicate that waits for the earlier attempt with its idempotency key.
     };
 
     /// A request in progress.
@@ -52,7 +53,7 @@
         bool answered = false;
         bool cancelled = false;  ///< The client cancelled it.
         bool ran = false;
-        bool calledBefore = false;  ///< An attempt of the call that it waits for was sent.
+        bool calledBefore = false;  ///< An attempt of the pending call was sent.
         bool lastCallNeverRan = true;
     };
 
@@ -62,13 +63,13 @@
     Timestamp now = 1000s;
     Timestamp startedAt = now;  ///< Start of the server.
     Timestamp shutdownNoticeAt{-1};
-    Timestamp processEnd{-1};  ///< When the process ends; -1 before the notice.
+    Timestamp processEnd{-1};  ///< When the process exits; -1 before the shutdown notice.
     std::map<RequestId, TrackedRequest> requests;
     std::map<RequestId, Timestamp>
-        retainedKeys;       ///< Idempotency keys, by the request that holds them: retained until.
+        retainedKeys;       ///< Expiry of each retained idempotency key, by the request that owns it.
     int callsInFlight = 0;  ///< Dependency calls in progress.
 
-    /// Follows the events of a batch, before the controller decides on it.
+    /// Applies the events of a batch, before the controller processes it.
     void observe(const EventBatch& batch) {
         if (batch.processEndsAt && shutdownNoticeAt < 0ns) {
             shutdownNoticeAt = now;
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Checks rules 1 and 4 on the whole, after the decisions of a batch.
+    /// Checks rules 1 and 4 after the decisions of a batch.
     void checkInvariants() {
         for (const auto& [id, tracked] : requests)
             if (!tracked.answered && !tracked.cancelled) {
@@ -121,7 +122,7 @@
         checkDependencyQuota();
     }
 
-    /// @return how many requests are there.
+    /// @return the number of requests in this state.
     int countInState(RequestState searched) const {
         return static_cast<int>(std::count_if(requests.begin(), requests.end(), [&](const auto& entry) {
             return entry.second.state == searched;
@@ -219,7 +220,8 @@
         return sum;
     }
 
-    /// The mean of runs on the cores over the window stays below the number at which the server collapses.
+    /// The mean number of runs on the cores over the window stays below the number at which the server
+    /// collapses.
     void checkRunsOnCores() {
         runsOnCores_.push_back(countInState(RequestState::OnCores));
         const std::size_t over = static_cast<std::size_t>(config.overloadWindow / 20ms);
@@ -233,8 +235,8 @@
               "too many runs on the cores");
     }
 
-    /// The mean of calls at a shared dependency over the window stays within the quota, abandoned calls
-    /// included.
+    /// The mean number of calls at a shared dependency, abandoned calls included, stays within the quota over
+    /// the window.
     void checkDependencyQuota() {
         std::erase_if(abandonedCallsEnd_, [&](Timestamp end) { return end <= now; });
         callsAtDependency_.push_back(callsInFlight + static_cast<double>(abandonedCallsEnd_.size()));
@@ -247,9 +249,9 @@
     }
 
     std::map<RequestId, Timestamp>
-        lastRunByKey_;                       ///< By first attempt: arrival of the attempt that ran last.
-    std::vector<double> runsOnCores_;        ///< One entry a batch.
-    std::vector<double> callsAtDependency_;  ///< One entry a batch.
+        lastRunByKey_;                       ///< By first attempt: arrival of the last attempt that ran.
+    std::vector<double> runsOnCores_;        ///< One entry per batch.
+    std::vector<double> callsAtDependency_;  ///< One entry per batch.
     std::vector<Timestamp> abandonedCallsEnd_;
 };
 
--- a/tests/support/request_generator.h
+++ b/tests/support/request_generator.h
@@ -6,8 +6,8 @@
 
 namespace cottonwing::testing {
 
-/// A first attempt that arrives now.
-/// @param timeLeft until its deadline.
+/// @param timeLeft time until the deadline
+/// @return a first attempt that arrives now.
 inline Request makeRequest(RequestId id, int requestClass, Timestamp now, Duration timeLeft) {
     Request request;
     request.id = id;
--- a/tests/support/server_fixture.h
+++ b/tests/support/server_fixture.h
@@ -1,5 +1,5 @@
 /// @file
-/// The server under test between its fake peers: worker pool, dependency and registry.
+/// The server under test with its fake peers: worker pool, dependency and registry.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -37,7 +37,7 @@
         loop.onUncaughtException([](const std::string& what) { ADD_FAILURE() << what; });
         server = std::make_unique<Server>(loop, processConfig, log, counters);
     }
-    /// Waits until the worker pool is connected and the server healthy.
+    /// Waits until the worker pool is connected and the server is healthy.
     void waitUntilHealthy() {
         runUntil(loop, [&] { return server->requestManager().healthy(); });
     }
@@ -45,15 +45,15 @@
     void waitUntil(Condition&& condition) {
         runUntil(loop, condition);
     }
-    /// Replaces the configuration file and has the server read it again.
+    /// Replaces the configuration file and has the server reload it.
     void reloadWith(const Json& file) {
         withConfigFile(file, [&](const auto& environment) { server->reload(environment); });
     }
     int port() const { return server->thriftServer().port(); }
     std::uint64_t count(telemetry::Count kind) const { return counters.of(kind); }
     std::uint64_t count(net::ConnectionEnd end) const { return counters.of(end); }
-    /// Every request has exactly one kind of end and every dependency call one outcome; nothing is tracked
-    /// any more.
+    /// Checks that every request has been counted with exactly one kind of end and every dependency call with
+    /// one outcome, and that none is tracked any longer.
     void expectCountersBalanced() const {
         using telemetry::Count;
         EXPECT_EQ(count(Count::RequestsRead), count(Count::Completed) + count(Count::Rejected) +
--- a/tests/support/thrift_frames.h
+++ b/tests/support/thrift_frames.h
@@ -1,5 +1,5 @@
 /// @file
-/// Thrift frames, written and read by the published library.
+/// Thrift frames, encoded and decoded with the Apache Thrift library.
 #pragma once
 
 #include <thrift/protocol/TBinaryProtocol.h>
@@ -13,14 +13,15 @@
 
 namespace cottonwing::testing {
 
-/// Independent of the program's own codec.
+/// Independent of the codec under test.
 namespace frames {
 
 using apache::thrift::protocol::TBinaryProtocol;
 using apache::thrift::transport::TMemoryBuffer;
 namespace protocol = apache::thrift::protocol;
 
-/// A whole frame: four bytes of length, then the message that `write` fills.
+/// @param write writes the fields of the message
+/// @return a complete frame: a four-byte length, then the message.
 template <typename Write>
 std::string frame(const std::string& method, protocol::TMessageType kind, std::int32_t sequence,
                   Write&& write) {
@@ -39,7 +40,7 @@
     return head + content;
 }
 
-/// A request.
+/// @return the frame of a request.
 inline std::string serve(std::int32_t sequence, const FieldMap& fields, const std::string& body) {
     return frame("serve", protocol::T_CALL, sequence, [&](TBinaryProtocol& out) {
         out.writeFieldBegin("fields", protocol::T_MAP, 1);
@@ -49,14 +50,14 @@
         out.writeBinary(body);
     });
 }
-/// Cancels the request of this sequence number.
+/// @return a frame that cancels the request with the sequence number `which`.
 inline std::string forget(std::int32_t sequence, std::int32_t which) {
     return frame("forget", protocol::T_ONEWAY, sequence, [&](TBinaryProtocol& out) {
         out.writeFieldBegin("seqid", protocol::T_I32, 1);
         out.writeI32(which);
     });
 }
-/// A health check.
+/// @return the frame of a health check.
 inline std::string isWell(std::int32_t sequence, bool thorough) {
     return frame("isWell", protocol::T_CALL, sequence, [&](TBinaryProtocol& out) {
         out.writeFieldBegin("thorough", protocol::T_BOOL, 1);
@@ -64,7 +65,7 @@
     });
 }
 
-/// A message as it was message.
+/// A decoded message.
 struct Message {
     std::string method, kind, body;  // kind: answer, busy, failed, refusal, oneway
     std::int32_t sequence = 0;
@@ -95,7 +96,7 @@
     }
 }
 
-/// Reads one message, without its length.
+/// Decodes one message, given without its length prefix.
 inline Message readMessage(const std::string& content) {
     const auto memory = std::make_shared<TMemoryBuffer>();
     memory->write(reinterpret_cast<const std::uint8_t*>(content.data()),
--- a/tests/support/thrift_test_client.h
+++ b/tests/support/thrift_test_client.h
@@ -1,5 +1,5 @@
 /// @file
-/// A client of the Thrift server (a sidecar) on the event loop of the program under test.
+/// A Thrift client that runs on the event loop of the server under test.
 #pragma once
 
 #include <chrono>
@@ -18,19 +18,20 @@
 
 namespace cottonwing::testing {
 
-/// One connection of a Thrift client. Requests are numbered; answers are kept by that sequence number.
+/// One connection of a Thrift client. Requests are numbered; answers are stored by that sequence number.
 class ThriftTestClient : private net::ConnectionHandler {
 public:
     ThriftTestClient(net::Loop& loop, int port)
         : connection(new net::Connection(loop, {"127.0.0.1", port}, *this, {1 << 20, 1 << 20})) {}
 
-    /// @return a request id as the wire gives it: 16 hex digits.
+    /// @return a request id as it is sent (field `trace`): 16 hexadecimal digits.
     static std::string requestId(int number) {
         char text[17];
         std::snprintf(text, sizeof text, "%016x", number);
         return text;
     }
-    /// @return the fields of a valid request; `patience` in milliseconds.
+    /// @param patience timeout in milliseconds
+    /// @return the fields of a valid request.
     static FieldMap requestFields(int number, const std::string& route = "read", int patience = 4000) {
         return {
             {"route", route}, {"trace", requestId(number)}, {"born", std::to_string(net::unixNow() / 1ms)},
@@ -51,7 +52,7 @@
     std::int32_t sequence = 0;
     std::vector<frames::Message> messages;
     std::map<std::int32_t, frames::Message> answers;  // by sequence number
-    int duplicateAnswers = 0;                         // second answers under one number
+    int duplicateAnswers = 0;                         // further answers to one sequence number
     int goawayCount = 0;
     bool closed = false;
 
