--- a/tests/soak/client_connection.cpp
+++ b/tests/soak/client_connection.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 constexpr std::size_t kFrameHeaderBytes = 4;
-constexpr std::size_t kMostFrameBytes = 1 << 20;  // more is no answer of this service
+constexpr std::size_t kMaxFrameBytes = 1 << 20;  // more is no answer of this service
 }  // namespace
 
 ClientConnection::ClientConnection(const net::Address& to)
@@ -77,11 +77,11 @@
         std::size_t length = 0;
         for (std::size_t at = 0; at < kFrameHeaderBytes; ++at)
             length = length << 8 | static_cast<unsigned char>(input_[at]);
-        if (length > kMostFrameBytes) return false;
+        if (length > kMaxFrameBytes) return false;
         if (input_.size() < kFrameHeaderBytes + length) return true;
         const std::string frame = input_.substr(kFrameHeaderBytes, length);
         input_.erase(0, kFrameHeaderBytes + length);
-        served = true;
+        hasReceivedMessage = true;
         try {
             onMessage(testing::frames::readMessage(frame));
         } catch (const std::exception&) {
@@ -97,7 +97,7 @@
     getsockname(socket_, reinterpret_cast<sockaddr*>(&local), &size);
     return "port " + std::to_string(ntohs(local.sin_port)) + " (" + std::to_string(attempts.size()) +
            " attempts, " + std::to_string(open.size()) + " open, " + std::to_string(output_.size()) +
-           " pieces left" + (served ? ", served" : "") + (sawGoaway ? ", goaway" : "") + ")";
+           " pieces left" + (hasReceivedMessage ? ", served" : "") + (receivedGoaway ? ", goaway" : "") + ")";
 }
 
 void ClientConnection::checkEnded() {
--- a/tests/soak/client_connection.h
+++ b/tests/soak/client_connection.h
@@ -51,9 +51,9 @@
     std::map<std::int32_t, std::string> open;  ///< attempts that wait, by sequence number
     std::map<std::int32_t, std::string> sent;  ///< all attempts
     std::deque<std::string> attempts;          ///< all attempts, in order
-    bool sawGoaway = false;
-    bool served = false;  ///< a message has come
-    bool fateNoted = false;
+    bool receivedGoaway = false;
+    bool hasReceivedMessage = false;  ///< a message has come
+    bool outcomeRecorded = false;
     std::optional<Duration> endedByServerAt;
 
 private:
--- a/tests/soak/clients.h
+++ b/tests/soak/clients.h
@@ -20,56 +20,58 @@
 
 class Clients {
 public:
-    Clients(const Plan& plan, const net::Address& server, Agenda& agenda, Chance& chance, Recorder& recorder);
+    Clients(const SoakPlan& plan, const net::Address& server, TaskScheduler& scheduler,
+            RandomGenerator& random, Recorder& recorder);
     ~Clients();
 
     /// The server process has been started: connections are opened, and a health check is repeated.
-    void beginLife();
-    /// Requests are sent from now on, duplicates of the life before among them.
+    void beginIncarnation();
+    /// Requests are sent from now on, duplicates of the incarnation before among them.
     void startTraffic();
     /// The server process has ended: what its connections still hold is read, and they are closed.
-    void endLife();
+    void endIncarnation();
     /// Reads, writes and sends what is due; called every millisecond.
     void tick(Duration now);
     const net::Address& server() const { return server_; }
-    /// Whether a health check has been answered well in this life.
-    bool sawReady() const { return ready_; }
+    /// Whether a health check has been answered well in this incarnation.
+    bool isServerReady() const { return ready_; }
 
 private:
     struct Client;
-    struct Outgoing;
+    struct OutgoingRequest;
 
-    void openMissing(Client& client, Duration now);
-    void serve(Client& client, ClientConnection& connection, Duration now);
-    void serveIdle(Duration now);
+    void openMissingConnections(Client& client, Duration now);
+    void service(Client& client, ClientConnection& connection, Duration now);
+    void serviceIdleConnections(Duration now);
     void checkHealth(Duration now);
     void pauseSlowReader(Client& client, Duration now);
     void sendNext(Duration now);
-    Outgoing drawRequest(Duration now);
-    void send(Outgoing request);
+    OutgoingRequest generateRequest(Duration now);
+    void send(OutgoingRequest request);
     ClientConnection* pickConnection(Client*& client);
     void writeInPieces(ClientConnection& connection, const std::string& frame, Duration now,
                        std::function<void()> onWritten);
-    void written(Client& client, ClientConnection& connection, std::int32_t sequence, const std::string& id);
-    ClientConnection* findWaiting(Client& client, std::int32_t sequence, const std::string& id);
-    void received(Client& client, ClientConnection& connection, const testing::frames::Message& message);
-    void answered(Attempt& attempt, const testing::frames::Message& message);
+    void onRequestWritten(Client& client, ClientConnection& connection, std::int32_t sequence,
+                          const std::string& id);
+    ClientConnection* findAwaiting(Client& client, std::int32_t sequence, const std::string& id);
+    void onMessage(Client& client, ClientConnection& connection, const testing::frames::Message& message);
+    void onResponse(Attempt& attempt, const testing::frames::Message& message);
     void retry(const Attempt& attempt, Duration after);
-    void noteFate(ClientConnection& connection, ConnectionFate fate);
+    void recordOutcome(ClientConnection& connection, ConnectionOutcome outcome);
 
-    const Plan& plan_;
+    const SoakPlan& plan_;
     const net::Address server_;
-    Agenda& agenda_;
-    Chance& chance_;
+    TaskScheduler& scheduler_;
+    RandomGenerator& random_;
     Recorder& recorder_;
     std::vector<std::unique_ptr<Client>> clients_;
     std::vector<std::unique_ptr<ClientConnection>> idle_;
     std::unique_ptr<ClientConnection> health_;
-    std::deque<std::string> keyedAttempts_;  ///< the last ones, for duplicates in the next life
+    std::deque<std::string> keyedAttempts_;  ///< the last ones, for duplicates in the next incarnation
     std::uint64_t lastId_;
-    std::uint64_t lifeCount_ = 0;
-    bool living_ = false, sending_ = false, ready_ = false;
-    Duration nextArrival_{0}, nextIdleLook_{0}, nextHealthCheck_{0};
+    std::uint64_t incarnationCount_ = 0;
+    bool active_ = false, sending_ = false, ready_ = false;
+    Duration nextArrival_{0}, nextIdleService_{0}, nextHealthCheck_{0};
 };
 
 }  // namespace cottonwing::soak
--- a/tests/soak/http_peers.cpp
+++ b/tests/soak/http_peers.cpp
@@ -29,19 +29,20 @@
 
 }  // namespace
 
-void Agenda::runUntil(Duration now) {
+void TaskScheduler::runDue(Duration now) {
     while (!entries_.empty() && entries_.begin()->first <= now) {
-        const auto what = std::move(entries_.begin()->second);
+        const auto task = std::move(entries_.begin()->second);
         entries_.erase(entries_.begin());
-        what();
+        task();
     }
 }
 
-DependencyPeer::DependencyPeer(net::Loop& loop, Agenda& agenda, Chance& chance, Recorder& recorder,
-                               bool hangs, std::function<bool(const std::string&)> isBlocked,
+DependencyPeer::DependencyPeer(net::Loop& loop, TaskScheduler& scheduler, RandomGenerator& random,
+                               Recorder& recorder, bool hangs,
+                               std::function<bool(const std::string&)> isBlocked,
                                std::function<int(const std::string&)> segmentOf)
-    : agenda_(agenda),
-      chance_(chance),
+    : scheduler_(scheduler),
+      random_(random),
       recorder_(recorder),
       hangs_(hangs),
       isBlocked_(std::move(isBlocked)),
@@ -56,17 +57,17 @@
 std::string DependencyPeer::answer(net::Connection& on, const std::string& head, const std::string& body) {
     const std::string id = FakeHttpServer::header(head, "Op-Of");
     if (!isBlocked_(id)) return FakeHttpServer::reply(409, "", "Op-Not-Begun: 1\r\n");
-    if (chance_.percent(4)) {
-        recorder_.note("dependency", "turns the call away", id);
+    if (random_.withPercent(4)) {
+        recorder_.log("dependency", "turns the call away", id);
         return FakeHttpServer::reply(503, "", "Op-Not-Begun: 1\r\n");
     }
-    recorder_.note("dependency", "begins the call", id);
-    recorder_.seen.calls.push_back({id, segmentOf_(id), recorder_.lifeNumber()});
-    const Duration takes = chance_.between(1ms, 25ms);
-    if (hangs_ && chance_.percent(8)) return "";
-    if (chance_.percent(3))
+    recorder_.log("dependency", "begins the call", id);
+    recorder_.observations.calls.push_back({id, segmentOf_(id), recorder_.currentIndex()});
+    const Duration takes = random_.between(1ms, 25ms);
+    if (hangs_ && random_.withPercent(8)) return "";
+    if (random_.withPercent(3))
         replyLater(on, takes, FakeHttpServer::reply(500, "no"));
-    else if (chance_.percent(2))
+    else if (random_.withPercent(2))
         replyLater(on, takes, "HTTP/1.1 200 X\r\nContent-Le");  // breaks off with the connection's end
     else
         replyLater(on, takes, FakeHttpServer::reply(200, "re: " + body));
@@ -74,11 +75,12 @@
 }
 
 void DependencyPeer::replyLater(net::Connection& on, Duration after, const std::string& reply) {
-    agenda_.at(net::unixNow() + after, [to = ReplyAddress(*first_, *second_, on), reply] { to.send(reply); });
+    scheduler_.schedule(net::unixNow() + after,
+                        [to = ReplyAddress(*first_, *second_, on), reply] { to.send(reply); });
 }
 
-RegistryPeer::RegistryPeer(net::Loop& loop, Agenda& agenda, Recorder& recorder)
-    : agenda_(agenda), recorder_(recorder) {
+RegistryPeer::RegistryPeer(net::Loop& loop, TaskScheduler& scheduler, Recorder& recorder)
+    : scheduler_(scheduler), recorder_(recorder) {
     const auto answers = [this](net::Connection& on, const std::string&, const std::string& body) {
         return answer(on, body);
     };
@@ -93,12 +95,12 @@
 
 std::string RegistryPeer::answer(net::Connection& on, const std::string& body) {
     const bool draining = body.find("draining") != body.npos;
-    recorder_.seen.reports.push_back({recorder_.lifeNumber(), net::unixNow(), draining});
-    recorder_.note("registry", draining ? "reported draining" : "reported ready");
+    recorder_.observations.reports.push_back({recorder_.currentIndex(), net::unixNow(), draining});
+    recorder_.log("registry", draining ? "reported draining" : "reported ready");
     if (silent_) return "";
     if (delay_ == 0ns) return FakeHttpServer::reply(204);
-    agenda_.at(net::unixNow() + delay_,
-               [to = ReplyAddress(*first_, *second_, on)] { to.send(FakeHttpServer::reply(204)); });
+    scheduler_.schedule(net::unixNow() + delay_,
+                        [to = ReplyAddress(*first_, *second_, on)] { to.send(FakeHttpServer::reply(204)); });
     return "";
 }
 
--- a/tests/soak/http_peers.h
+++ b/tests/soak/http_peers.h
@@ -14,11 +14,11 @@
 namespace cottonwing::soak {
 
 /// Functions to be run later, by time.
-class Agenda {
+class TaskScheduler {
 public:
-    void at(Duration time, std::function<void()> what) { entries_.emplace(time, std::move(what)); }
+    void schedule(Duration time, std::function<void()> task) { entries_.emplace(time, std::move(task)); }
     /// Runs what is due.
-    void runUntil(Duration now);
+    void runDue(Duration now);
 
 private:
     std::multimap<Duration, std::function<void()>> entries_;
@@ -29,8 +29,8 @@
 public:
     /// @param isBlocked whether a run waits for the call of this attempt
     /// @param segmentOf which call of its run it is
-    DependencyPeer(net::Loop& loop, Agenda& agenda, Chance& chance, Recorder& recorder, bool hangs,
-                   std::function<bool(const std::string&)> isBlocked,
+    DependencyPeer(net::Loop& loop, TaskScheduler& scheduler, RandomGenerator& random, Recorder& recorder,
+                   bool hangs, std::function<bool(const std::string&)> isBlocked,
                    std::function<int(const std::string&)> segmentOf);
     net::Address address(bool other) const { return (other ? second_ : first_)->server.address(); }
 
@@ -38,8 +38,8 @@
     std::string answer(net::Connection& on, const std::string& head, const std::string& body);
     void replyLater(net::Connection& on, Duration after, const std::string& reply);
 
-    Agenda& agenda_;
-    Chance& chance_;
+    TaskScheduler& scheduler_;
+    RandomGenerator& random_;
     Recorder& recorder_;
     const bool hangs_;
     const std::function<bool(const std::string&)> isBlocked_;
@@ -50,14 +50,14 @@
 /// The registry: notes what is reported, and answers late or not at all where the plan has it so.
 class RegistryPeer {
 public:
-    RegistryPeer(net::Loop& loop, Agenda& agenda, Recorder& recorder);
+    RegistryPeer(net::Loop& loop, TaskScheduler& scheduler, Recorder& recorder);
     net::Address address(bool other) const { return (other ? second_ : first_)->server.address(); }
     void behave(bool silent, Duration delay);
 
 private:
     std::string answer(net::Connection& on, const std::string& body);
 
-    Agenda& agenda_;
+    TaskScheduler& scheduler_;
     Recorder& recorder_;
     bool silent_ = false;
     Duration delay_{0};
--- a/tests/soak/plan.h
+++ b/tests/soak/plan.h
@@ -13,16 +13,16 @@
 namespace cottonwing::soak {
 
 /// The chance of a run.
-class Chance {
+class RandomGenerator {
 public:
-    explicit Chance(std::uint64_t seed) : engine_(seed) {}
+    explicit RandomGenerator(std::uint64_t seed) : engine_(seed) {}
     /// @return from `least` to `most`, both included.
     std::int64_t between(std::int64_t least, std::int64_t most);
     Duration between(Duration least, Duration most);
     bool oneIn(int number) { return between(1, number) == 1; }
-    bool percent(int number) { return between(1, 100) <= number; }
+    bool withPercent(int number) { return between(1, 100) <= number; }
     /// @return a time between two arrivals of this rate a second.
-    Duration untilNextArrival(double rate);
+    Duration nextInterarrivalTime(double rate);
 
 private:
     std::mt19937_64 engine_;
@@ -37,10 +37,10 @@
     File file = File::Same;
 };
 
-/// One life of the server process.
-struct LifePlan {
+/// One incarnation of the server process.
+struct IncarnationPlan {
     Duration poolStartsAfter{0};
-    bool poolIsCold = false;
+    bool poolStartsCold = false;
     bool poolRestarts = false;  ///< together with the server; else its runs go on
     Duration traffic{0};        ///< from the first good health check to the end's first signal
     bool endsBeforeReady = false;
@@ -49,35 +49,35 @@
     std::vector<PlannedSignal> signals;  ///< of a drain; its first SIGTERM starts the time to the kill
     bool registrySilent = false;
     Duration registryDelay{0};
-    Duration stoppedAt{0};     ///< SIGSTOP, from the first good health check
-    Duration stoppedFor{0};    ///< 0: not stopped
-    Duration linkBreaksAt{0};  ///< the worker pool closes its connection; 0: it does not
+    Duration pausedAt{0};            ///< SIGSTOP, from the first good health check
+    Duration pauseDuration{0};       ///< 0: not stopped
+    Duration connectionBreaksAt{0};  ///< the worker pool closes its connection; 0: it does not
 };
 
 /// One whole run.
-struct Plan {
+struct SoakPlan {
     std::uint64_t seed = 0;
-    std::vector<LifePlan> lives;
+    std::vector<IncarnationPlan> incarnations;
     // Configuration.
-    Duration stopAfter{0};   ///< `stop_ms`
-    Duration drainGrace{0};  ///< of the settings
+    Duration shutdownTimeout{0};  ///< `stop_ms`
+    Duration drainGrace{0};       ///< of the settings
     int sockets = 256;
     // Load.
-    bool crowd = false;
+    bool overload = false;
     int idleConnections = 0;
     double requestsPerSecond = 0;
     int clients = 4;
     int connectionsPerClient = 3;
-    int slowReaders = 0;   ///< of the clients
-    int ignoreGoaway = 0;  ///< of the clients: they use their connections until the kill
-    bool poolSendsPieces = false;
-    bool hungCalls = false;
+    int slowReaders = 0;            ///< of the clients
+    int clientsIgnoringGoaway = 0;  ///< of the clients: they use their connections until the kill
+    bool poolSplitsNotices = false;
+    bool dependencyHangs = false;
 
     /// One line that tells what was drawn.
     std::string describe() const;
 };
 
 /// Draws the plan of a seed.
-Plan drawPlan(std::uint64_t seed);
+SoakPlan generatePlan(std::uint64_t seed);
 
 }  // namespace cottonwing::soak
--- a/tests/soak/recorder.cpp
+++ b/tests/soak/recorder.cpp
@@ -8,27 +8,27 @@
 namespace cottonwing::soak {
 
 Attempt& Recorder::add(Attempt attempt) {
-    places_[attempt.id] = seen.attempts.size();
-    seen.attempts.push_back(std::move(attempt));
-    return seen.attempts.back();
+    indexById_[attempt.id] = observations.attempts.size();
+    observations.attempts.push_back(std::move(attempt));
+    return observations.attempts.back();
 }
 
 Attempt* Recorder::find(const std::string& id) {
-    const auto found = places_.find(id);
-    return found == places_.end() ? nullptr : &seen.attempts[found->second];
+    const auto found = indexById_.find(id);
+    return found == indexById_.end() ? nullptr : &observations.attempts[found->second];
 }
 
-bool Recorder::isOver(const std::string& id) {
+bool Recorder::isNoLongerAwaited(const std::string& id) {
     const Attempt* const attempt = find(id);
     return attempt == nullptr || !attempt->responses.empty() || attempt->cancelledAt ||
-           attempt->connection != ConnectionFate::Open;
+           attempt->connection != ConnectionOutcome::Open;
 }
 
-void Recorder::note(const std::string& source, const std::string& what, const std::string& attempt) {
+void Recorder::log(const std::string& source, const std::string& what, const std::string& attempt) {
     lines_.push_back({net::unixNow(), source, what, attempt});
 }
 
-std::string Recorder::timeLineOf(const std::string& attempt) const {
+std::string Recorder::timelineOf(const std::string& attempt) const {
     std::string text;
     for (const Line& line : lines_) {
         if (!line.attempt.empty() && line.attempt != attempt) continue;
--- a/tests/soak/recorder.h
+++ b/tests/soak/recorder.h
@@ -15,28 +15,28 @@
 /// Observations in the making. Attempts are found by their id.
 class Recorder {
 public:
-    Observations seen;
+    Observations observations;
 
     /// Adds an attempt; its id has to be new.
     Attempt& add(Attempt attempt);
     Attempt* find(const std::string& id);
     /// @return whether nobody waits for the attempt any more.
-    bool isOver(const std::string& id);
-    Life& life() { return seen.lives.back(); }
-    std::size_t lifeNumber() const { return seen.lives.size() - 1; }
+    bool isNoLongerAwaited(const std::string& id);
+    Incarnation& current() { return observations.incarnations.back(); }
+    std::size_t currentIndex() const { return observations.incarnations.size() - 1; }
 
     /// Adds a line to the time line.
     /// @param attempt the request concerned; empty where it concerns the process.
-    void note(const std::string& source, const std::string& what, const std::string& attempt = "");
+    void log(const std::string& source, const std::string& what, const std::string& attempt = "");
     /// @return the lines of one attempt among those of the process, oldest first.
-    std::string timeLineOf(const std::string& attempt) const;
+    std::string timelineOf(const std::string& attempt) const;
 
 private:
     struct Line {
         Duration at{0};
         std::string source, what, attempt;
     };
-    std::unordered_map<std::string, std::size_t> places_;  // of attempts, by id
+    std::unordered_map<std::string, std::size_t> indexById_;  // of attempts, by id
     std::vector<Line> lines_;
 };
 
--- a/tests/soak/restart_soak_test.cpp
+++ b/tests/soak/restart_soak_test.cpp
@@ -19,9 +19,9 @@
 namespace {
 
 std::pair<std::uint64_t, std::uint64_t> seedRange() {
-    constexpr std::pair<std::uint64_t, std::uint64_t> kShort = {1, 12};
+    constexpr std::pair<std::uint64_t, std::uint64_t> kDefaultRange = {1, 12};
     const char* const text = std::getenv("COTTONWING_SOAK_SEEDS");
-    std::pair<std::uint64_t, std::uint64_t> range = kShort;
+    std::pair<std::uint64_t, std::uint64_t> range = kDefaultRange;
     if (text == nullptr) return range;
     char* rest = nullptr;
     range.first = range.second = std::strtoull(text, &rest, 10);
@@ -37,35 +37,37 @@
     setrlimit(RLIMIT_NOFILE, &limit);
 }
 
-void printCounts(const Plan& plan, const SoakRun& run) {
-    const Observations& seen = run.recorder().seen;
+void printSummary(const SoakPlan& plan, const SoakRun& run) {
+    const Observations& observations = run.recorder().observations;
     std::size_t kills = 0, written = 0;
     Duration slowestStart{0};
-    for (const Life& life : seen.lives) {
-        kills += life.killedOutright ? 1 : 0;
-        if (life.readyAt && life.poolUpAt)
-            slowestStart = std::max(slowestStart, *life.readyAt - std::max(life.startedAt, *life.poolUpAt));
+    for (const Incarnation& incarnation : observations.incarnations) {
+        kills += incarnation.killedWithoutNotice ? 1 : 0;
+        if (incarnation.readyAt && incarnation.poolUpAt)
+            slowestStart = std::max(
+                slowestStart, *incarnation.readyAt - std::max(incarnation.startedAt, *incarnation.poolUpAt));
     }
-    for (const Attempt& attempt : seen.attempts) written += attempt.writtenAt ? 1 : 0;
-    std::cout << "soak seed=" << plan.seed << " requests=" << written << " runs=" << seen.runs.size()
-              << " restarts=" << seen.lives.size() - 1 << " signals=" << run.signalsSent()
-              << " kills=" << kills << " crowd=" << (plan.crowd ? 1 : 0)
+    for (const Attempt& attempt : observations.attempts) written += attempt.writtenAt ? 1 : 0;
+    std::cout << "soak seed=" << plan.seed << " requests=" << written << " runs=" << observations.runs.size()
+              << " restarts=" << observations.incarnations.size() - 1 << " signals=" << run.signalsSent()
+              << " kills=" << kills << " overload=" << (plan.overload ? 1 : 0)
               << " slowest_start_ms=" << slowestStart / std::chrono::milliseconds(1) << std::endl;
 }
 
-void report(const Plan& plan, const SoakRun& run, const std::vector<Violation>& violations) {
-    constexpr std::size_t kMostReported = 3;
+void report(const SoakPlan& plan, const SoakRun& run, const std::vector<Violation>& violations) {
+    constexpr std::size_t kMaxReported = 3;
     ADD_FAILURE() << violations.size() << " violations; " << plan.describe()
                   << "\nrun again: COTTONWING_SOAK_SEEDS=" << plan.seed
                   << " cottonwing_soak_tests --gtest_filter='*RestartSoak*'";
-    for (std::size_t at = 0; at < std::min(kMostReported, violations.size()); ++at) {
+    for (std::size_t at = 0; at < std::min(kMaxReported, violations.size()); ++at) {
         const Violation& violation = violations[at];
-        std::cout << "VIOLATION " << nameOf(violation.rule) << ": " << violation.what
+        std::cout << "VIOLATION " << nameOfRule(violation.rule) << ": " << violation.what
                   << (violation.attempt.empty() ? "" : " (request " + violation.attempt + ")") << "\n"
-                  << run.recorder().timeLineOf(violation.attempt);
+                  << run.recorder().timelineOf(violation.attempt);
     }
-    for (std::size_t life = 0; life < run.recorder().seen.lives.size(); ++life)
-        std::cout << "log of life " << life << ":\n" << run.logOf(life);
+    for (std::size_t incarnation = 0; incarnation < run.recorder().observations.incarnations.size();
+         ++incarnation)
+        std::cout << "log of incarnation " << incarnation << ":\n" << run.logOf(incarnation);
 }
 
 class RestartSoak : public ::testing::TestWithParam<std::uint64_t> {};
@@ -73,15 +75,15 @@
 // Guards against a request that is lost, run twice or run late around restarts, drains and kills.
 TEST_P(RestartSoak, KeepsTheRules) {
     raiseDescriptorLimit();
-    const Plan plan = drawPlan(GetParam());
+    const SoakPlan plan = generatePlan(GetParam());
     const std::string folder = ::testing::TempDir() + "cottonwing-soak-" + std::to_string(getpid()) + "-" +
                                std::to_string(plan.seed);
     std::filesystem::create_directories(folder);
     SoakRun run(plan, COTTONWING, folder);
-    run.play();
+    run.run();
     ASSERT_EQ(run.failure(), "");
-    printCounts(plan, run);
-    const std::vector<Violation> violations = judge(run.recorder().seen);
+    printSummary(plan, run);
+    const std::vector<Violation> violations = checkRules(run.recorder().observations);
     if (!violations.empty()) report(plan, run, violations);
     if (std::getenv("COTTONWING_SOAK_KEEP") == nullptr) std::filesystem::remove_all(folder);
 }
@@ -90,8 +92,8 @@
                          [](const auto& info) { return std::to_string(info.param); });
 
 TEST(SoakPlan, TheSameSeedDrawsTheSamePlan) {
-    EXPECT_EQ(drawPlan(5).describe(), drawPlan(5).describe());
-    EXPECT_NE(drawPlan(5).describe(), drawPlan(8).describe());
+    EXPECT_EQ(generatePlan(5).describe(), generatePlan(5).describe());
+    EXPECT_NE(generatePlan(5).describe(), generatePlan(8).describe());
 }
 
 }  // namespace
--- a/tests/soak/rules.cpp
+++ b/tests/soak/rules.cpp
@@ -12,26 +12,26 @@
 using namespace std::chrono_literals;
 
 // PROTOCOL.md, "The rules on sockets": every time limit is 50 ms longer.
-constexpr Duration kSlack = 50ms;
+constexpr Duration kTimingTolerance = 50ms;
 // PROTOCOL.md, "Sidecars to backends": what crosses a close within this time is sent once more.
-constexpr Duration kCrossing = 50ms;
+constexpr Duration kCloseRaceWindow = 50ms;
 // The regression's terms: nine in ten restarts are ready in this time.
-constexpr Duration kReadyWithin = 10s;
+constexpr Duration kMaxStartupTime = 10s;
 
-class Judge {
+class RuleChecker {
 public:
-    explicit Judge(const Observations& seen) : seen_(seen) {
-        for (const Attempt& attempt : seen.attempts) attempts_.emplace(attempt.id, &attempt);
-        for (const ObservedRun& run : seen.runs) runs_[run.id].push_back(&run);
+    explicit RuleChecker(const Observations& observations) : observations_(observations) {
+        for (const Attempt& attempt : observations.attempts) attempts_.emplace(attempt.id, &attempt);
+        for (const ObservedRun& run : observations.runs) runs_[run.id].push_back(&run);
     }
 
-    std::vector<Violation> judgeAll() {
-        for (const Attempt& attempt : seen_.attempts) judgeAnswers(attempt);
-        judgeRuns();
-        judgeEffects();
-        judgeCalls();
-        judgeReports();
-        for (const Life& life : seen_.lives) judgeLife(life);
+    std::vector<Violation> checkAll() {
+        for (const Attempt& attempt : observations_.attempts) checkAnswers(attempt);
+        checkRuns();
+        checkEffects();
+        checkCalls();
+        checkReports();
+        for (const Incarnation& incarnation : observations_.incarnations) checkIncarnation(incarnation);
         return std::move(violations_);
     }
 
@@ -41,13 +41,13 @@
     }
     static std::string milliseconds(Duration time) { return std::to_string(time / 1ms) + " ms"; }
     Idempotency idempotencyOf(const Attempt& attempt) const {
-        return seen_.classes[static_cast<std::size_t>(attempt.requestClass)].idempotency;
+        return observations_.classes[static_cast<std::size_t>(attempt.requestClass)].idempotency;
     }
 
     // The time between two moments that counts: during a pause of the machine none does.
     Duration elapsed(Duration from, Duration to) const {
         Duration time = to - from;
-        for (const MachinePause& pause : seen_.pauses)
+        for (const MachinePause& pause : observations_.pauses)
             time -= std::max(Duration(0), std::min(to, pause.to) - std::max(from, pause.from));
         return time;
     }
@@ -58,36 +58,37 @@
         return elapsed(*attempt.writtenAt, at) - given;
     }
 
-    void judgeAnswers(const Attempt& attempt) {
+    void checkAnswers(const Attempt& attempt) {
         if (!attempt.writtenAt) return;
         if (attempt.responses.size() > 1) violation(Rule::Duplicate, "a second answer", attempt.id);
-        if (attempt.responses.empty()) return judgeUnanswered(attempt);
+        if (attempt.responses.empty()) return checkUnanswered(attempt);
         const Response& response = attempt.responses.front();
-        judgeResponseTime(attempt, response);
-        if (response.kind == Response::Kind::Served) judgeResult(attempt, response);
-        if (response.kind == Response::Kind::Rejected) judgeRejection(attempt, response);
+        checkResponseTime(attempt, response);
+        if (response.kind == Response::Kind::Served) checkResult(attempt, response);
+        if (response.kind == Response::Kind::Rejected) checkRejection(attempt, response);
     }
 
-    void judgeResponseTime(const Attempt& attempt, const Response& response) {
+    void checkResponseTime(const Attempt& attempt, const Response& response) {
         if (attempt.cancelledAt || attempt.clientPausedReading) return;
         const Duration late = lateness(attempt, response.at);
-        if (late > kSlack)
+        if (late > kTimingTolerance)
             violation(Rule::Lost, "answered " + milliseconds(late) + " after its deadline", attempt.id);
     }
 
     // PROTOCOL.md: an answer 'served' with what no run made for the request.
-    void judgeResult(const Attempt& attempt, const Response& response) {
-        const bool made = std::any_of(seen_.runs.begin(), seen_.runs.end(), [&](const ObservedRun& run) {
-            if (run.life != attempt.life || run.result != response.body) return false;
-            const auto of = attempts_.find(run.id);
-            if (of == attempts_.end()) return false;
-            return run.id == attempt.id || (!attempt.key.empty() && of->second->key == attempt.key);
-        });
+    void checkResult(const Attempt& attempt, const Response& response) {
+        const bool made =
+            std::any_of(observations_.runs.begin(), observations_.runs.end(), [&](const ObservedRun& run) {
+                if (run.incarnation != attempt.incarnation || run.result != response.body) return false;
+                const auto found = attempts_.find(run.id);
+                if (found == attempts_.end()) return false;
+                return run.id == attempt.id || (!attempt.key.empty() && found->second->key == attempt.key);
+            });
         if (!made) violation(Rule::Lost, "served with a result that no run made", attempt.id);
     }
 
     // WIRE: once a try of a request that is not idempotent has run, it is not refused.
-    void judgeRejection(const Attempt& attempt, const Response& response) {
+    void checkRejection(const Attempt& attempt, const Response& response) {
         if (idempotencyOf(attempt) == Idempotency::Idempotent) return;
         for (const ObservedRun* const run : runsOf(attempt.id))
             if (run->startedAt <= response.at)
@@ -100,31 +101,33 @@
         return found == runs_.end() ? none : found->second;
     }
 
-    void judgeUnanswered(const Attempt& attempt) {
-        if (attempt.cancelledAt || attempt.connection == ConnectionFate::ClosedByClient) return;
-        const Life& life = seen_.lives[attempt.life];
-        if (attempt.connection == ConnectionFate::ClosedByServer) return judgeClosed(attempt, life);
+    void checkUnanswered(const Attempt& attempt) {
+        if (attempt.cancelledAt || attempt.connection == ConnectionOutcome::ClosedByClient) return;
+        const Incarnation& incarnation = observations_.incarnations[attempt.incarnation];
+        if (attempt.connection == ConnectionOutcome::ClosedByServer) return checkClosed(attempt, incarnation);
         violation(Rule::Lost, "no answer on an open connection", attempt.id);
     }
 
     // Excused are: what an instance held that was killed outright; a request that crossed the close and never
     // ran, which its client sends once more; and one on a new connection that was closed having run nothing.
-    void judgeClosed(const Attempt& attempt, const Life& life) {
+    void checkClosed(const Attempt& attempt, const Incarnation& incarnation) {
         const Duration closed = attempt.connectionEndedAt;
-        const bool inTime = lateness(attempt, closed) <= kSlack;
-        if (life.killedOutright && life.killed && closed >= *life.killed && inTime) return;
+        const bool inTime = lateness(attempt, closed) <= kTimingTolerance;
+        if (incarnation.killedWithoutNotice && incarnation.killedAt && closed >= *incarnation.killedAt &&
+            inTime)
+            return;
         const bool ran = !runsOf(attempt.id).empty();
         const Duration open = elapsed(*attempt.writtenAt, closed);
-        if (!ran && open <= kCrossing) return;
-        if (!ran && !attempt.connectionWasServed) return;
+        if (!ran && open <= kCloseRaceWindow) return;
+        if (!ran && !attempt.connectionHadResponse) return;
         violation(Rule::Lost,
                   "its connection ended " + milliseconds(open) + " after its last byte without an answer" +
                       (ran ? ", and it ran" : ""),
                   attempt.id);
     }
 
-    void judgeRuns() {
-        for (const ObservedRun& run : seen_.runs) {
+    void checkRuns() {
+        for (const ObservedRun& run : observations_.runs) {
             const auto found = attempts_.find(run.id);
             if (found == attempts_.end()) {
                 violation(Rule::Lost, "a run of a request that nobody sent", run.id);
@@ -132,40 +135,41 @@
             }
             const Attempt& attempt = *found->second;
             const std::string& requestClass =
-                seen_.classes[static_cast<std::size_t>(attempt.requestClass)].name;
+                observations_.classes[static_cast<std::size_t>(attempt.requestClass)].name;
             if (run.body != attempt.body || run.requestClass != requestClass)
                 violation(Rule::Lost, "its body or class reached the worker pool changed", run.id);
-            judgeDrain(run, attempt);
+            checkDrain(run, attempt);
         }
     }
 
-    void judgeDrain(const ObservedRun& run, const Attempt& attempt) {
-        const Life& life = seen_.lives[run.life];
-        if (!life.terminated || !attempt.writtenAt) return;
-        const Duration after = elapsed(*life.terminated, *attempt.writtenAt);
-        if (after > seen_.drainGrace + kSlack)
+    void checkDrain(const ObservedRun& run, const Attempt& attempt) {
+        const Incarnation& incarnation = observations_.incarnations[run.incarnation];
+        if (!incarnation.terminatedAt || !attempt.writtenAt) return;
+        const Duration after = elapsed(*incarnation.terminatedAt, *attempt.writtenAt);
+        if (after > observations_.drainGrace + kTimingTolerance)
             violation(Rule::Drain, "run although it arrived " + milliseconds(after) + " after SIGTERM",
                       run.id);
     }
 
-    // What may run once: by its first attempt, or by its key within one life of the server.
-    void judgeEffects() {
+    // What may run once: by its first attempt, or by its key within one incarnation of the server.
+    void checkEffects() {
         std::set<std::string> ran;
-        for (const ObservedRun& run : seen_.runs) {
+        for (const ObservedRun& run : observations_.runs) {
             const auto found = attempts_.find(run.id);
             if (found == attempts_.end()) continue;
             const Attempt& attempt = *found->second;
             if (idempotencyOf(attempt) == Idempotency::Idempotent) continue;
             const bool keyed = idempotencyOf(attempt) == Idempotency::WithKey;
             const std::string effect =
-                keyed ? attempt.key + " in life " + std::to_string(run.life) : attempt.firstAttempt;
+                keyed ? attempt.key + " in incarnation " + std::to_string(run.incarnation)
+                      : attempt.firstAttempt;
             if (!ran.insert(effect).second) violation(Rule::Duplicate, "run again: " + effect, run.id);
         }
     }
 
-    void judgeCalls() {
+    void checkCalls() {
         std::set<std::pair<std::string, int>> made;
-        for (const Call& call : seen_.calls) {
+        for (const ObservedCall& call : observations_.calls) {
             const auto found = attempts_.find(call.id);
             if (found == attempts_.end() || idempotencyOf(*found->second) == Idempotency::Idempotent)
                 continue;
@@ -174,70 +178,73 @@
         }
     }
 
-    void judgeReports() {
+    void checkReports() {
         std::set<std::size_t> draining;
-        for (const Report& report : seen_.reports) {
+        for (const RegistryReport& report : observations_.reports) {
             if (report.draining)
-                draining.insert(report.life);
-            else if (draining.contains(report.life))
+                draining.insert(report.incarnation);
+            else if (draining.contains(report.incarnation))
                 violation(Rule::Lifecycle, "reported ready after it had reported draining");
         }
     }
 
-    void judgeLife(const Life& life) {
-        judgeEnd(life);
-        judgeReadiness(life);
-        judgeLimits(life);
-        if (!life.sanitizerReport.empty()) violation(Rule::Sanitizer, life.sanitizerReport);
-        if (life.unansweredByCounters != 0)
-            violation(Rule::Lost, std::to_string(life.unansweredByCounters) +
+    void checkIncarnation(const Incarnation& incarnation) {
+        checkEnd(incarnation);
+        checkReadiness(incarnation);
+        checkLimits(incarnation);
+        if (!incarnation.sanitizerReport.empty()) violation(Rule::Sanitizer, incarnation.sanitizerReport);
+        if (incarnation.unansweredByCounters != 0)
+            violation(Rule::Lost, std::to_string(incarnation.unansweredByCounters) +
                                       " requests read and not ended, by its own counters");
-        if (life.unreadableBytes > 0) violation(Rule::Lost, "an answer that can't be read");
+        if (incarnation.unreadableBytes > 0) violation(Rule::Lost, "an answer that can't be read");
     }
 
-    void judgeEnd(const Life& life) {
-        if (!life.endedAt) return violation(Rule::Lifecycle, "the process did not end");
-        if (life.killedOutright) {
-            if (life.exitSignal == 0)
+    void checkEnd(const Incarnation& incarnation) {
+        if (!incarnation.endedAt) return violation(Rule::Lifecycle, "the process did not end");
+        if (incarnation.killedWithoutNotice) {
+            if (incarnation.exitSignal == 0)
                 violation(Rule::Lifecycle,
-                          "ended by itself, with exit code " + std::to_string(life.exitCode));
+                          "ended by itself, with exit code " + std::to_string(incarnation.exitCode));
             return;
         }
-        if (!life.terminated)
+        if (!incarnation.terminatedAt)
+            return violation(Rule::Lifecycle, "ended without a signal, with exit code " +
+                                                  std::to_string(incarnation.exitCode));
+        if (incarnation.killedAt)
             return violation(Rule::Lifecycle,
-                             "ended without a signal, with exit code " + std::to_string(life.exitCode));
-        if (life.killed)
-            return violation(Rule::Lifecycle, "had not ended " +
-                                                  milliseconds(*life.killed - *life.terminated) +
-                                                  " after SIGTERM, when the kill came");
-        if (life.exitCode != 0 || life.exitSignal != 0)
-            violation(Rule::Lifecycle, "the shutdown ended with exit code " + std::to_string(life.exitCode) +
-                                           ", signal " + std::to_string(life.exitSignal));
+                             "had not ended " +
+                                 milliseconds(*incarnation.killedAt - *incarnation.terminatedAt) +
+                                 " after SIGTERM, when the kill came");
+        if (incarnation.exitCode != 0 || incarnation.exitSignal != 0)
+            violation(Rule::Lifecycle, "the shutdown ended with exit code " +
+                                           std::to_string(incarnation.exitCode) + ", signal " +
+                                           std::to_string(incarnation.exitSignal));
     }
 
-    void judgeReadiness(const Life& life) {
-        if (!life.poolUpAt) return;
-        const Duration from = std::max(life.startedAt, *life.poolUpAt);
-        const Duration until = life.readyAt      ? *life.readyAt
-                               : life.terminated ? *life.terminated
-                               : life.endedAt    ? *life.endedAt
-                                                 : from;
-        if (elapsed(from, until) > kReadyWithin)
+    void checkReadiness(const Incarnation& incarnation) {
+        if (!incarnation.poolUpAt) return;
+        const Duration from = std::max(incarnation.startedAt, *incarnation.poolUpAt);
+        const Duration until = incarnation.readyAt        ? *incarnation.readyAt
+                               : incarnation.terminatedAt ? *incarnation.terminatedAt
+                               : incarnation.endedAt      ? *incarnation.endedAt
+                                                          : from;
+        if (elapsed(from, until) > kMaxStartupTime)
             violation(Rule::Lifecycle,
                       "not ready " + milliseconds(elapsed(from, until)) + " after its start");
     }
 
-    void judgeLimits(const Life& life) {
-        if (life.mostMemoryMb > seen_.memoryLimitMb)
-            violation(Rule::Limits, std::to_string(life.mostMemoryMb) + " MB of memory");
-        if (life.mostDescriptors > seen_.descriptorLimit)
-            violation(Rule::Limits, std::to_string(life.mostDescriptors) + " descriptors");
-        if (life.mostBookedKb > seen_.bookedLimitKb)
-            violation(Rule::Limits, std::to_string(life.mostBookedKb) + " KB of the worker pool's memory");
-        if (life.mostRunsOnCores > 1) violation(Rule::Limits, "too many runs on the cores");
+    void checkLimits(const Incarnation& incarnation) {
+        if (incarnation.peakMemoryMb > observations_.memoryLimitMb)
+            violation(Rule::Limits, std::to_string(incarnation.peakMemoryMb) + " MB of memory");
+        if (incarnation.peakDescriptors > observations_.descriptorLimit)
+            violation(Rule::Limits, std::to_string(incarnation.peakDescriptors) + " descriptors");
+        if (incarnation.peakReservedKb > observations_.reservedLimitKb)
+            violation(Rule::Limits,
+                      std::to_string(incarnation.peakReservedKb) + " KB of the worker pool's memory");
+        if (incarnation.peakOverloadFraction > 1) violation(Rule::Limits, "too many runs on the cores");
     }
 
-    const Observations& seen_;
+    const Observations& observations_;
     std::map<std::string, const Attempt*> attempts_;
     std::map<std::string, std::vector<const ObservedRun*>> runs_;
     std::vector<Violation> violations_;
@@ -245,7 +252,7 @@
 
 }  // namespace
 
-const char* nameOf(Rule rule) {
+const char* nameOfRule(Rule rule) {
     switch (rule) {
         case Rule::Lost:
             return "lost";
@@ -263,8 +270,8 @@
     return "";
 }
 
-std::vector<Violation> judge(const Observations& seen) {
-    std::vector<Violation> violations = Judge(seen).judgeAll();
+std::vector<Violation> checkRules(const Observations& observations) {
+    std::vector<Violation> violations = RuleChecker(observations).checkAll();
     std::stable_sort(violations.begin(), violations.end(),
                      [](const Violation& a, const Violation& b) { return a.rule < b.rule; });
     return violations;
--- a/tests/soak/rules.h
+++ b/tests/soak/rules.h
@@ -19,7 +19,7 @@
     Sanitizer
 };
 
-const char* nameOf(Rule rule);
+const char* nameOfRule(Rule rule);
 
 /// One broken rule.
 struct Violation {
@@ -29,6 +29,6 @@
 };
 
 /// @return every broken rule, in the order of the rules.
-std::vector<Violation> judge(const Observations& seen);
+std::vector<Violation> checkRules(const Observations& observations);
 
 }  // namespace cottonwing::soak
--- a/tests/soak/rules_test.cpp
+++ b/tests/soak/rules_test.cpp
@@ -13,27 +13,27 @@
 using namespace std::chrono_literals;
 
 constexpr Duration kStart = 1000s;
-constexpr Duration kNotice = kStart + 5s;
+constexpr Duration kShutdownNotice = kStart + 5s;
 
-// One life that serves one request of a class that may run once, and ends in order; no rule is broken.
+// One incarnation that serves one request of a class that may run once, and ends in order; no rule is broken.
 class SoakRules : public ::testing::Test {
 protected:
     SoakRules() {
-        seen.classes = {
+        observations.classes = {
             {"read", Idempotency::Idempotent}, {"once", Idempotency::None}, {"keyed", Idempotency::WithKey}};
-        seen.drainGrace = 1s;
-        seen.memoryLimitMb = 192;
-        seen.descriptorLimit = 256;
-        seen.bookedLimitKb = 8000;
-        Life life;
-        life.startedAt = life.poolUpAt.emplace(kStart);
-        life.readyAt = kStart + 50ms;
-        life.terminated = kNotice;
-        life.endedAt = kNotice + 1100ms;
-        seen.lives = {life};
+        observations.drainGrace = 1s;
+        observations.memoryLimitMb = 192;
+        observations.descriptorLimit = 256;
+        observations.reservedLimitKb = 8000;
+        Incarnation incarnation;
+        incarnation.startedAt = incarnation.poolUpAt.emplace(kStart);
+        incarnation.readyAt = kStart + 50ms;
+        incarnation.terminatedAt = kShutdownNotice;
+        incarnation.endedAt = kShutdownNotice + 1100ms;
+        observations.incarnations = {incarnation};
         add("a1", 1);
         run("a1");
-        served("a1");
+        answerServed("a1");
     }
 
     Attempt& add(const std::string& id, int requestClass, Duration written = kStart + 1s) {
@@ -43,210 +43,211 @@
         attempt.body = "body of " + id;
         attempt.writtenAt = written;
         attempt.deadline = written + 1s;
-        seen.attempts.push_back(attempt);
-        return seen.attempts.back();
+        observations.attempts.push_back(attempt);
+        return observations.attempts.back();
     }
     ObservedRun& run(const std::string& id, Duration startedAt = kStart + 1010ms) {
-        const Attempt& of = attempt(id);
-        seen.runs.push_back({id, of.life, seen.classes[static_cast<std::size_t>(of.requestClass)].name,
-                             of.body, startedAt, "result of " + id});
-        return seen.runs.back();
+        const Attempt& target = attempt(id);
+        observations.runs.push_back({id, target.incarnation,
+                                     observations.classes[static_cast<std::size_t>(target.requestClass)].name,
+                                     target.body, startedAt, "result of " + id});
+        return observations.runs.back();
     }
     Attempt& attempt(const std::string& id) {
-        return *std::find_if(seen.attempts.begin(), seen.attempts.end(),
+        return *std::find_if(observations.attempts.begin(), observations.attempts.end(),
                              [&](const Attempt& one) { return one.id == id; });
     }
     void answer(const std::string& id, Response::Kind kind, Duration after, const std::string& body = "") {
         Attempt& to = attempt(id);
         to.responses.push_back({*to.writtenAt + after, kind, body});
     }
-    void served(const std::string& id) { answer(id, Response::Kind::Served, 30ms, "result of " + id); }
-    void closed(const std::string& id, Duration after, bool connectionWasServed = true) {
-        Attempt& of = attempt(id);
-        of.connection = ConnectionFate::ClosedByServer;
-        of.connectionEndedAt = *of.writtenAt + after;
-        of.connectionWasServed = connectionWasServed;
+    void answerServed(const std::string& id) { answer(id, Response::Kind::Served, 30ms, "result of " + id); }
+    void closedByServer(const std::string& id, Duration after, bool connectionHadResponse = true) {
+        Attempt& target = attempt(id);
+        target.connection = ConnectionOutcome::ClosedByServer;
+        target.connectionEndedAt = *target.writtenAt + after;
+        target.connectionHadResponse = connectionHadResponse;
     }
     // What is broken, each rule once.
-    std::vector<Rule> broken() const {
+    std::vector<Rule> brokenRules() const {
         std::vector<Rule> rules;
-        for (const Violation& violation : judge(seen)) rules.push_back(violation.rule);
+        for (const Violation& violation : checkRules(observations)) rules.push_back(violation.rule);
         rules.erase(std::unique(rules.begin(), rules.end()), rules.end());
         return rules;
     }
-    using Rules = std::vector<Rule>;
+    using RuleList = std::vector<Rule>;
 
-    Observations seen;
+    Observations observations;
 };
 
-TEST_F(SoakRules, AnOrderlyHistoryBreaksNone) { EXPECT_EQ(broken(), Rules{}); }
+TEST_F(SoakRules, AnOrderlyHistoryBreaksNone) { EXPECT_EQ(brokenRules(), RuleList{}); }
 
 TEST_F(SoakRules, ARequestWithoutAnswerOnAnOpenConnectionIsLost) {
     add("a2", 0);
-    EXPECT_EQ(broken(), Rules{Rule::Lost});
+    EXPECT_EQ(brokenRules(), RuleList{Rule::Lost});
     attempt("a2").cancelledAt = kStart + 1100ms;
-    EXPECT_EQ(broken(), Rules{});
+    EXPECT_EQ(brokenRules(), RuleList{});
 }
 
 TEST_F(SoakRules, AnAnswerAfterTheDeadlineIsLost) {
     add("a2", 0);
     answer("a2", Response::Kind::Failed, 1050ms);
-    EXPECT_EQ(broken(), Rules{});
-    seen.attempts.back().responses[0].at += 1ms;
-    EXPECT_EQ(broken(), Rules{Rule::Lost});
-    seen.pauses = {{kStart + 1500ms, kStart + 1600ms}};
-    EXPECT_EQ(broken(), Rules{}) << "the machine stood still meanwhile";
+    EXPECT_EQ(brokenRules(), RuleList{});
+    observations.attempts.back().responses[0].at += 1ms;
+    EXPECT_EQ(brokenRules(), RuleList{Rule::Lost});
+    observations.pauses = {{kStart + 1500ms, kStart + 1600ms}};
+    EXPECT_EQ(brokenRules(), RuleList{}) << "the machine stood still meanwhile";
 }
 
 TEST_F(SoakRules, ARequestThatCrossesACloseIsExcusedAndAnOlderOneIsNot) {
     add("a2", 0);
-    closed("a2", 50ms);
-    EXPECT_EQ(broken(), Rules{});
-    closed("a2", 51ms);
-    EXPECT_EQ(broken(), Rules{Rule::Lost});
-    closed("a2", 51ms, false);
-    EXPECT_EQ(broken(), Rules{}) << "a new connection on which nothing ran";
+    closedByServer("a2", 50ms);
+    EXPECT_EQ(brokenRules(), RuleList{});
+    closedByServer("a2", 51ms);
+    EXPECT_EQ(brokenRules(), RuleList{Rule::Lost});
+    closedByServer("a2", 51ms, false);
+    EXPECT_EQ(brokenRules(), RuleList{}) << "a new connection on which nothing ran";
 }
 
 TEST_F(SoakRules, ARequestThatRanAndHasNoAnswerIsLostHoweverLate) {
     add("a2", 0);
-    closed("a2", 10ms);
+    closedByServer("a2", 10ms);
     run("a2");
-    EXPECT_EQ(broken(), Rules{Rule::Lost});
+    EXPECT_EQ(brokenRules(), RuleList{Rule::Lost});
 }
 
 TEST_F(SoakRules, WhatAnInstanceHeldThatWasKilledOutrightIsExcused) {
-    Life& life = seen.lives[0];
-    life.terminated.reset();
-    life.killedOutright = true;
-    life.killed = kStart + 1200ms;
-    life.endedAt = kStart + 1201ms;
-    life.exitSignal = 9;
+    Incarnation& incarnation = observations.incarnations[0];
+    incarnation.terminatedAt.reset();
+    incarnation.killedWithoutNotice = true;
+    incarnation.killedAt = kStart + 1200ms;
+    incarnation.endedAt = kStart + 1201ms;
+    incarnation.exitSignal = 9;
     add("a2", 0);
-    closed("a2", 201ms);
-    EXPECT_EQ(broken(), Rules{});
+    closedByServer("a2", 201ms);
+    EXPECT_EQ(brokenRules(), RuleList{});
     attempt("a2").deadline = kStart + 1100ms;
-    EXPECT_EQ(broken(), Rules{Rule::Lost}) << "its deadline had passed before";
+    EXPECT_EQ(brokenRules(), RuleList{Rule::Lost}) << "its deadline had passed before";
 }
 
 TEST_F(SoakRules, AResultThatNoRunMadeIsLost) {
     attempt("a1").responses[0].body = "another result";
-    EXPECT_EQ(broken(), Rules{Rule::Lost});
+    EXPECT_EQ(brokenRules(), RuleList{Rule::Lost});
 }
 
 TEST_F(SoakRules, AnAnswerThatCannotBeReadIsLost) {
-    seen.lives[0].unreadableBytes = 1;
-    EXPECT_EQ(broken(), Rules{Rule::Lost});
+    observations.incarnations[0].unreadableBytes = 1;
+    EXPECT_EQ(brokenRules(), RuleList{Rule::Lost});
 }
 
 TEST_F(SoakRules, ARequestThatItsCountersMissIsLost) {
-    seen.lives[0].unansweredByCounters = 1;
-    EXPECT_EQ(broken(), Rules{Rule::Lost});
+    observations.incarnations[0].unansweredByCounters = 1;
+    EXPECT_EQ(brokenRules(), RuleList{Rule::Lost});
 }
 
 TEST_F(SoakRules, ABodyOrClassThatReachesTheWorkerPoolChangedIsLost) {
-    seen.runs[0].body += "x";
-    EXPECT_EQ(broken(), Rules{Rule::Lost});
-    seen.runs[0].body.pop_back();
-    seen.runs[0].requestClass = "read";
-    EXPECT_EQ(broken(), Rules{Rule::Lost});
+    observations.runs[0].body += "x";
+    EXPECT_EQ(brokenRules(), RuleList{Rule::Lost});
+    observations.runs[0].body.pop_back();
+    observations.runs[0].requestClass = "read";
+    EXPECT_EQ(brokenRules(), RuleList{Rule::Lost});
 }
 
 TEST_F(SoakRules, ASecondAnswerIsADuplicate) {
-    served("a1");
-    EXPECT_EQ(broken(), Rules{Rule::Duplicate});
+    answerServed("a1");
+    EXPECT_EQ(brokenRules(), RuleList{Rule::Duplicate});
 }
 
 TEST_F(SoakRules, ASecondRunIsADuplicateUnlessIdempotent) {
     run("a1");
-    EXPECT_EQ(broken(), Rules{Rule::Duplicate});
+    EXPECT_EQ(brokenRules(), RuleList{Rule::Duplicate});
     attempt("a1").requestClass = 0;
-    for (ObservedRun& one : seen.runs) one.requestClass = "read";
-    EXPECT_EQ(broken(), Rules{});
+    for (ObservedRun& one : observations.runs) one.requestClass = "read";
+    EXPECT_EQ(brokenRules(), RuleList{});
 }
 
 TEST_F(SoakRules, ARetryThatRunsAgainIsADuplicate) {
     add("a2", 1).firstAttempt = "a1";
     run("a2");
-    served("a2");
-    EXPECT_EQ(broken(), Rules{Rule::Duplicate});
+    answerServed("a2");
+    EXPECT_EQ(brokenRules(), RuleList{Rule::Duplicate});
 }
 
 TEST_F(SoakRules, AKeyRunsOnceInALifeAndAgainInTheNext) {
     add("k1", 2).key = "key";
     run("k1");
-    served("k1");
+    answerServed("k1");
     add("k2", 2).key = "key";
     answer("k2", Response::Kind::Served, 30ms, "result of k1");
-    EXPECT_EQ(broken(), Rules{}) << "answered from the other's result";
+    EXPECT_EQ(brokenRules(), RuleList{}) << "answered from the other's result";
     run("k2");
-    EXPECT_EQ(broken(), Rules{Rule::Duplicate});
-    seen.lives.push_back(seen.lives[0]);
-    seen.runs.back().life = attempt("k2").life = 1;
+    EXPECT_EQ(brokenRules(), RuleList{Rule::Duplicate});
+    observations.incarnations.push_back(observations.incarnations[0]);
+    observations.runs.back().incarnation = attempt("k2").incarnation = 1;
     attempt("k2").responses[0].body = "result of k2";
-    EXPECT_EQ(broken(), Rules{});
+    EXPECT_EQ(brokenRules(), RuleList{});
 }
 
 TEST_F(SoakRules, ARejectionOfWhatHasRunIsADuplicate) {
     attempt("a1").responses[0].kind = Response::Kind::Rejected;
-    EXPECT_EQ(broken(), Rules{Rule::Duplicate});
+    EXPECT_EQ(brokenRules(), RuleList{Rule::Duplicate});
 }
 
 TEST_F(SoakRules, ADependencyCallThatIsMadeAgainIsADuplicate) {
-    seen.calls = {{"a1", 0, 0}, {"a1", 1, 0}};
-    EXPECT_EQ(broken(), Rules{}) << "two calls of one run";
-    seen.calls.push_back({"a1", 1, 0});
-    EXPECT_EQ(broken(), Rules{Rule::Duplicate});
+    observations.calls = {{"a1", 0, 0}, {"a1", 1, 0}};
+    EXPECT_EQ(brokenRules(), RuleList{}) << "two calls of one run";
+    observations.calls.push_back({"a1", 1, 0});
+    EXPECT_EQ(brokenRules(), RuleList{Rule::Duplicate});
 }
 
 TEST_F(SoakRules, ARunOfWhatCameAfterTheDrainGraceBreaksTheDrain) {
-    add("a2", 0, kNotice + 1050ms);
-    run("a2", kNotice + 1060ms);
-    served("a2");
-    EXPECT_EQ(broken(), Rules{});
+    add("a2", 0, kShutdownNotice + 1050ms);
+    run("a2", kShutdownNotice + 1060ms);
+    answerServed("a2");
+    EXPECT_EQ(brokenRules(), RuleList{});
     *attempt("a2").writtenAt += 1ms;
-    EXPECT_EQ(broken(), Rules{Rule::Drain});
+    EXPECT_EQ(brokenRules(), RuleList{Rule::Drain});
 }
 
 TEST_F(SoakRules, EachLimitIsHeld) {
     const auto expectLimits = [this](auto&& exceed) {
-        const Life orderly = seen.lives[0];
-        exceed(seen.lives[0]);
-        EXPECT_EQ(broken(), Rules{Rule::Limits});
-        seen.lives[0] = orderly;
+        const Incarnation original = observations.incarnations[0];
+        exceed(observations.incarnations[0]);
+        EXPECT_EQ(brokenRules(), RuleList{Rule::Limits});
+        observations.incarnations[0] = original;
     };
-    expectLimits([](Life& life) { life.mostMemoryMb = 192.1; });
-    expectLimits([](Life& life) { life.mostDescriptors = 257; });
-    expectLimits([](Life& life) { life.mostBookedKb = 8000.1; });
-    expectLimits([](Life& life) { life.mostRunsOnCores = 1.01; });
+    expectLimits([](Incarnation& incarnation) { incarnation.peakMemoryMb = 192.1; });
+    expectLimits([](Incarnation& incarnation) { incarnation.peakDescriptors = 257; });
+    expectLimits([](Incarnation& incarnation) { incarnation.peakReservedKb = 8000.1; });
+    expectLimits([](Incarnation& incarnation) { incarnation.peakOverloadFraction = 1.01; });
 }
 
 TEST_F(SoakRules, AProcessEndsInOrderAndBeforeTheKill) {
     const auto expectBroken = [this](auto&& change) {
-        const Life orderly = seen.lives[0];
-        change(seen.lives[0]);
-        EXPECT_EQ(broken(), Rules{Rule::Lifecycle});
-        seen.lives[0] = orderly;
+        const Incarnation original = observations.incarnations[0];
+        change(observations.incarnations[0]);
+        EXPECT_EQ(brokenRules(), RuleList{Rule::Lifecycle});
+        observations.incarnations[0] = original;
     };
-    expectBroken([](Life& life) { life.exitCode = 1; });
-    expectBroken([](Life& life) { life.exitSignal = 6; });
-    expectBroken([](Life& life) { life.killed = kNotice + 3s; });
-    expectBroken([](Life& life) { life.terminated.reset(); });
-    expectBroken([](Life& life) { life.endedAt.reset(); });
-    expectBroken([](Life& life) { life.killedOutright = true; });
-    expectBroken([](Life& life) { life.readyAt = kStart + 10001ms; });
+    expectBroken([](Incarnation& incarnation) { incarnation.exitCode = 1; });
+    expectBroken([](Incarnation& incarnation) { incarnation.exitSignal = 6; });
+    expectBroken([](Incarnation& incarnation) { incarnation.killedAt = kShutdownNotice + 3s; });
+    expectBroken([](Incarnation& incarnation) { incarnation.terminatedAt.reset(); });
+    expectBroken([](Incarnation& incarnation) { incarnation.endedAt.reset(); });
+    expectBroken([](Incarnation& incarnation) { incarnation.killedWithoutNotice = true; });
+    expectBroken([](Incarnation& incarnation) { incarnation.readyAt = kStart + 10001ms; });
 }
 
 TEST_F(SoakRules, ReadyIsNotReportedAfterDraining) {
-    seen.reports = {{0, kStart, false}, {0, kNotice, true}};
-    EXPECT_EQ(broken(), Rules{});
-    seen.reports.push_back({0, kNotice + 1s, false});
-    EXPECT_EQ(broken(), Rules{Rule::Lifecycle});
+    observations.reports = {{0, kStart, false}, {0, kShutdownNotice, true}};
+    EXPECT_EQ(brokenRules(), RuleList{});
+    observations.reports.push_back({0, kShutdownNotice + 1s, false});
+    EXPECT_EQ(brokenRules(), RuleList{Rule::Lifecycle});
 }
 
 TEST_F(SoakRules, ASanitizerReportIsNoticed) {
-    seen.lives[0].sanitizerReport = "ERROR: AddressSanitizer";
-    EXPECT_EQ(broken(), Rules{Rule::Sanitizer});
+    observations.incarnations[0].sanitizerReport = "ERROR: AddressSanitizer";
+    EXPECT_EQ(brokenRules(), RuleList{Rule::Sanitizer});
 }
 
 }  // namespace
--- a/tests/soak/soak_run.h
+++ b/tests/soak/soak_run.h
@@ -1,5 +1,5 @@
 /// @file
-/// Plays one plan: the real server process between the peers of the soak, through its lives.
+/// Plays one plan: the real server process between the peers of the soak, through its incarnations.
 #pragma once
 
 #include <memory>
@@ -21,46 +21,48 @@
 public:
     /// @param program the server's path
     /// @param folder  for its configuration and its logs; it has to exist
-    SoakRun(Plan plan, std::string program, std::string folder);
+    SoakRun(SoakPlan plan, std::string program, std::string folder);
     ~SoakRun();
 
     /// Plays the plan to its end.
-    void play();
+    void run();
     const Recorder& recorder() const { return recorder_; }
     /// Why the run itself failed, such as a program that can't be started; empty where it was played.
     const std::string& failure() const { return failure_; }
     /// Signals sent, for the report of counts.
     int signalsSent() const { return signalsSent_; }
-    /// The log of one life of the server.
-    std::string logOf(std::size_t life) const;
+    /// The log of one incarnation of the server.
+    std::string logOf(std::size_t incarnation) const;
 
 private:
     void tick();
-    void startLife();
+    void startIncarnation();
     void writeConfig(PlannedSignal::File file);
-    void whileStarting(Duration now);
-    void planTraffic(Duration from);
-    void planEnd(Duration from);
+    void checkStartup(Duration now);
+    void scheduleTraffic(Duration from);
+    void scheduleEnd(Duration from);
     void sendSignal(const PlannedSignal& planned);
-    void killAfter(Duration unpaused);
+    void scheduleKill(Duration unpaused);
     void endPause();
-    void stopProcess(Duration length);
-    void killOutright();
+    void pauseProcess(Duration length);
+    void killWithoutNotice();
     void processEnded(int code, int signal);
-    void finishLife();
+    void finishIncarnation();
     void readLog();
     void observeProcess(Duration now);
-    const LifePlan& lifePlan() const { return plan_.lives[recorder_.lifeNumber()]; }
-    bool isCurrent(std::size_t life) const { return life == recorder_.lifeNumber() && !done_; }
-    void at(Duration time, std::function<void()> what);
+    const IncarnationPlan& currentPlan() const { return plan_.incarnations[recorder_.currentIndex()]; }
+    bool isCurrent(std::size_t incarnation) const {
+        return incarnation == recorder_.currentIndex() && !done_;
+    }
+    void scheduleWhileRunning(Duration time, std::function<void()> task);
     Duration pausedSince(Duration from) const;
 
-    const Plan plan_;
+    const SoakPlan plan_;
     const std::string program_, folder_;
-    Chance chance_;
+    RandomGenerator random_;
     Recorder recorder_;
     net::Loop loop_;
-    Agenda agenda_;
+    TaskScheduler scheduler_;
     WorkerPoolProcess pool_;
     DependencyPeer dependency_;
     RegistryPeer registry_;
@@ -68,10 +70,10 @@
     std::unique_ptr<loadtest::ChildProcess> process_;
     net::Timer timer_;
     net::Address listen_;
-    Duration lastTick_{0}, nextLook_{0};
-    Duration notBefore_{0};  ///< the next life: the kill's time, also after an earlier end
+    Duration lastTick_{0}, nextSample_{0};
+    Duration nextStartNotBefore_{0};  ///< the next incarnation: the kill's time, also after an earlier end
     bool otherAddresses_ = false, starting_ = false, done_ = false;
-    std::optional<Duration> stoppedAt_;  ///< by SIGSTOP, and not going on yet
+    std::optional<Duration> pausedAt_;  ///< by SIGSTOP, and not going on yet
     int signalsSent_ = 0;
     std::string failure_;
 };
--- a/tests/soak/worker_pool_process.cpp
+++ b/tests/soak/worker_pool_process.cpp
@@ -14,11 +14,11 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::size_t kNoticesKept = 4000;  // PROTOCOL.md, "The worker pool"
-constexpr Duration kBookedAfter = 100ms;    // PROTOCOL.md: a request counts 0.1 s after it was written
-constexpr Duration kLookInterval = 10ms;    // at what is booked and what runs
-constexpr Duration kBetweenPieces = 3ms;
-constexpr int kPiecesOneIn = 6, kTwiceOneIn = 12;  // of the notices
+constexpr std::size_t kMaxStoredNotices = 4000;  // PROTOCOL.md, "The worker pool"
+constexpr Duration kReservedAfter = 100ms;       // PROTOCOL.md: a request counts 0.1 s after it was written
+constexpr Duration kSampleInterval = 10ms;       // at what is booked and what runs
+constexpr Duration kPieceDelay = 3ms;
+constexpr int kSplitOneIn = 6, kRepeatOneIn = 12;  // of the notices
 
 loadtest::CoreTerms coreTerms(const WorkerPoolSettings& settings) {
     loadtest::CoreTerms terms;
@@ -35,10 +35,10 @@
     return text;
 }
 
-WorkerPoolProcess::WorkerPoolProcess(net::Loop& loop, const WorkerPoolSettings& settings, Chance& chance,
-                                     Recorder& recorder)
+WorkerPoolProcess::WorkerPoolProcess(net::Loop& loop, const WorkerPoolSettings& settings,
+                                     RandomGenerator& random, Recorder& recorder)
     : settings_(settings),
-      chance_(chance),
+      random_(random),
       recorder_(recorder),
       cores_(coreTerms(settings)),
       first_(listen(loop)),
@@ -48,7 +48,7 @@
 
 std::unique_ptr<testing::FakeServer> WorkerPoolProcess::listen(net::Loop& loop) {
     return std::make_unique<testing::FakeServer>(
-        loop, [this](net::Connection& from, std::string& text) { hear(from, text); });
+        loop, [this](net::Connection& from, std::string& text) { handleInput(from, text); });
 }
 
 void WorkerPoolProcess::serverStarted() {
@@ -57,23 +57,23 @@
     second_->closeConnections();
     notices_.clear();
     lastNotice_ = 0;
-    pieceLeft_.clear();
-    waitsForBound_.reset();
+    pendingPiece_.clear();
+    pendingBindAfter_.reset();
 }
 
 void WorkerPoolProcess::restart(bool cold, Duration upAfter) {
     const Duration now = net::unixNow();
     jobs_.clear();
-    onCores_.clear();
+    runsOnCores_.clear();
     cold_ = cold;
     startedAt_ = upAt_ = now + upAfter;
     cores_.start(upAt_);
 }
 
 void WorkerPoolProcess::breakConnection() {
-    recorder_.note("pool", "closes its connection");
+    recorder_.log("pool", "closes its connection");
     server_ = nullptr;
-    pieceLeft_.clear();
+    pendingPiece_.clear();
     first_->closeConnections();
     second_->closeConnections();
 }
@@ -85,17 +85,17 @@
 
 int WorkerPoolProcess::segmentOf(const std::string& id) const {
     for (const auto& [number, job] : jobs_)
-        if (job.id == id && job.life == recorder_.lifeNumber()) return job.segment;
+        if (job.id == id && job.incarnation == recorder_.currentIndex()) return job.segment;
     return 0;
 }
 
 std::map<std::uint64_t, WorkerPoolProcess::Job>::iterator WorkerPoolProcess::findJob(const std::string& id) {
     return std::find_if(jobs_.begin(), jobs_.end(), [&](const auto& job) {
-        return job.second.id == id && job.second.life == recorder_.lifeNumber();
+        return job.second.id == id && job.second.incarnation == recorder_.currentIndex();
     });
 }
 
-void WorkerPoolProcess::hear(net::Connection& from, std::string& text) {
+void WorkerPoolProcess::handleInput(net::Connection& from, std::string& text) {
     std::size_t end = 0;
     while ((end = text.find('\n')) != text.npos) {
         const Json message = Json::parse(text.substr(0, end), nullptr, false);
@@ -109,7 +109,7 @@
     if (type == "bind") return bind(from, message.value("n", std::uint64_t{0}));
     if (type == "spawn") return start(message);
     if (type == "suspend") return suspend(id);
-    if (type == "supply" || type == "pass") return goOn(id);
+    if (type == "supply" || type == "pass") return resume(id);
     if (type == "poll")
         return send(Json{{"type", "polled"},
                          {"ref", message["ref"]},
@@ -123,16 +123,16 @@
 void WorkerPoolProcess::bind(net::Connection& from, std::uint64_t after) {
     server_ = first_->numberOf(from) != 0 ? first_.get() : second_.get();
     connectionNumber_ = server_->numberOf(from);
-    pieceLeft_.clear();
-    waitsForBound_ = after;
+    pendingPiece_.clear();
+    pendingBindAfter_ = after;
     if (net::unixNow() >= upAt_) sendBound();
 }
 
 void WorkerPoolProcess::sendBound() {
-    const std::uint64_t after = *std::exchange(waitsForBound_, std::nullopt);
+    const std::uint64_t after = *std::exchange(pendingBindAfter_, std::nullopt);
     const Duration now = net::unixNow();
-    if (!recorder_.life().poolUpAt) recorder_.life().poolUpAt = now;
-    recorder_.note("pool", "bound after notice " + std::to_string(after));
+    if (!recorder_.current().poolUpAt) recorder_.current().poolUpAt = now;
+    recorder_.log("pool", "bound after notice " + std::to_string(after));
     send(Json{{"type", "bound"},
               {"state", cold_ ? "cold" : "warm"},
               {"took", cold_ ? (now - startedAt_) / 1ms : 60000}}
@@ -148,37 +148,37 @@
     const Attempt* const attempt = recorder_.find(id);
     long long work = 0;
     int calls = 0;
-    if (attempt == nullptr || attempt->life != recorder_.lifeNumber() ||
+    if (attempt == nullptr || attempt->incarnation != recorder_.currentIndex() ||
         std::sscanf(body.c_str(), "work_us=%lld calls=%d", &work, &calls) != 2)
         return send(Json{{"type", "unknown"}, {"state", "spawn"}, {"job", id}}.dump() + "\n");
     if (findJob(id) != jobs_.end()) return;  // it runs already
-    if (recorder_.isOver(id)) {
-        recorder_.note("pool", "asked to start what is over: void", id);
-        return notice({{"type", "finished"}, {"job", id}, {"state", "void"}, {"took", 0}, {"data", ""}});
+    if (recorder_.isNoLongerAwaited(id)) {
+        recorder_.log("pool", "asked to start what is over: void", id);
+        return sendNotice({{"type", "finished"}, {"job", id}, {"state", "void"}, {"took", 0}, {"data", ""}});
     }
     const Duration now = net::unixNow();
-    recorder_.note("pool", "starts the run", id);
+    recorder_.log("pool", "starts the run", id);
     const std::uint64_t number = nextJob_++;
     Job& job = jobs_[number];
     job.id = id;
-    job.life = recorder_.lifeNumber();
-    job.run = recorder_.seen.runs.size();
+    job.incarnation = recorder_.currentIndex();
+    job.run = recorder_.observations.runs.size();
     job.callsLeft = calls;
     job.segmentWork = static_cast<double>(work) / 1e6 / (calls + 1);
     job.memoryKb = attempt->memoryKb;
-    recorder_.seen.runs.push_back({id, job.life, requestClass, body, now, std::nullopt});
+    recorder_.observations.runs.push_back({id, job.incarnation, requestClass, body, now, std::nullopt});
     cores_.add(number, job.segmentWork, now);
 }
 
 // A run whose request is over is stopped; another goes on, as this program has no use for a paused run.
 void WorkerPoolProcess::suspend(const std::string& id) {
     const auto found = findJob(id);
-    if (found == jobs_.end() || !recorder_.isOver(id)) return;
+    if (found == jobs_.end() || !recorder_.isNoLongerAwaited(id)) return;
     cores_.remove(found->first, net::unixNow());
     finish(found->first, "halted", "");
 }
 
-void WorkerPoolProcess::goOn(const std::string& id) {
+void WorkerPoolProcess::resume(const std::string& id) {
     const auto found = findJob(id);
     if (found == jobs_.end() || !std::exchange(found->second.blocked, false)) return;
     ++found->second.segment;
@@ -189,102 +189,105 @@
     const auto found = jobs_.find(number);
     if (found == jobs_.end()) return;
     Job& job = found->second;
-    if (job.life != recorder_.lifeNumber()) return void(jobs_.erase(found));  // of a server that is gone
+    if (job.incarnation != recorder_.currentIndex())
+        return void(jobs_.erase(found));  // of a server that is gone
     if (job.callsLeft == 0) {
         const std::string result = "result of " + job.id + " run " + std::to_string(job.run);
-        recorder_.seen.runs[job.run].result = result;
+        recorder_.observations.runs[job.run].result = result;
         return finish(number, "ok", result);
     }
     --job.callsLeft;
     job.blocked = true;
-    recorder_.note("pool", "the run waits for its call", job.id);
-    notice({{"type", "blocked"}, {"job", job.id}, {"data", worker_pool::encodeBase64("call of " + job.id)}});
+    recorder_.log("pool", "the run waits for its call", job.id);
+    sendNotice(
+        {{"type", "blocked"}, {"job", job.id}, {"data", worker_pool::encodeBase64("call of " + job.id)}});
 }
 
 void WorkerPoolProcess::finish(std::uint64_t number, const std::string& state, const std::string& result) {
     const std::string id = jobs_.at(number).id;
     jobs_.erase(number);
-    recorder_.note("pool", "the run has ended: " + state, id);
-    notice({{"type", "finished"},
-            {"job", id},
-            {"state", state},
-            {"took", 5},
-            {"data", worker_pool::encodeBase64(result)}});
+    recorder_.log("pool", "the run has ended: " + state, id);
+    sendNotice({{"type", "finished"},
+                {"job", id},
+                {"state", state},
+                {"took", 5},
+                {"data", worker_pool::encodeBase64(result)}});
 }
 
-void WorkerPoolProcess::notice(Json message) {
+void WorkerPoolProcess::sendNotice(Json message) {
     message["n"] = ++lastNotice_;
     const std::string line = message.dump() + "\n";
     notices_.emplace_back(lastNotice_, line);
-    if (notices_.size() > kNoticesKept) notices_.pop_front();
-    if (waitsForBound_) return;
-    if (settings_.sendsPieces && pieceLeft_.empty() && chance_.oneIn(kPiecesOneIn)) {
+    if (notices_.size() > kMaxStoredNotices) notices_.pop_front();
+    if (pendingBindAfter_) return;
+    if (settings_.splitsNotices && pendingPiece_.empty() && random_.oneIn(kSplitOneIn)) {
         send(line.substr(0, line.size() / 2));
-        pieceLeft_ = line.substr(line.size() / 2);
-        pieceDue_ = net::unixNow() + kBetweenPieces;
+        pendingPiece_ = line.substr(line.size() / 2);
+        pieceDue_ = net::unixNow() + kPieceDelay;
         return;
     }
     send(line);
-    if (settings_.sendsPieces && chance_.oneIn(kTwiceOneIn)) send(line);
+    if (settings_.splitsNotices && random_.oneIn(kRepeatOneIn)) send(line);
 }
 
 void WorkerPoolProcess::send(const std::string& line) {
     if (server_ == nullptr) return;
     net::Connection* const connection = server_->find(connectionNumber_);
-    if (connection != nullptr) connection->send(std::exchange(pieceLeft_, "") + line);
+    if (connection != nullptr) connection->send(std::exchange(pendingPiece_, "") + line);
 }
 
 void WorkerPoolProcess::tick(Duration now) {
     if (now < upAt_) return;
-    if (waitsForBound_) sendBound();
+    if (pendingBindAfter_) sendBound();
     for (const std::uint64_t number : cores_.ended(now)) segmentEnded(number);
-    if (!pieceLeft_.empty() && now >= pieceDue_) send("");
-    if (now < nextLook_) return;
-    nextLook_ = now + kLookInterval;
-    endRunsAtCallsOfRequestsThatAreOver();
+    if (!pendingPiece_.empty() && now >= pieceDue_) send("");
+    if (now < nextSample_) return;
+    nextSample_ = now + kSampleInterval;
+    endBlockedRunsNoLongerAwaited();
     observe(now);
 }
 
-void WorkerPoolProcess::endRunsAtCallsOfRequestsThatAreOver() {
+void WorkerPoolProcess::endBlockedRunsNoLongerAwaited() {
     std::vector<std::uint64_t> over;
     for (const auto& [number, job] : jobs_)
-        if (job.blocked && recorder_.isOver(job.id)) over.push_back(number);
+        if (job.blocked && recorder_.isNoLongerAwaited(job.id)) over.push_back(number);
     for (const std::uint64_t number : over) finish(number, "halted", "");
 }
 
 void WorkerPoolProcess::observe(Duration now) {
-    Life& life = recorder_.life();
-    life.mostBookedKb = std::max(life.mostBookedKb, bookedKb(now));
-    onCores_.emplace_back(now, static_cast<double>(cores_.running()));
-    while (onCores_.front().first < now - settings_.overloadWindow) onCores_.pop_front();
+    Incarnation& incarnation = recorder_.current();
+    incarnation.peakReservedKb = std::max(incarnation.peakReservedKb, reservedKb(now));
+    runsOnCores_.emplace_back(now, static_cast<double>(cores_.running()));
+    while (runsOnCores_.front().first < now - settings_.overloadWindow) runsOnCores_.pop_front();
     if (now - upAt_ < settings_.overloadWindow) return;
     double sum = 0;
-    for (const auto& [at, running] : onCores_) sum += running;
+    for (const auto& [at, running] : runsOnCores_) sum += running;
     // WIRE, rule 4: cores times 1 + (fall multiple - 1) times the present share of speed.
     const double warmed = settings_.warmUpTime > 0ns ? (now - startedAt_) / (1.0 * settings_.warmUpTime) : 1;
     const double speed =
         cold_ ? std::min(1.0, settings_.coldFraction + (1 - settings_.coldFraction) * warmed) : 1.0;
-    const double borne = settings_.cores * (1 + (settings_.overloadFactor - 1) * speed);
-    life.mostRunsOnCores = std::max(life.mostRunsOnCores, sum / static_cast<double>(onCores_.size()) / borne);
+    const double capacity = settings_.cores * (1 + (settings_.overloadFactor - 1) * speed);
+    incarnation.peakOverloadFraction =
+        std::max(incarnation.peakOverloadFraction, sum / static_cast<double>(runsOnCores_.size()) / capacity);
 }
 
-double WorkerPoolProcess::bookedKb(Duration now) const {
+double WorkerPoolProcess::reservedKb(Duration now) const {
     double sum = 0;
     std::map<std::string, bool> runs;
     for (const auto& [number, job] : jobs_) {
-        if (job.life != recorder_.lifeNumber()) continue;
+        if (job.incarnation != recorder_.currentIndex()) continue;
         sum += job.memoryKb * settings_.runMemoryFactor;
         runs[job.id] = true;
     }
     // Those written lately suffice: no request of the soak waits longer than a few seconds.
-    const auto& attempts = recorder_.seen.attempts;
+    const auto& attempts = recorder_.observations.attempts;
     const std::size_t from = attempts.size() > 4096 ? attempts.size() - 4096 : 0;
     for (std::size_t place = from; place < attempts.size(); ++place) {
         const Attempt& attempt = attempts[place];
-        const bool waits = attempt.writtenAt && now - *attempt.writtenAt > kBookedAfter &&
+        const bool waits = attempt.writtenAt && now - *attempt.writtenAt > kReservedAfter &&
                            attempt.responses.empty() && !attempt.cancelledAt &&
-                           attempt.connection == ConnectionFate::Open;
-        if (waits && attempt.life == recorder_.lifeNumber() && !runs.contains(attempt.id))
+                           attempt.connection == ConnectionOutcome::Open;
+        if (waits && attempt.incarnation == recorder_.currentIndex() && !runs.contains(attempt.id))
             sum += attempt.memoryKb;
     }
     return sum;
--- a/tests/soak/worker_pool_process.h
+++ b/tests/soak/worker_pool_process.h
@@ -26,7 +26,7 @@
     double runMemoryFactor = 4;
     double coldFraction = 0.3;  ///< of its speed, right after a cold start
     Duration warmUpTime{0};
-    bool sendsPieces = false;  ///< some notices in two pieces, some twice
+    bool splitsNotices = false;  ///< some notices in two pieces, some twice
 };
 
 /// The body of a request of the soak: the work of its run and how many calls it makes.
@@ -34,12 +34,12 @@
 
 class WorkerPoolProcess {
 public:
-    WorkerPoolProcess(net::Loop& loop, const WorkerPoolSettings& settings, Chance& chance,
+    WorkerPoolProcess(net::Loop& loop, const WorkerPoolSettings& settings, RandomGenerator& random,
                       Recorder& recorder);
 
     /// The two addresses that it listens on.
     net::Address address(bool other) const { return (other ? second_ : first_)->address(); }
-    /// A new life of the server has begun: notices are numbered afresh.
+    /// A new incarnation of the server has begun: notices are numbered afresh.
     void serverStarted();
     /// The process has started anew; it is up after a while, and empty.
     void restart(bool cold, Duration upAfter);
@@ -52,7 +52,7 @@
 private:
     struct Job {
         std::string id;
-        std::size_t life = 0;
+        std::size_t incarnation = 0;
         std::size_t run = 0;  ///< its place among the observed runs
         double segmentWork = 0;
         int callsLeft = 0, segment = 0;
@@ -62,40 +62,40 @@
     using Json = nlohmann::json;
 
     std::unique_ptr<testing::FakeServer> listen(net::Loop& loop);
-    void hear(net::Connection& from, std::string& text);
+    void handleInput(net::Connection& from, std::string& text);
     void handle(net::Connection& from, const Json& message);
     void bind(net::Connection& from, std::uint64_t after);
     void sendBound();
     void start(const Json& message);
     void suspend(const std::string& id);
-    void goOn(const std::string& id);
+    void resume(const std::string& id);
     void segmentEnded(std::uint64_t number);
     void finish(std::uint64_t number, const std::string& state, const std::string& result);
-    void notice(Json message);
+    void sendNotice(Json message);
     void send(const std::string& line);
-    void endRunsAtCallsOfRequestsThatAreOver();
+    void endBlockedRunsNoLongerAwaited();
     void observe(Duration now);
-    double bookedKb(Duration now) const;
+    double reservedKb(Duration now) const;
     std::map<std::uint64_t, Job>::iterator findJob(const std::string& id);
 
     const WorkerPoolSettings settings_;
-    Chance& chance_;
+    RandomGenerator& random_;
     Recorder& recorder_;
     loadtest::Cores cores_;
     std::unique_ptr<testing::FakeServer> first_, second_;
     // The connection that sent `bind` last.
     testing::FakeServer* server_ = nullptr;
     int connectionNumber_ = 0;
-    std::optional<std::uint64_t> waitsForBound_;
-    std::string pieceLeft_;  ///< of a notice that is sent in two
+    std::optional<std::uint64_t> pendingBindAfter_;
+    std::string pendingPiece_;  ///< of a notice that is sent in two
     Duration pieceDue_{0};
     std::deque<std::pair<std::uint64_t, std::string>> notices_;
     std::uint64_t lastNotice_ = 0, nextJob_ = 1;
     std::map<std::uint64_t, Job> jobs_;
     Duration upAt_{0}, startedAt_{0};
     bool cold_ = false;
-    Duration nextLook_{0};
-    std::deque<std::pair<Duration, double>> onCores_;  ///< of the overload window
+    Duration nextSample_{0};
+    std::deque<std::pair<Duration, double>> runsOnCores_;  ///< of the overload window
 };
 
 }  // namespace cottonwing::soak
