--- a/src/loadtest/emulators/cores.cpp
+++ b/src/loadtest/emulators/cores.cpp
@@ -15,27 +15,29 @@
 }  // namespace
 
 void Cores::start(Duration now) {
-    endAt_.clear();
-    order_.clear();
+    endWork_.clear();
+    endOrder_.clear();
     ended_.clear();
     workPerRun_ = 0;
-    last_ = started_ = now;
+    lastUpdate_ = startedAt_ = now;
 }
 
 // Seconds of work per second that one run gets.
 double Cores::rate(Duration now) const {
-    const double runs = static_cast<double>(endAt_.size());
-    if (runs == 0 || slow_ <= 0) return 0;
+    const double runs = static_cast<double>(endWork_.size());
+    if (runs == 0 || slowdown_ <= 0) return 0;
     double warm = 1;
-    if (terms_.coldPart < 1 && terms_.warmsOver > Duration(0))
-        warm = std::min(1.0, terms_.coldPart +
-                                 (1 - terms_.coldPart) * seconds(now - started_) / seconds(terms_.warmsOver));
-    const double runsPerCore = runs / terms_.cores;
+    if (config_.coldSpeedFraction < 1 && config_.warmUpTime > Duration(0))
+        warm = std::min(1.0, config_.coldSpeedFraction + (1 - config_.coldSpeedFraction) *
+                                                             seconds(now - startedAt_) /
+                                                             seconds(config_.warmUpTime));
+    const double runsPerCore = runs / config_.cores;
     double efficiency = 1;
-    if (runsPerCore > terms_.thrashAt)
-        efficiency = std::max(terms_.thrashTo,
-                              1 - (1 - terms_.thrashTo) * (runsPerCore - terms_.thrashAt) / terms_.thrashAt);
-    return terms_.speed * warm * efficiency * std::min(1.0, terms_.cores / runs) / slow_;
+    if (runsPerCore > config_.thrashingThreshold)
+        efficiency = std::max(config_.minEfficiency, 1 - (1 - config_.minEfficiency) *
+                                                             (runsPerCore - config_.thrashingThreshold) /
+                                                             config_.thrashingThreshold);
+    return config_.speed * warm * efficiency * std::min(1.0, config_.cores / runs) / slowdown_;
 }
 
 // One end after the other: each leaves more of the cores to the rest.
@@ -49,45 +51,45 @@
 }
 
 void Cores::passTime(Duration now) {
-    if (now <= last_) return;
-    const double gain = rate(last_) * seconds(now - last_);
+    if (now <= lastUpdate_) return;
+    const double gain = rate(lastUpdate_) * seconds(now - lastUpdate_);
     workPerRun_ += gain;
-    done_ += gain * static_cast<double>(endAt_.size());
-    last_ = now;
+    workDone_ += gain * static_cast<double>(endWork_.size());
+    lastUpdate_ = now;
 }
 
 void Cores::endDueRuns() {
-    while (!order_.empty() && order_.begin()->first <= workPerRun_ + kWorkTolerance) {
-        const std::uint64_t id = order_.begin()->second;
-        order_.erase(order_.begin());
-        endAt_.erase(id);
+    while (!endOrder_.empty() && endOrder_.begin()->first <= workPerRun_ + kWorkTolerance) {
+        const std::uint64_t id = endOrder_.begin()->second;
+        endOrder_.erase(endOrder_.begin());
+        endWork_.erase(id);
         ended_.push_back(id);
     }
 }
 
-void Cores::setSlow(double factor, Duration now) {
+void Cores::setSlowdown(double factor, Duration now) {
     advance(now);
-    slow_ = factor;
+    slowdown_ = factor;
 }
 
 void Cores::add(std::uint64_t id, double work, Duration now) {
     advance(now);
     const double end = workPerRun_ + std::max(work, kWorkTolerance);
-    endAt_[id] = end;
-    order_.emplace(end, id);
+    endWork_[id] = end;
+    endOrder_.emplace(end, id);
 }
 
 double Cores::remove(std::uint64_t id, Duration now) {
     advance(now);
-    const auto at = endAt_.find(id);
-    if (at == endAt_.end()) {
+    const auto at = endWork_.find(id);
+    if (at == endWork_.end()) {
         std::erase(ended_, id);
         return 0;
     }
-    const double left = std::max(0.0, at->second - workPerRun_);
-    order_.erase({at->second, id});
-    endAt_.erase(at);
-    return left;
+    const double remaining = std::max(0.0, at->second - workPerRun_);
+    endOrder_.erase({at->second, id});
+    endWork_.erase(at);
+    return remaining;
 }
 
 std::vector<std::uint64_t> Cores::ended(Duration now) {
@@ -96,22 +98,24 @@
 }
 
 std::optional<Duration> Cores::nextEnd() const {
-    if (!ended_.empty()) return last_;
+    if (!ended_.empty()) return lastUpdate_;
     return nextChange();
 }
 
 // When the next run ends, or earlier where the speed changes.
 std::optional<Duration> Cores::nextChange() const {
-    if (order_.empty()) return std::nullopt;
-    const double speed = rate(last_);
+    if (endOrder_.empty()) return std::nullopt;
+    const double speed = rate(lastUpdate_);
     if (speed <= 0) return std::nullopt;
     constexpr double kFarthestSeconds = 1e6;
-    const double left = std::max(0.0, order_.begin()->first - workPerRun_);
-    const Duration wait(1 + static_cast<std::int64_t>(std::min(left / speed, kFarthestSeconds) * 1e9));
-    const bool warming = terms_.coldPart < 1 && last_ - started_ < terms_.warmsOver;
-    return last_ + (warming ? std::min(wait, kWarmUpStep) : wait);
+    const double remaining = std::max(0.0, endOrder_.begin()->first - workPerRun_);
+    const Duration wait(1 + static_cast<std::int64_t>(std::min(remaining / speed, kFarthestSeconds) * 1e9));
+    const bool warming = config_.coldSpeedFraction < 1 && lastUpdate_ - startedAt_ < config_.warmUpTime;
+    return lastUpdate_ + (warming ? std::min(wait, kWarmUpStep) : wait);
 }
 
-double Cores::busy() const { return std::min(1.0, static_cast<double>(endAt_.size()) / terms_.cores); }
+double Cores::utilisation() const {
+    return std::min(1.0, static_cast<double>(endWork_.size()) / config_.cores);
+}
 
 }  // namespace cottonwing::loadtest
--- a/src/loadtest/emulators/cores.h
+++ b/src/loadtest/emulators/cores.h
@@ -13,13 +13,13 @@
 
 namespace cottonwing::loadtest {
 
-struct CoreTerms {
+struct CoresConfig {
     double cores = 4;
-    double speed = 1;       // of a core, beside the usual one
-    double thrashAt = 4;    // runs a core, past which the work done falls
-    double thrashTo = 0.4;  // part of the work that is left at twice that crowd, and never less
-    double coldPart = 1;    // of the speed right after a start
-    Duration warmsOver{0};
+    double speed = 1;               // of a core, beside the usual one
+    double thrashingThreshold = 4;  // runs a core, past which the work done falls
+    double minEfficiency = 0.4;     // part of the work that is left at twice that crowd, and never less
+    double coldSpeedFraction = 1;   // of the speed right after a start
+    Duration warmUpTime{0};
 };
 
 /// Cores shared by runs: each run gets an equal part, up to a whole core; beyond a number of runs all of them
@@ -30,28 +30,28 @@
 /// last call was. An end stays due for ended() until that is called.
 class Cores {
 public:
-    explicit Cores(const CoreTerms& terms) : terms_(terms) {}
+    explicit Cores(const CoresConfig& config) : config_(config) {}
     /// Empties the cores; they are cold where the terms say so.
     void start(Duration now);
     /// From now on all work takes this many times as long; 0 or less pauses it.
-    void setSlow(double factor, Duration now);
+    void setSlowdown(double factor, Duration now);
     /// @param work in seconds on one core of the usual speed.
     void add(std::uint64_t id, double work, Duration now);
     /// Removes a run; an end of it that ended() has not returned yet is forgotten.
     /// @return the work that was left, in seconds; 0 for a run that has ended.
     double remove(std::uint64_t id, Duration now);
     /// @return whether the run is on the cores, as of the last call.
-    bool has(std::uint64_t id) const { return endAt_.contains(id); }
+    bool has(std::uint64_t id) const { return endWork_.contains(id); }
     /// @return the runs that have ended by now and were not returned before, in order.
     std::vector<std::uint64_t> ended(Duration now);
     /// @return when ended() has something to return, or earlier where the speed may change; nothing while no
     /// run progresses.
     std::optional<Duration> nextEnd() const;
-    std::size_t running() const { return endAt_.size(); }
+    std::size_t running() const { return endWork_.size(); }
     /// Seconds of work done on all cores.
-    double workDone() const { return done_; }
+    double workDone() const { return workDone_; }
     /// The fraction of the cores that is at work.
-    double busy() const;
+    double utilisation() const;
 
 private:
     double rate(Duration now) const;
@@ -60,15 +60,15 @@
     void passTime(Duration now);
     void endDueRuns();
 
-    const CoreTerms terms_;
-    Duration last_{0};
-    Duration started_{0};
+    const CoresConfig config_;
+    Duration lastUpdate_{0};
+    Duration startedAt_{0};
     double workPerRun_ = 0;  // seconds of work that a run present all the time would have got
-    double done_ = 0;
-    double slow_ = 1;
-    std::unordered_map<std::uint64_t, double> endAt_;   // by run: workPerRun_ at its end
-    std::set<std::pair<double, std::uint64_t>> order_;  // the same, ordered by end
-    std::vector<std::uint64_t> ended_;                  // not returned yet
+    double workDone_ = 0;
+    double slowdown_ = 1;
+    std::unordered_map<std::uint64_t, double> endWork_;    // by run: workPerRun_ at its end
+    std::set<std::pair<double, std::uint64_t>> endOrder_;  // the same, ordered by end
+    std::vector<std::uint64_t> ended_;                     // not returned yet
 };
 
 }  // namespace cottonwing::loadtest
--- a/src/loadtest/emulators/http_server.h
+++ b/src/loadtest/emulators/http_server.h
@@ -13,7 +13,7 @@
 
 namespace cottonwing::loadtest {
 
-class HttpDoor {
+class HttpServer {
 public:
     struct Request {
         std::string method, path, headers,
@@ -22,26 +22,26 @@
     };
     // One connection, while it lasts: what is asked on it, and whether its asker
     // is still there.
-    class Visitor {
+    class Connection {
     public:
-        virtual ~Visitor() = default;
-        virtual void reply(const std::string& bytes) = 0;
-        virtual void hangUp() = 0;
-        std::uint64_t asking = 0;  // the owner's own number of the request that has no reply yet
+        virtual ~Connection() = default;
+        virtual void respond(const std::string& bytes) = 0;
+        virtual void close() = 0;
+        std::uint64_t pendingRequest = 0;  // the owner's own number of the request that has no reply yet
     };
-    using Asked = std::function<void(const std::shared_ptr<Visitor>&, Request&&)>;
-    using Left = std::function<void(Visitor&)>;  // before a reply was given, or after
+    using RequestHandler = std::function<void(const std::shared_ptr<Connection>&, Request&&)>;
+    using CloseHandler = std::function<void(Connection&)>;  // before a reply was given, or after
 
-    HttpDoor(net::Loop& loop, const net::Address& at, Asked asked, Left left);
-    ~HttpDoor();
-    static std::string reply(int status, const std::string& body, const std::string& headers = "");
+    HttpServer(net::Loop& loop, const net::Address& at, RequestHandler onRequest, CloseHandler onClosed);
+    ~HttpServer();
+    static std::string formatResponse(int status, const std::string& body, const std::string& headers = "");
 
 private:
-    struct Line;
+    struct ClientConnection;
     net::Loop& loop_;
-    Asked asked_;
-    Left left_;
-    std::list<std::shared_ptr<Line>> lines_;  // emptied by the ends of connections
+    RequestHandler onRequest_;
+    CloseHandler onClosed_;
+    std::list<std::shared_ptr<ClientConnection>> connections_;  // emptied by the ends of connections
     std::unique_ptr<net::Listener> listener_;
 };
 
--- a/src/loadtest/emulators/http_services.cpp
+++ b/src/loadtest/emulators/http_services.cpp
@@ -9,204 +9,210 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Duration kWatch = 20ms;
+constexpr Duration kSampleInterval = 20ms;
 }
 
-RecordsService::RecordsService(net::Loop& loop, const std::vector<net::Address>& each,
-                               const RecordsTerms& terms, InvariantChecker& checker)
+DependencyService::DependencyService(net::Loop& loop, const std::vector<net::Address>& addresses,
+                                     const DependencyConfig& config, InvariantChecker& checker)
     : loop_(loop),
-      each_(each),
-      terms_(terms),
+      addresses_(addresses),
+      config_(config),
       checker_(checker),
-      chance_(static_cast<std::mt19937::result_type>(terms.seed)),
-      shares_(each.size()),
-      held_(each.size()),
-      pace_(loop, [this] { pump(); }) {
+      random_(static_cast<std::mt19937::result_type>(config.seed)),
+      instanceLoads_(addresses.size()),
+      callsByInstance_(addresses.size()),
+      timer_(loop, [this] { onTimer(); }) {
     listen();
-    pace_.startAt(steadyNow() + kWatch);
+    timer_.startAt(steadyNow() + kSampleInterval);
 }
 
-RecordsService::~RecordsService() {
+DependencyService::~DependencyService() {
     // Connections that end now must find nothing to tell.
-    open_.clear(), byRequest_.clear(), waiting_.clear(), due_.clear();
+    openCalls_.clear(), callByRequest_.clear(), queue_.clear(), completions_.clear();
 }
 
-void RecordsService::listen() {
-    for (std::size_t instance = 0; instance < each_.size(); ++instance)
-        doors_.push_back(std::make_unique<HttpDoor>(
-            loop_, each_[instance],
-            [this, instance](const auto& visitor, HttpDoor::Request&& request) {
-                ask(instance, visitor, std::move(request));
+void DependencyService::listen() {
+    for (std::size_t instance = 0; instance < addresses_.size(); ++instance)
+        servers_.push_back(std::make_unique<HttpServer>(
+            loop_, addresses_[instance],
+            [this, instance](const auto& connection, HttpServer::Request&& request) {
+                onRequest(instance, connection, std::move(request));
             },
-            [this](HttpDoor::Visitor& visitor) { left(visitor); }));
+            [this](HttpServer::Connection& connection) { onConnectionClosed(connection); }));
 }
 
-void RecordsService::down(bool yes) {
-    if (std::exchange(down_, yes) == yes) return;
-    if (!yes) return listen();
-    doors_.clear();
-    for (const auto& [number, call] : open_) --held_[call.instance];
-    open_.clear(), byRequest_.clear(), waiting_.clear(), due_.clear();
-    serving_ = 0;
+void DependencyService::setDown(bool down) {
+    if (std::exchange(down_, down) == down) return;
+    if (!down) return listen();
+    servers_.clear();
+    for (const auto& [callNumber, call] : openCalls_) --callsByInstance_[call.instance];
+    openCalls_.clear(), callByRequest_.clear(), queue_.clear(), completions_.clear();
+    callsInService_ = 0;
 }
 
-void RecordsService::ask(std::size_t instance, const std::shared_ptr<HttpDoor::Visitor>& visitor,
-                         HttpDoor::Request&& request) {
+void DependencyService::onRequest(std::size_t instance,
+                                  const std::shared_ptr<HttpServer::Connection>& connection,
+                                  HttpServer::Request&& request) {
     ++calls_;
-    char of[17] = "";
-    long long micros = 0;
+    char requestId[17] = "";
+    long long serviceMicros = 0;
     if (request.method != "POST" || request.path != "/records/op" ||
-        std::sscanf(request.body.c_str(), "call %16s %lld", of, &micros) != 2)
-        return visitor->reply(HttpDoor::reply(500, "this is no call"));
-    checker_.calling(instance, of);
-    if (waiting_.size() >= static_cast<std::size_t>(terms_.line)) {
-        ++turnedAway_;
-        checker_.callEnded(of, true);
-        return visitor->reply(HttpDoor::reply(503, "", "Op-Not-Begun: 1\r\n"));
+        std::sscanf(request.body.c_str(), "call %16s %lld", requestId, &serviceMicros) != 2)
+        return connection->respond(HttpServer::formatResponse(500, "this is no call"));
+    checker_.callStarted(instance, requestId);
+    if (queue_.size() >= static_cast<std::size_t>(config_.queueCapacity)) {
+        ++rejectedCalls_;
+        checker_.callEnded(requestId, true);
+        return connection->respond(HttpServer::formatResponse(503, "", "Op-Not-Begun: 1\r\n"));
     }
     // A second call for a request gives up the first.
-    if (const auto before = byRequest_.find(of); before != byRequest_.end()) drop(before->second);
-    const std::uint64_t number = next_++;
-    Call& call = open_[number];
-    call.visitor = visitor;
+    if (const auto before = callByRequest_.find(requestId); before != callByRequest_.end())
+        removeCall(before->second);
+    const std::uint64_t callNumber = nextCall_++;
+    Call& call = openCalls_[callNumber];
+    call.connection = connection;
     call.instance = instance;
-    call.of = of;
-    call.seconds = static_cast<double>(micros) / 1e6;
+    call.requestId = requestId;
+    call.serviceSeconds = static_cast<double>(serviceMicros) / 1e6;
     std::uniform_real_distribution<double> unit(0, 1);
-    call.hangs = unit(chance_) < hangs_;
-    byRequest_[of] = number;
-    visitor->asking = number;
-    ++held_[instance];
-    waiting_.push_back(number);
-    serveNext(steadyNow());
+    call.hangs = unit(random_) < hangFraction_;
+    callByRequest_[requestId] = callNumber;
+    connection->pendingRequest = callNumber;
+    ++callsByInstance_[instance];
+    queue_.push_back(callNumber);
+    startQueuedCalls(steadyNow());
 }
 
-void RecordsService::left(HttpDoor::Visitor& visitor) {
-    const auto at = open_.find(std::exchange(visitor.asking, 0));
-    if (at == open_.end() || at->second.abandoned) return;
+void DependencyService::onConnectionClosed(HttpServer::Connection& connection) {
+    const auto at = openCalls_.find(std::exchange(connection.pendingRequest, 0));
+    if (at == openCalls_.end() || at->second.abandoned) return;
     // An abandoned call is in its hands for a while yet.
     at->second.abandoned = true;
-    due_.emplace(steadyNow() + terms_.linger, at->first);
-    if (!at->second.serving) std::erase(waiting_, at->first);
-    pace_.startAt(due_.begin()->first);
+    completions_.emplace(steadyNow() + config_.lingerTime, at->first);
+    if (!at->second.inService) std::erase(queue_, at->first);
+    timer_.startAt(completions_.begin()->first);
 }
 
-void RecordsService::drop(std::uint64_t number) {
-    const auto at = open_.find(number);
-    if (at == open_.end()) return;
-    if (at->second.serving) --serving_;
-    std::erase(waiting_, number);
-    --held_[at->second.instance];
-    const auto named = byRequest_.find(at->second.of);
-    if (named != byRequest_.end() && named->second == number) byRequest_.erase(named);
-    open_.erase(at);
+void DependencyService::removeCall(std::uint64_t callNumber) {
+    const auto at = openCalls_.find(callNumber);
+    if (at == openCalls_.end()) return;
+    if (at->second.inService) --callsInService_;
+    std::erase(queue_, callNumber);
+    --callsByInstance_[at->second.instance];
+    const auto named = callByRequest_.find(at->second.requestId);
+    if (named != callByRequest_.end() && named->second == callNumber) callByRequest_.erase(named);
+    openCalls_.erase(at);
 }
 
-void RecordsService::serveNext(Duration now) {
-    while (!waiting_.empty() && serving_ < terms_.slots) {
-        const std::uint64_t number = waiting_.front();
-        waiting_.pop_front();
-        Call& call = open_.at(number);
-        call.serving = true;
-        ++serving_;
-        const double crowd = static_cast<double>(waiting_.size()) / std::max(1, terms_.line);
-        const double seconds = call.seconds * slow_ * (1 + terms_.crowdSlows * crowd);
-        if (!call.hangs) due_.emplace(now + Duration(static_cast<std::int64_t>(seconds * 1e9)), number);
+void DependencyService::startQueuedCalls(Duration now) {
+    while (!queue_.empty() && callsInService_ < config_.slots) {
+        const std::uint64_t callNumber = queue_.front();
+        queue_.pop_front();
+        Call& call = openCalls_.at(callNumber);
+        call.inService = true;
+        ++callsInService_;
+        const double queueFill = static_cast<double>(queue_.size()) / std::max(1, config_.queueCapacity);
+        const double duration = call.serviceSeconds * slowdown_ * (1 + config_.queueSlowdown * queueFill);
+        if (!call.hangs)
+            completions_.emplace(now + Duration(static_cast<std::int64_t>(duration * 1e9)), callNumber);
     }
-    if (!due_.empty()) pace_.startAt(std::min(lookAt_, due_.begin()->first));
+    if (!completions_.empty()) timer_.startAt(std::min(nextSampleAt_, completions_.begin()->first));
 }
 
-void RecordsService::end(std::uint64_t number, Duration now) {
-    const auto at = open_.find(number);
-    if (at == open_.end()) return;
+void DependencyService::finishCall(std::uint64_t callNumber, Duration now) {
+    const auto at = openCalls_.find(callNumber);
+    if (at == openCalls_.end()) return;
     const Call call = at->second;
-    drop(number);
-    if (const auto visitor = call.visitor.lock(); visitor && !call.abandoned) {
-        visitor->asking = 0;
+    removeCall(callNumber);
+    if (const auto connection = call.connection.lock(); connection && !call.abandoned) {
+        connection->pendingRequest = 0;
         std::uniform_real_distribution<double> unit(0, 1);
-        if (unit(chance_) < spoils_)
-            visitor->reply("HTTP/1.1 2oo WHAT\r\n\r\n");
+        if (unit(random_) < malformedFraction_)
+            connection->respond("HTTP/1.1 2oo WHAT\r\n\r\n");
         else
-            visitor->reply(HttpDoor::reply(200, "re " + call.of));
+            connection->respond(HttpServer::formatResponse(200, "re " + call.requestId));
     }
-    serveNext(now);
+    startQueuedCalls(now);
 }
 
-void RecordsService::pump() {
+void DependencyService::onTimer() {
     const Duration now = steadyNow();
-    while (!due_.empty() && due_.begin()->first <= now) {
-        const std::uint64_t number = due_.begin()->second;
-        due_.erase(due_.begin());
-        end(number, now);
+    while (!completions_.empty() && completions_.begin()->first <= now) {
+        const std::uint64_t callNumber = completions_.begin()->second;
+        completions_.erase(completions_.begin());
+        finishCall(callNumber, now);
     }
-    watch(now);
-    pace_.startAt(due_.empty() ? lookAt_ : std::min(lookAt_, due_.begin()->first));
+    sampleLoad(now);
+    timer_.startAt(completions_.empty() ? nextSampleAt_
+                                        : std::min(nextSampleAt_, completions_.begin()->first));
 }
 
-void RecordsService::watch(Duration now) {
-    if (now < lookAt_) return;
-    lookAt_ = now + kWatch;
-    if (upAt_ > 0ns && now >= upAt_) {
-        upAt_ = 0ns;
-        down(false);
+void DependencyService::sampleLoad(Duration now) {
+    if (now < nextSampleAt_) return;
+    nextSampleAt_ = now + kSampleInterval;
+    if (restartAt_ > 0ns && now >= restartAt_) {
+        restartAt_ = 0ns;
+        setDown(false);
     }
-    for (std::size_t instance = 0; instance < shares_.size(); ++instance) {
-        Share& share = shares_[instance];
-        share.samples.emplace_back(now, held_[instance]);
-        share.sum += held_[instance];
-        while (share.samples.front().first < now - terms_.callsOver) {
-            share.sum -= share.samples.front().second;
-            share.samples.pop_front();
+    for (std::size_t instance = 0; instance < instanceLoads_.size(); ++instance) {
+        InstanceLoad& load = instanceLoads_[instance];
+        load.samples.emplace_back(now, callsByInstance_[instance]);
+        load.sum += callsByInstance_[instance];
+        while (load.samples.front().first < now - config_.quotaWindow) {
+            load.sum -= load.samples.front().second;
+            load.samples.pop_front();
         }
         // The mean of the whole window, also where less of it has been seen: what
         // came before was nothing.
-        const double mean =
-            share.sum * static_cast<double>(kWatch.count()) / static_cast<double>(terms_.callsOver.count());
-        share.most = std::max(share.most, mean);
-        if (mean > terms_.share && !std::exchange(share.broken, true))
-            checker_.fellOver(instance, "a mean of " + std::to_string(mean) + " calls in the records' hands");
+        const double mean = load.sum * static_cast<double>(kSampleInterval.count()) /
+                            static_cast<double>(config_.quotaWindow.count());
+        load.maxMean = std::max(load.maxMean, mean);
+        if (mean > config_.callQuota && !std::exchange(load.quotaExceeded, true))
+            checker_.overloaded(instance,
+                                "a mean of " + std::to_string(mean) + " calls in the records' hands");
     }
-    const double all = static_cast<double>(open_.size());
-    all_.emplace_back(now, all);
-    allSum_ += all;
-    while (all_.front().first < now - terms_.fallOver) allSum_ -= all_.front().second, all_.pop_front();
-    const double mean =
-        allSum_ * static_cast<double>(kWatch.count()) / static_cast<double>(terms_.fallOver.count());
-    if (terms_.fallsAt > 0 && mean > terms_.fallsAt && !down_) {
-        ++fallen_;
-        all_.clear();
-        allSum_ = 0;
-        upAt_ = now + terms_.downFor;
-        down(true);
+    const double all = static_cast<double>(openCalls_.size());
+    loadSamples_.emplace_back(now, all);
+    loadSum_ += all;
+    while (loadSamples_.front().first < now - config_.overloadWindow)
+        loadSum_ -= loadSamples_.front().second, loadSamples_.pop_front();
+    const double mean = loadSum_ * static_cast<double>(kSampleInterval.count()) /
+                        static_cast<double>(config_.overloadWindow.count());
+    if (config_.overloadThreshold > 0 && mean > config_.overloadThreshold && !down_) {
+        ++overloads_;
+        loadSamples_.clear();
+        loadSum_ = 0;
+        restartAt_ = now + config_.downTime;
+        setDown(true);
     }
 }
 
-RegistryService::RegistryService(net::Loop& loop, const net::Address& at, Duration late)
-    : late_(late),
-      pace_(loop,
-            [this] {
-                const Duration now = steadyNow();
-                while (!owed_.empty() && owed_.begin()->first <= now) {
-                    if (const auto visitor = owed_.begin()->second.lock())
-                        visitor->reply(HttpDoor::reply(204, ""));
-                    owed_.erase(owed_.begin());
-                }
-                if (!owed_.empty()) pace_.startAt(owed_.begin()->first);
-            }),
-      door_(
+RegistryService::RegistryService(net::Loop& loop, const net::Address& at, Duration responseDelay)
+    : responseDelay_(responseDelay),
+      timer_(loop,
+             [this] {
+                 const Duration now = steadyNow();
+                 while (!pendingResponses_.empty() && pendingResponses_.begin()->first <= now) {
+                     if (const auto connection = pendingResponses_.begin()->second.lock())
+                         connection->respond(HttpServer::formatResponse(204, ""));
+                     pendingResponses_.erase(pendingResponses_.begin());
+                 }
+                 if (!pendingResponses_.empty()) timer_.startAt(pendingResponses_.begin()->first);
+             }),
+      server_(
           loop, at,
-          [this](const std::shared_ptr<HttpDoor::Visitor>& visitor, HttpDoor::Request&& request) {
+          [this](const std::shared_ptr<HttpServer::Connection>& connection, HttpServer::Request&& request) {
               if (silent_) return;
               constexpr std::string_view kPath = "/v1/instances/";
               if (request.method != "PUT" || !request.path.starts_with(kPath))
-                  return visitor->reply(HttpDoor::reply(404, ""));
+                  return connection->respond(HttpServer::formatResponse(404, ""));
               ++reports_;
               const bool draining = request.body.find("draining") != request.body.npos;
               states_[request.path.substr(kPath.size())] = draining ? "draining" : "ready";
-              owed_.emplace(steadyNow() + late_, visitor);
-              pace_.startAt(owed_.begin()->first);
+              pendingResponses_.emplace(steadyNow() + responseDelay_, connection);
+              timer_.startAt(pendingResponses_.begin()->first);
           },
-          [](HttpDoor::Visitor&) {}) {}
+          [](HttpServer::Connection&) {}) {}
 
 std::string RegistryService::state(const std::string& name) const {
     const auto found = states_.find(name);
--- a/src/loadtest/emulators/http_services.h
+++ b/src/loadtest/emulators/http_services.h
@@ -15,96 +15,100 @@
 
 namespace cottonwing::loadtest {
 
-struct RecordsTerms {
-    int slots = 20;         // calls served at once
-    int line = 200;         // that wait for one; beyond it they are turned away
-    double crowdSlows = 1;  // a call in a full line takes 1 + this times as long
-    double fallsAt = 0;     // calls in hand, on the mean of fallOver, at which it
-                            // falls over; 0: never
-    Duration fallOver{std::chrono::seconds(5)};
-    Duration downFor{std::chrono::seconds(5)};
-    double share = 10;  // what one backend may have in its hands, on the mean of callsOver
-    Duration callsOver{std::chrono::seconds(5)};
-    Duration linger{std::chrono::milliseconds(200)};  // an abandoned call is in its hands for so long
+struct DependencyConfig {
+    int slots = 20;                // calls served at once
+    int queueCapacity = 200;       // that wait for one; beyond it they are turned away
+    double queueSlowdown = 1;      // a call in a full line takes 1 + this times as long
+    double overloadThreshold = 0;  // calls in hand, on the mean of fallOver, at which it
+                                   // falls over; 0: never
+    Duration overloadWindow{std::chrono::seconds(5)};
+    Duration downTime{std::chrono::seconds(5)};
+    double callQuota = 10;  // what one backend may have in its hands, on the mean of callsOver
+    Duration quotaWindow{std::chrono::seconds(5)};
+    Duration lingerTime{std::chrono::milliseconds(200)};  // an abandoned call is in its hands for so long
     std::uint64_t seed = 1;
 };
 
-class RecordsService {
+class DependencyService {
 public:
-    RecordsService(net::Loop& loop, const std::vector<net::Address>& each, const RecordsTerms& terms,
-                   InvariantChecker& checker);
-    ~RecordsService();
-    void slow(double factor) { slow_ = factor; }
-    void hang(double part) { hangs_ = part; }    // part of the calls that are never answered
-    void spoil(double part) { spoils_ = part; }  // that get a reply which can't be read
-    void down(bool yes);                         // connections are refused while it is
+    DependencyService(net::Loop& loop, const std::vector<net::Address>& addresses,
+                      const DependencyConfig& config, InvariantChecker& checker);
+    ~DependencyService();
+    void setSlowdown(double factor) { slowdown_ = factor; }
+    void setHangFraction(double fraction) {
+        hangFraction_ = fraction;
+    }  // part of the calls that are never answered
+    void setMalformedFraction(double fraction) {
+        malformedFraction_ = fraction;
+    }                         // that get a reply which can't be read
+    void setDown(bool down);  // connections are refused while it is
 
     std::uint64_t calls() const { return calls_; }
-    std::uint64_t turnedAway() const { return turnedAway_; }
-    std::uint64_t fallen() const { return fallen_; }
-    std::size_t inHands() const { return open_.size(); }
-    double mostMeanOf(std::size_t instance) const { return shares_[instance].most; }
+    std::uint64_t rejectedCalls() const { return rejectedCalls_; }
+    std::uint64_t overloads() const { return overloads_; }
+    std::size_t callsInFlight() const { return openCalls_.size(); }
+    double maxMeanCalls(std::size_t instance) const { return instanceLoads_[instance].maxMean; }
 
 private:
     struct Call {
-        std::weak_ptr<HttpDoor::Visitor> visitor;
+        std::weak_ptr<HttpServer::Connection> connection;
         std::size_t instance = 0;
-        std::string of;
-        double seconds = 0;
-        bool serving = false, abandoned = false, hangs = false;
+        std::string requestId;
+        double serviceSeconds = 0;
+        bool inService = false, abandoned = false, hangs = false;
     };
-    struct Share {
+    struct InstanceLoad {
         std::deque<std::pair<Duration, double>> samples;
-        double sum = 0, most = 0;
-        bool broken = false;
+        double sum = 0, maxMean = 0;
+        bool quotaExceeded = false;
     };
     void listen();
-    void ask(std::size_t instance, const std::shared_ptr<HttpDoor::Visitor>& visitor,
-             HttpDoor::Request&& request);
-    void left(HttpDoor::Visitor& visitor);
-    void serveNext(Duration now);
-    void end(std::uint64_t number, Duration now);
-    void drop(std::uint64_t number);
-    void pump();
-    void watch(Duration now);
+    void onRequest(std::size_t instance, const std::shared_ptr<HttpServer::Connection>& connection,
+                   HttpServer::Request&& request);
+    void onConnectionClosed(HttpServer::Connection& connection);
+    void startQueuedCalls(Duration now);
+    void finishCall(std::uint64_t callNumber, Duration now);
+    void removeCall(std::uint64_t callNumber);
+    void onTimer();
+    void sampleLoad(Duration now);
 
     net::Loop& loop_;
-    const std::vector<net::Address> each_;
-    const RecordsTerms terms_;
+    const std::vector<net::Address> addresses_;
+    const DependencyConfig config_;
     InvariantChecker& checker_;
-    std::mt19937 chance_;
-    std::vector<std::unique_ptr<HttpDoor>> doors_;
-    std::map<std::uint64_t, Call> open_;                        // by number; emptied by ends
-    std::unordered_map<std::string, std::uint64_t> byRequest_;  // of those
-    std::deque<std::uint64_t> waiting_;                         // for a slot
-    std::multimap<Duration, std::uint64_t> due_;                // served, by their ends
-    std::vector<Share> shares_;
-    std::deque<std::pair<Duration, double>> all_;
-    std::vector<double> held_;  // calls in its hands, by instance
-    double allSum_ = 0, slow_ = 1, hangs_ = 0, spoils_ = 0;
-    std::uint64_t next_ = 1, calls_ = 0, turnedAway_ = 0, fallen_ = 0;
-    int serving_ = 0;
-    Duration lookAt_{0}, upAt_{0};
+    std::mt19937 random_;
+    std::vector<std::unique_ptr<HttpServer>> servers_;
+    std::map<std::uint64_t, Call> openCalls_;                       // by number; emptied by ends
+    std::unordered_map<std::string, std::uint64_t> callByRequest_;  // of those
+    std::deque<std::uint64_t> queue_;                               // for a slot
+    std::multimap<Duration, std::uint64_t> completions_;            // served, by their ends
+    std::vector<InstanceLoad> instanceLoads_;
+    std::deque<std::pair<Duration, double>> loadSamples_;
+    std::vector<double> callsByInstance_;  // calls in its hands, by instance
+    double loadSum_ = 0, slowdown_ = 1, hangFraction_ = 0, malformedFraction_ = 0;
+    std::uint64_t nextCall_ = 1, calls_ = 0, rejectedCalls_ = 0, overloads_ = 0;
+    int callsInService_ = 0;
+    Duration nextSampleAt_{0}, restartAt_{0};
     bool down_ = false;
-    PreciseTimer pace_;
+    PreciseTimer timer_;
 };
 
 class RegistryService {
 public:
-    RegistryService(net::Loop& loop, const net::Address& at, Duration late = Duration(0));
-    void silent(bool yes) { silent_ = yes; }
+    RegistryService(net::Loop& loop, const net::Address& at, Duration responseDelay = Duration(0));
+    void setSilent(bool silent) { silent_ = silent; }
     std::uint64_t reports() const { return reports_; }
     // What was last said of that name; empty where nothing was.
     std::string state(const std::string& name) const;
 
 private:
-    Duration late_;
+    Duration responseDelay_;
     bool silent_ = false;
     std::uint64_t reports_ = 0;
     std::map<std::string, std::string> states_;  // one a name
-    std::multimap<Duration, std::weak_ptr<HttpDoor::Visitor>> owed_;
-    PreciseTimer pace_;
-    HttpDoor door_;
+    std::multimap<Duration, std::weak_ptr<HttpServer::Connection>> pendingResponses_;
+    PreciseTimer timer_;
+    HttpServer server_;
 };
 
 }  // namespace cottonwing::loadtest
--- a/src/loadtest/emulators/scgi_server.cpp
+++ b/src/loadtest/emulators/scgi_server.cpp
@@ -6,134 +6,138 @@
 
 using namespace std::chrono_literals;
 
-struct ScgiServer::Line : net::ConnectionHandler, std::enable_shared_from_this<ScgiServer::Line> {
-    explicit Line(ScgiServer& theServer) : server(theServer), reader({65536, 1 << 20}) {}
+struct EmulatedScgiServer::ClientConnection
+    : net::ConnectionHandler,
+      std::enable_shared_from_this<EmulatedScgiServer::ClientConnection> {
+    explicit ClientConnection(EmulatedScgiServer& theServer) : server(theServer), reader({65536, 1 << 20}) {}
     void arrived(net::Connection& from) override {
         const auto self = shared_from_this();
-        if (server.terms_.fault == ScgiFault::Early && !std::exchange(early, true)) {
-            server.answer(*this);
+        if (server.config_.fault == ScgiFault::EarlyResponse && !std::exchange(respondedEarly, true)) {
+            server.respond(*this);
             return;
         }
         while (connection && !from.input().empty()) {
             const std::string_view piece = from.input().front();
             reader.read(piece);
             from.input().drop(piece.size());
-            if (reader.state() == scgi::RequestReader::State::Malformed) return server.end(*this);
-            if (reader.state() == scgi::RequestReader::State::Complete) return server.whole(*this);
+            if (reader.state() == scgi::RequestReader::State::Malformed) return server.close(*this);
+            if (reader.state() == scgi::RequestReader::State::Complete) return server.requestComplete(*this);
         }
     }
     void ended(net::Connection&, net::ConnectionEnd) override {
-        if (!answered) ++server.left_;
-        server.end(*this);
+        if (!responded) ++server.abandonedRequests_;
+        server.close(*this);
     }
-    ScgiServer& server;
+    EmulatedScgiServer& server;
     scgi::RequestReader reader;
     std::unique_ptr<net::Connection> connection;
-    Duration takes{0};
+    Duration serviceTime{0};
     std::string trace;
-    bool answered = false, serving = false, early = false, closes = false;
+    bool responded = false, inService = false, respondedEarly = false, closing = false;
 };
 
-ScgiServer::ScgiServer(net::Loop& loop, const net::Address& at, ScgiServerTerms terms)
-    : loop_(loop), host_(at.host), terms_(terms), pace_(loop, [this] { pump(); }) {
+EmulatedScgiServer::EmulatedScgiServer(net::Loop& loop, const net::Address& at,
+                                       EmulatedScgiServerConfig config)
+    : loop_(loop), host_(at.host), config_(config), timer_(loop, [this] { onTimer(); }) {
     listener_ = std::make_unique<net::Listener>(
         loop, at,
         [this](net::PendingConnection socket) {
-            auto line = std::make_shared<Line>(*this);
-            line->connection.reset(new net::Connection(loop_, socket, *line, {1 << 20, 1 << 20}));
-            lines_.push_back(std::move(line));
+            auto client = std::make_shared<ClientConnection>(*this);
+            client->connection.reset(new net::Connection(loop_, socket, *client, {1 << 20, 1 << 20}));
+            connections_.push_back(std::move(client));
         },
         [] { return false; });
 }
 
-ScgiServer::~ScgiServer() = default;
+EmulatedScgiServer::~EmulatedScgiServer() = default;
 
-void ScgiServer::end(Line& line) {
-    const auto self = line.shared_from_this();
-    if (std::exchange(line.serving, false)) --serving_;
-    if (endTold_ && !line.trace.empty()) endTold_(line.trace);
-    if (line.connection) line.connection->tryFlush();
-    line.connection.reset();
-    lines_.remove(self);
-    pace_.startAt(steadyNow());
+void EmulatedScgiServer::close(ClientConnection& client) {
+    const auto self = client.shared_from_this();
+    if (std::exchange(client.inService, false)) --requestsInService_;
+    if (requestEndHandler_ && !client.trace.empty()) requestEndHandler_(client.trace);
+    if (client.connection) client.connection->tryFlush();
+    client.connection.reset();
+    connections_.remove(self);
+    timer_.startAt(steadyNow());
 }
 
-void ScgiServer::whole(Line& line) {
+void EmulatedScgiServer::requestComplete(ClientConnection& client) {
     ++requests_;
-    lastHeaders_ = line.reader.headers();
-    lastBody_ = line.reader.body();
+    lastHeaders_ = client.reader.headers();
+    lastBody_ = client.reader.body();
     // A body of the laboratory's says what its work is; another takes what is
     // usual here.
     char first[17] = "";
     long long work = 0;
-    line.takes = terms_.takes;
+    client.serviceTime = config_.serviceTime;
     if (std::sscanf(lastBody_.c_str(), "cw1 %16s %lld", first, &work) == 2)
-        line.takes = std::chrono::microseconds(work);
+        client.serviceTime = std::chrono::microseconds(work);
     if (const auto trace = scgi::findHeader(lastHeaders_, "HTTP_X_TRACE")) {
-        line.trace = *trace;
-        if (told_)
-            told_(std::string(*trace), first);
+        client.trace = *trace;
+        if (requestHandler_)
+            requestHandler_(std::string(*trace), first);
         else
             ++runs_[std::string(*trace)];
     }
-    if (terms_.fault == ScgiFault::Silent) return;
-    if (terms_.fault == ScgiFault::Breaks) return end(line);
-    if (terms_.fault == ScgiFault::FailsFast) return answer(line);
-    waiting_.push_back(line.weak_from_this());
-    pump();
+    if (config_.fault == ScgiFault::Silent) return;
+    if (config_.fault == ScgiFault::CloseAfterRequest) return close(client);
+    if (config_.fault == ScgiFault::FailFast) return respond(client);
+    queue_.push_back(client.weak_from_this());
+    onTimer();
 }
 
-void ScgiServer::pump() {
+void EmulatedScgiServer::onTimer() {
     const Duration now = steadyNow();
-    while (!due_.empty() && due_.begin()->first <= now) {
-        const auto line = due_.begin()->second.lock();
-        due_.erase(due_.begin());
-        if (line && line->connection) answer(*line);
+    while (!completions_.empty() && completions_.begin()->first <= now) {
+        const auto client = completions_.begin()->second.lock();
+        completions_.erase(completions_.begin());
+        if (client && client->connection) respond(*client);
     }
-    while (!waiting_.empty() && serving_ < terms_.slots) {
-        const auto line = waiting_.front().lock();
-        waiting_.pop_front();
-        if (!line || !line->connection) continue;
-        line->serving = true;
-        ++serving_;
-        const double seconds = std::chrono::duration<double>(line->takes).count() * terms_.slow;
+    while (!queue_.empty() && requestsInService_ < config_.slots) {
+        const auto client = queue_.front().lock();
+        queue_.pop_front();
+        if (!client || !client->connection) continue;
+        client->inService = true;
+        ++requestsInService_;
+        const double seconds = std::chrono::duration<double>(client->serviceTime).count() * config_.slowdown;
         workDone_ += seconds;
         if (seconds <= 0)
-            answer(*line);
+            respond(*client);
         else
-            due_.emplace(now + Duration(static_cast<std::int64_t>(seconds * 1e9)), line);
+            completions_.emplace(now + Duration(static_cast<std::int64_t>(seconds * 1e9)), client);
     }
     // What has its answer is closed once the system has taken it.
-    const auto all = std::vector<std::shared_ptr<Line>>(lines_.begin(), lines_.end());
+    const auto all = std::vector<std::shared_ptr<ClientConnection>>(connections_.begin(), connections_.end());
     bool more = false;
-    for (const auto& line : all) {
-        if (!line->closes || !line->connection) continue;
-        if (line->connection->output().empty())
-            end(*line);
+    for (const auto& client : all) {
+        if (!client->closing || !client->connection) continue;
+        if (client->connection->output().empty())
+            close(*client);
         else
             more = true;
     }
     if (more)
-        pace_.startAt(now + 1ms);
-    else if (!due_.empty())
-        pace_.startAt(due_.begin()->first);
+        timer_.startAt(now + 1ms);
+    else if (!completions_.empty())
+        timer_.startAt(completions_.begin()->first);
 }
 
-void ScgiServer::answer(Line& line) {
-    line.answered = true;
-    if (std::exchange(line.serving, false)) --serving_;
+void EmulatedScgiServer::respond(ClientConnection& client) {
+    client.responded = true;
+    if (std::exchange(client.inService, false)) --requestsInService_;
     const std::string body =
-        "ok " + std::string(scgi::findHeader(line.reader.headers(), "HTTP_X_TRACE").value_or("nobody"));
-    const std::string whole = scgi::writeReply(200, {{"Content-Type", "text/plain"}}, body);
-    std::string bytes = whole;
-    if (terms_.fault == ScgiFault::Half) bytes = whole.substr(0, whole.size() - body.size() / 2);
-    if (terms_.fault == ScgiFault::Twice) bytes = whole + whole;
-    if (terms_.fault == ScgiFault::BadStatus) bytes = "Status: fine\r\n\r\n" + body;
-    if (terms_.fault == ScgiFault::TooMuch) bytes = whole + "more";
-    if (terms_.fault == ScgiFault::FailsFast) bytes = scgi::writeReply(503, {}, "not now");
-    line.connection->send(bytes);
-    line.closes = true;
-    pace_.startAt(steadyNow());
+        "ok " + std::string(scgi::findHeader(client.reader.headers(), "HTTP_X_TRACE").value_or("nobody"));
+    const std::string response = scgi::writeReply(200, {{"Content-Type", "text/plain"}}, body);
+    std::string bytes = response;
+    if (config_.fault == ScgiFault::TruncatedResponse)
+        bytes = response.substr(0, response.size() - body.size() / 2);
+    if (config_.fault == ScgiFault::DuplicateResponse) bytes = response + response;
+    if (config_.fault == ScgiFault::MalformedStatus) bytes = "Status: fine\r\n\r\n" + body;
+    if (config_.fault == ScgiFault::ExcessBody) bytes = response + "more";
+    if (config_.fault == ScgiFault::FailFast) bytes = scgi::writeReply(503, {}, "not now");
+    client.connection->send(bytes);
+    client.closing = true;
+    timer_.startAt(steadyNow());
 }
 
 }  // namespace cottonwing::loadtest
--- a/src/loadtest/emulators/thrift_server.cpp
+++ b/src/loadtest/emulators/thrift_server.cpp
@@ -6,12 +6,14 @@
 
 using namespace std::chrono_literals;
 
-struct Answering::Line : net::ConnectionHandler, std::enable_shared_from_this<Answering::Line> {
-    explicit Line(Answering& all) : owner(all) {}
+struct EmulatedThriftServer::ClientConnection
+    : net::ConnectionHandler,
+      std::enable_shared_from_this<EmulatedThriftServer::ClientConnection> {
+    explicit ClientConnection(EmulatedThriftServer& theServer) : server(theServer) {}
     void arrived(net::Connection&) override {
         // One that is deaf or stalled lets its rings fill, then the system's
         // buffers, as a stopped process does.
-        if (!owner.terms_.deaf && !owner.stalled(steadyNow())) read();
+        if (!server.config_.neverReads && !server.stalled(steadyNow())) read();
     }
     void read() {
         const auto self = shared_from_this();
@@ -19,97 +21,104 @@
         while (connection && thrift::peekFrame(connection->input(), length) == thrift::FrameState::Complete) {
             const auto message = thrift::readMessage(connection->input().peek(4 + length, scratch).substr(4));
             connection->input().drop(4 + length);
-            if (!message) return owner.end(*this);
-            owner.hear(*this, *message);
+            if (!message) return server.close(*this);
+            server.handleMessage(*this, *message);
         }
     }
-    void ended(net::Connection&, net::ConnectionEnd) override { owner.end(*this); }
+    void ended(net::Connection&, net::ConnectionEnd) override { server.close(*this); }
 
-    Answering& owner;
+    EmulatedThriftServer& server;
     std::unique_ptr<net::Connection> connection;
     std::string scratch;
     int requests = 0;
 };
 
-Answering::Answering(net::Loop& loop, const net::Address& at, AnsweringTerms terms)
-    : loop_(loop), terms_(terms), host_(at.host), start_(steadyNow()), pace_(loop, [this] { pump(); }) {
+EmulatedThriftServer::EmulatedThriftServer(net::Loop& loop, const net::Address& at,
+                                           EmulatedThriftServerConfig config)
+    : loop_(loop), config_(config), host_(at.host), startedAt_(steadyNow()), timer_(loop, [this] {
+          onTimer();
+      }) {
     listener_ = std::make_unique<net::Listener>(
         loop, at, [this](net::PendingConnection socket) { accept(socket); }, [] { return false; });
-    if (terms_.stallAt >= 0ns) pace_.startAt(start_ + terms_.stallAt + terms_.stallFor);
+    if (config_.stallStart >= 0ns) timer_.startAt(startedAt_ + config_.stallStart + config_.stallDuration);
 }
 
-Answering::~Answering() = default;
+EmulatedThriftServer::~EmulatedThriftServer() = default;
 
-bool Answering::stalled(Duration now) const {
-    return terms_.stallAt >= 0ns && now >= start_ + terms_.stallAt &&
-           now < start_ + terms_.stallAt + terms_.stallFor;
+bool EmulatedThriftServer::stalled(Duration now) const {
+    return config_.stallStart >= 0ns && now >= startedAt_ + config_.stallStart &&
+           now < startedAt_ + config_.stallStart + config_.stallDuration;
 }
 
-void Answering::accept(net::PendingConnection socket) {
-    auto line = std::make_shared<Line>(*this);
-    line->connection.reset(
-        new net::Connection(loop_, socket, *line, {terms_.deaf ? 4096U : 1U << 20, 1U << 20}));
-    lines_.push_back(std::move(line));
+void EmulatedThriftServer::accept(net::PendingConnection socket) {
+    auto client = std::make_shared<ClientConnection>(*this);
+    client->connection.reset(
+        new net::Connection(loop_, socket, *client, {config_.neverReads ? 4096U : 1U << 20, 1U << 20}));
+    connections_.push_back(std::move(client));
 }
 
-void Answering::end(Line& line) {
-    const auto self = line.shared_from_this();
-    line.connection.reset();
-    lines_.remove(self);
+void EmulatedThriftServer::close(ClientConnection& client) {
+    const auto self = client.shared_from_this();
+    client.connection.reset();
+    connections_.remove(self);
 }
 
-void Answering::hear(Line& line, const thrift::Message& message) {
+void EmulatedThriftServer::handleMessage(ClientConnection& client, const thrift::Message& message) {
     if (message.method == thrift::Method::HealthCheck)
-        return line.connection->send(thrift::writeAnswer("isWell", message.sequence, {}, {}, true));
-    if (message.method == thrift::Method::Cancel) ++forgets_;
+        return client.connection->send(thrift::writeAnswer("isWell", message.sequence, {}, {}, true));
+    if (message.method == thrift::Method::Cancel) ++cancels_;
     if (message.method != thrift::Method::Serve || !message.fields) return;
-    ++trackedRequests_;
+    ++requests_;
     const auto found = message.fields->find("trace");
     const std::string trace = found == message.fields->end() ? std::string() : found->second;
-    if (terms_.keepsBook) book_[trace].received = steadyNow();
-    if (terms_.goawayEvery > 0 && ++line.requests == terms_.goawayEvery)
-        line.connection->send(thrift::writeGoaway());
-    if (terms_.silent) return;
-    if (terms_.takes == 0ns) return answer(line, message.sequence, trace);
-    owed_.emplace(steadyNow() + terms_.takes, Owed{line.weak_from_this(), message.sequence, trace});
-    pace_.startAt(owed_.begin()->first);
+    if (config_.recordsTimes) requestTimes_[trace].received = steadyNow();
+    if (config_.goawayEvery > 0 && ++client.requests == config_.goawayEvery)
+        client.connection->send(thrift::writeGoaway());
+    if (config_.silent) return;
+    if (config_.responseDelay == 0ns) return respond(client, message.sequence, trace);
+    pendingResponses_.emplace(steadyNow() + config_.responseDelay,
+                              PendingResponse{client.weak_from_this(), message.sequence, trace});
+    timer_.startAt(pendingResponses_.begin()->first);
 }
 
-void Answering::pump() {
+void EmulatedThriftServer::onTimer() {
     const Duration now = steadyNow();
-    if (stalled(now)) return pace_.startAt(start_ + terms_.stallAt + terms_.stallFor);
-    const auto all = std::vector<std::shared_ptr<Line>>(lines_.begin(), lines_.end());
+    if (stalled(now)) return timer_.startAt(startedAt_ + config_.stallStart + config_.stallDuration);
+    const auto current =
+        std::vector<std::shared_ptr<ClientConnection>>(connections_.begin(), connections_.end());
     // What came while it stood is read now; else it has been read as it came.
-    if (terms_.stallAt >= 0ns && !terms_.deaf)
-        for (const auto& line : all) line->read();
-    while (!owed_.empty() && owed_.begin()->first <= now) {
-        const Owed owed = owed_.begin()->second;
-        owed_.erase(owed_.begin());
-        const auto line = owed.line.lock();
-        if (line && line->connection) answer(*line, owed.sequence, owed.trace);
+    if (config_.stallStart >= 0ns && !config_.neverReads)
+        for (const auto& client : current) client->read();
+    while (!pendingResponses_.empty() && pendingResponses_.begin()->first <= now) {
+        const PendingResponse response = pendingResponses_.begin()->second;
+        pendingResponses_.erase(pendingResponses_.begin());
+        const auto client = response.client.lock();
+        if (client && client->connection) respond(*client, response.sequence, response.trace);
     }
-    if (!owed_.empty()) pace_.startAt(owed_.begin()->first);
+    if (!pendingResponses_.empty()) timer_.startAt(pendingResponses_.begin()->first);
 }
 
-void Answering::answer(Line& line, std::int32_t sequence, const std::string& trace) {
-    const auto each = [this](int every) {
-        return every > 0 && answers_ % static_cast<std::uint64_t>(every) == 0;
+void EmulatedThriftServer::respond(ClientConnection& client, std::int32_t sequence,
+                                   const std::string& trace) {
+    const auto isNth = [this](int every) {
+        return every > 0 && responses_ % static_cast<std::uint64_t>(every) == 0;
     };
-    ++answers_;
-    if (terms_.keepsBook) book_[trace].sent = steadyNow();
-    if (each(terms_.busyEvery)) return line.connection->send(thrift::writeBusy(sequence, {{"pause", "20"}}));
-    if (each(terms_.failedEvery)) return line.connection->send(thrift::writeFailed(sequence, {}));
+    ++responses_;
+    if (config_.recordsTimes) requestTimes_[trace].sent = steadyNow();
+    if (isNth(config_.busyEvery))
+        return client.connection->send(thrift::writeBusy(sequence, {{"pause", "20"}}));
+    if (isNth(config_.failedEvery)) return client.connection->send(thrift::writeFailed(sequence, {}));
     const std::string frame = thrift::writeAnswer(
-        "serve", sequence, each(terms_.wrongEvery) ? "ok 0000000000000000" : "ok " + trace, {}, true);
-    if (each(terms_.resetEvery)) {
-        line.connection->send(frame.substr(0, frame.size() / 2));
-        line.connection->tryFlush();
-        return end(line);
+        "serve", sequence, isNth(config_.wrongResultEvery) ? "ok 0000000000000000" : "ok " + trace, {}, true);
+    if (isNth(config_.resetEvery)) {
+        client.connection->send(frame.substr(0, frame.size() / 2));
+        client.connection->tryFlush();
+        return close(client);
     }
-    line.connection->send(frame);
-    if (each(terms_.twiceEvery)) line.connection->send(frame);
-    if (each(terms_.toNothingEvery))
-        line.connection->send(thrift::writeAnswer("serve", sequence + 100000, "ok " + trace, {}, true));
+    client.connection->send(frame);
+    if (isNth(config_.duplicateEvery)) client.connection->send(frame);
+    if (isNth(config_.unknownSequenceEvery))
+        client.connection->send(thrift::writeAnswer("serve", sequence + 100000, "ok " + trace, {}, true));
 }
 
 }  // namespace cottonwing::loadtest
--- a/src/loadtest/emulators/thrift_server.h
+++ b/src/loadtest/emulators/thrift_server.h
@@ -16,58 +16,58 @@
 
 namespace cottonwing::loadtest {
 
-struct AnsweringTerms {
-    Duration takes{0};                   // from a request's arrival to its answer
-    Duration stallAt{-1}, stallFor{0};   // from its start: nothing is read or sent meanwhile
-    int twiceEvery = 0;                  // every so many answers is given a second time
-    int toNothingEvery = 0;              // a further answer under a number that was never used
-    int resetEvery = 0;                  // the connection ends in the middle of an answer
-    int busyEvery = 0, failedEvery = 0;  // turned away, failed
-    int goawayEvery = 0;                 // requests of a connection, after which it says goaway
-    int wrongEvery = 0;                  // a result that no run made
-    bool silent = false;                 // reads, and never answers
-    bool deaf = false;                   // accepts, and never reads
-    bool keepsBook = false;
+struct EmulatedThriftServerConfig {
+    Duration responseDelay{0};                  // from a request's arrival to its answer
+    Duration stallStart{-1}, stallDuration{0};  // from its start: nothing is read or sent meanwhile
+    int duplicateEvery = 0;                     // every so many answers is given a second time
+    int unknownSequenceEvery = 0;               // a further answer under a number that was never used
+    int resetEvery = 0;                         // the connection ends in the middle of an answer
+    int busyEvery = 0, failedEvery = 0;         // turned away, failed
+    int goawayEvery = 0;                        // requests of a connection, after which it says goaway
+    int wrongResultEvery = 0;                   // a result that no run made
+    bool silent = false;                        // reads, and never answers
+    bool neverReads = false;                    // accepts, and never reads
+    bool recordsTimes = false;
 };
 
-class Answering {
+class EmulatedThriftServer {
 public:
-    struct Entry {
+    struct RequestTimes {
         Duration received{0}, sent{0};
     };
-    Answering(net::Loop& loop, const net::Address& at, AnsweringTerms terms);
-    ~Answering();
+    EmulatedThriftServer(net::Loop& loop, const net::Address& at, EmulatedThriftServerConfig config);
+    ~EmulatedThriftServer();
     net::Address address() const { return {host_, listener_->port()}; }
-    const std::unordered_map<std::string, Entry>& book() const {
-        return book_;
+    const std::unordered_map<std::string, RequestTimes>& requestTimes() const {
+        return requestTimes_;
     }  // where it is kept; never emptied
-    std::uint64_t requests() const { return trackedRequests_; }
-    std::uint64_t forgets() const { return forgets_; }
-    std::size_t connections() const { return lines_.size(); }
+    std::uint64_t requests() const { return requests_; }
+    std::uint64_t cancels() const { return cancels_; }
+    std::size_t connections() const { return connections_.size(); }
 
 private:
-    struct Line;
-    struct Owed {
-        std::weak_ptr<Line> line;
+    struct ClientConnection;
+    struct PendingResponse {
+        std::weak_ptr<ClientConnection> client;
         std::int32_t sequence;
         std::string trace;
     };
     void accept(net::PendingConnection socket);
-    void hear(Line& line, const thrift::Message& message);
-    void answer(Line& line, std::int32_t sequence, const std::string& trace);
-    void pump();
+    void handleMessage(ClientConnection& client, const thrift::Message& message);
+    void respond(ClientConnection& client, std::int32_t sequence, const std::string& trace);
+    void onTimer();
     bool stalled(Duration now) const;
-    void end(Line& line);
+    void close(ClientConnection& client);
 
     net::Loop& loop_;
-    const AnsweringTerms terms_;
+    const EmulatedThriftServerConfig config_;
     const std::string host_;
-    const Duration start_;
-    std::list<std::shared_ptr<Line>> lines_;  // emptied by the ends of connections
-    std::multimap<Duration, Owed> owed_;      // emptied by time
-    std::unordered_map<std::string, Entry> book_;
-    std::uint64_t trackedRequests_ = 0, answers_ = 0, forgets_ = 0;
-    PreciseTimer pace_;
+    const Duration startedAt_;
+    std::list<std::shared_ptr<ClientConnection>> connections_;   // emptied by the ends of connections
+    std::multimap<Duration, PendingResponse> pendingResponses_;  // emptied by time
+    std::unordered_map<std::string, RequestTimes> requestTimes_;
+    std::uint64_t requests_ = 0, responses_ = 0, cancels_ = 0;
+    PreciseTimer timer_;
     std::unique_ptr<net::Listener> listener_;
 };
 
--- a/src/loadtest/emulators/worker_pool.cpp
+++ b/src/loadtest/emulators/worker_pool.cpp
@@ -12,172 +12,175 @@
 using Json = nlohmann::json;
 
 namespace {
-constexpr std::size_t kNoticesKept = 4000;
-constexpr Duration kWatch = 20ms;
+constexpr std::size_t kMaxStoredNotices = 4000;
+constexpr Duration kSampleInterval = 20ms;
 }  // namespace
 
-struct WorkerPool::Link : net::ConnectionHandler {
-    explicit Link(WorkerPool& all) : owner(all) {}
+struct WorkerPool::ServerConnection : net::ConnectionHandler {
+    explicit ServerConnection(WorkerPool& thePool) : pool(thePool) {}
     void arrived(net::Connection& from) override {
         while (connection && !closing) {
             const std::size_t end = from.input().find('\n', 0);
             if (end == from.input().size()) return;
             const std::string line(from.input().peek(end, scratch));
             from.input().drop(end + 1);
-            owner.hear(line);
+            pool.handleMessage(line);
         }
     }
     void ended(net::Connection&, net::ConnectionEnd) override {
         closing = true;
         connection.reset();
     }
-    WorkerPool& owner;
+    WorkerPool& pool;
     std::unique_ptr<net::Connection> connection;
     std::string scratch;
     bool closing = false;
 };
 
-WorkerPool::WorkerPool(net::Loop& loop, std::size_t instance, const net::Address& at, const PoolTerms& terms,
-                       InvariantChecker& checker)
+WorkerPool::WorkerPool(net::Loop& loop, std::size_t instance, const net::Address& at,
+                       const WorkerPoolConfig& config, InvariantChecker& checker)
     : loop_(loop),
       instance_(instance),
-      at_(at),
-      terms_(terms),
+      address_(at),
+      config_(config),
       checker_(checker),
-      cores_(terms.cores),
-      upAt_(steadyNow() + terms.startsAfter),
-      cold_(terms.cold),
-      pace_(loop, [this] { pump(); }) {
+      cores_(config.cores),
+      readyAt_(steadyNow() + config.startDelay),
+      cold_(config.cold),
+      timer_(loop, [this] { onTimer(); }) {
     listen();
-    cores_.start(upAt_);
-    upSince_ = upAt_;
-    pace_.startAt(upAt_);
+    cores_.start(readyAt_);
+    startedAt_ = readyAt_;
+    timer_.startAt(readyAt_);
 }
 
 WorkerPool::~WorkerPool() = default;
 
 void WorkerPool::listen() {
     listener_ = std::make_unique<net::Listener>(
-        loop_, at_,
+        loop_, address_,
         [this](net::PendingConnection socket) {
-            auto link = std::make_unique<Link>(*this);
-            link->connection.reset(new net::Connection(loop_, socket, *link, {4 << 20, 16 << 20}));
-            older_ = std::move(link_);  // a new link replaces the one before it
-            if (older_) older_->connection.reset(), older_->closing = true;
-            link_ = std::move(link);
-            rest_.clear();
+            auto accepted = std::make_unique<ServerConnection>(*this);
+            accepted->connection.reset(new net::Connection(loop_, socket, *accepted, {4 << 20, 16 << 20}));
+            replacedConnection_ = std::move(connection_);  // a new link replaces the one before it
+            if (replacedConnection_)
+                replacedConnection_->connection.reset(), replacedConnection_->closing = true;
+            connection_ = std::move(accepted);
+            unsentPart_.clear();
         },
         [] { return false; });
 }
 
 void WorkerPool::write(const std::string& line) {
-    if (!link_ || link_->closing || !link_->connection) return;
-    link_->connection->send(std::exchange(rest_, "") + line);
+    if (!connection_ || connection_->closing || !connection_->connection) return;
+    connection_->connection->send(std::exchange(unsentPart_, "") + line);
 }
 
-void WorkerPool::notice(std::string line) {
+void WorkerPool::sendNotice(std::string line) {
     notices_.emplace_back(lastNotice_, line);
-    if (notices_.size() > kNoticesKept) notices_.pop_front();
-    if (waitsBound_ || !boundOnce_) return;
-    ++pieces_;
-    if (terms_.twiceEvery > 0 && pieces_ % static_cast<std::uint64_t>(terms_.twiceEvery) == 0) write(line);
-    if (terms_.piecesEvery > 0 && pieces_ % static_cast<std::uint64_t>(terms_.piecesEvery) == 0) {
+    if (notices_.size() > kMaxStoredNotices) notices_.pop_front();
+    if (pendingBindAfter_ || !bound_) return;
+    ++noticesWritten_;
+    if (config_.duplicateEvery > 0 &&
+        noticesWritten_ % static_cast<std::uint64_t>(config_.duplicateEvery) == 0)
+        write(line);
+    if (config_.splitEvery > 0 && noticesWritten_ % static_cast<std::uint64_t>(config_.splitEvery) == 0) {
         // The rest follows with the next look, a few milliseconds on: the reader
         // has half a line until then.
         write(line.substr(0, line.size() / 2));
-        return void(rest_ += line.substr(line.size() / 2));
+        return void(unsentPart_ += line.substr(line.size() / 2));
     }
     write(line);
 }
 
-void WorkerPool::sayBound(std::uint64_t after) {
+void WorkerPool::sendBound(std::uint64_t after) {
     const Duration now = steadyNow();
-    write(
-        Json{{"type", "bound"}, {"state", cold_ ? "cold" : "warm"}, {"took", (now - upSince_) / 1ms}}.dump() +
-        "\n");
-    boundOnce_ = true;
+    write(Json{{"type", "bound"}, {"state", cold_ ? "cold" : "warm"}, {"took", (now - startedAt_) / 1ms}}
+              .dump() +
+          "\n");
+    bound_ = true;
     for (const auto& [number, line] : notices_)
         if (number > after) write(line);
 }
 
-void WorkerPool::hear(const std::string& line) {
-    const Json all = Json::parse(line, nullptr, false);
-    if (!all.is_object()) return link_->connection.reset();
-    const std::string type = all.value("type", ""), job = all.value("job", "");
+void WorkerPool::handleMessage(const std::string& line) {
+    const Json message = Json::parse(line, nullptr, false);
+    if (!message.is_object()) return connection_->connection.reset();
+    const std::string type = message.value("type", ""), job = message.value("job", "");
     const Duration now = steadyNow();
     reportEndedSegments(now);  // what had ended before this message came, a suspension does not undo
-    const auto known = names_.find(job);
+    const auto known = jobByName_.find(job);
     if (type == "bind") {
-        const auto after = all.value("n", std::uint64_t{0});
-        if (now < upAt_)
-            waitsBound_ = after;
+        const auto after = message.value("n", std::uint64_t{0});
+        if (now < readyAt_)
+            pendingBindAfter_ = after;
         else
-            sayBound(after);
+            sendBound(after);
     } else if (type == "spawn") {
-        if (known != names_.end()) return;
-        const auto body = worker_pool::decodeBase64(all.value("data", ""));
+        if (known != jobByName_.end()) return;
+        const auto body = worker_pool::decodeBase64(message.value("data", ""));
         spawn(job, body.value_or(""));
     } else if (type == "suspend") {
-        if (known == names_.end()) return;
+        if (known == jobByName_.end()) return;
         cores_.remove(known->second, now);
         finish(known->second, "halted", "");
     } else if (type == "supply") {
-        if (known == names_.end()) return;
+        if (known == jobByName_.end()) return;
         Job& supplied = jobs_.at(known->second);
         if (!std::exchange(supplied.blocked, false)) return;
         checker_.callEnded(job, false);
-        cores_.add(known->second, supplied.segment, now);
+        cores_.add(known->second, supplied.segmentWork, now);
     } else if (type == "poll") {
         write(Json{{"type", "polled"},
-                   {"ref", all.value("ref", "")},
+                   {"ref", message.value("ref", "")},
                    {"gauges",
-                    {cores_.busy(), static_cast<double>(cores_.running()),
-                     checker_.memoryKb(instance_) / terms_.heapKb, 1.0}}}
+                    {cores_.utilisation(), static_cast<double>(cores_.running()),
+                     checker_.memoryKb(instance_) / config_.heapKb, 1.0}}}
                   .dump() +
               "\n");
     } else if (type == "verify") {
-        write(Json{{"type", "verified"}, {"ref", all.value("ref", "")}, {"state", "ok"}}.dump() + "\n");
+        write(Json{{"type", "verified"}, {"ref", message.value("ref", "")}, {"state", "ok"}}.dump() + "\n");
     } else if (type != "proceed") {
-        return link_->connection.reset();
+        return connection_->connection.reset();
     }
-    pump();
+    onTimer();
 }
 
 void WorkerPool::spawn(const std::string& name, const std::string& body) {
-    char first[17] = "";
+    char firstTrace[17] = "";
     long long work = 0, call = 0;
     int calls = 0, fails = 0;
-    if (std::sscanf(body.c_str(), "cw1 %16s %lld %d %lld %d;", first, &work, &calls, &call, &fails) != 5)
+    if (std::sscanf(body.c_str(), "cw1 %16s %lld %d %lld %d;", firstTrace, &work, &calls, &call, &fails) != 5)
         return write(Json{{"type", "unknown"}, {"state", "spawn"}, {"job", name}}.dump() + "\n");
     const Duration now = steadyNow();
-    ++spawns_;
-    checker_.spawned(instance_, name, first, now);
+    ++startedRuns_;
+    checker_.runStarted(instance_, name, firstTrace, now);
     const std::uint64_t id = nextJob_++;
     Job& job = jobs_[id];
     job.name = name;
-    job.first = first;
-    job.callsLeft = calls;
+    job.firstTrace = firstTrace;
+    job.remainingCalls = calls;
     job.callMicros = call;
     job.fails = fails != 0;
-    job.since = now;
-    job.segment = static_cast<double>(work) / 1e6 / (calls + 1);
-    names_[name] = id;
-    cores_.add(id, job.segment, now);
+    job.startedAt = now;
+    job.segmentWork = static_cast<double>(work) / 1e6 / (calls + 1);
+    jobByName_[name] = id;
+    cores_.add(id, job.segmentWork, now);
 }
 
 void WorkerPool::segmentEnded(std::uint64_t id) {
     Job& job = jobs_.at(id);
-    if (job.callsLeft > 0) {
-        --job.callsLeft;
+    if (job.remainingCalls > 0) {
+        --job.remainingCalls;
         job.blocked = true;
         const std::string body = "call " + job.name + " " + std::to_string(job.callMicros);
         ++lastNotice_;
-        return notice(Json{{"type", "blocked"},
-                           {"n", lastNotice_},
-                           {"job", job.name},
-                           {"data", worker_pool::encodeBase64(body)}}
-                          .dump() +
-                      "\n");
+        return sendNotice(Json{{"type", "blocked"},
+                               {"n", lastNotice_},
+                               {"job", job.name},
+                               {"data", worker_pool::encodeBase64(body)}}
+                              .dump() +
+                          "\n");
     }
     if (job.fails) return finish(id, "failed", "");
     finish(id, "ok", "ok " + job.name);
@@ -190,92 +193,93 @@
 void WorkerPool::finish(std::uint64_t id, const char* state, const std::string& result) {
     const Job job = jobs_.at(id);
     jobs_.erase(id);
-    names_.erase(job.name);
-    checker_.finished(job.name);
+    jobByName_.erase(job.name);
+    checker_.runEnded(job.name);
     ++lastNotice_;
-    notice(Json{{"type", "finished"},
-                {"n", lastNotice_},
-                {"job", job.name},
-                {"state", state},
-                {"took", static_cast<double>((steadyNow() - job.since).count()) / 1e6},
-                {"data", worker_pool::encodeBase64(result)}}
-               .dump() +
-           "\n");
+    sendNotice(Json{{"type", "finished"},
+                    {"n", lastNotice_},
+                    {"job", job.name},
+                    {"state", state},
+                    {"took", static_cast<double>((steadyNow() - job.startedAt).count()) / 1e6},
+                    {"data", worker_pool::encodeBase64(result)}}
+                   .dump() +
+               "\n");
 }
 
-void WorkerPool::pump() {
-    if (gone_) return;
+void WorkerPool::onTimer() {
+    if (crashed_) return;
     const Duration now = steadyNow();
-    if (now < upAt_) return pace_.startAt(upAt_);
-    if (waitsBound_) sayBound(*std::exchange(waitsBound_, std::nullopt));
+    if (now < readyAt_) return timer_.startAt(readyAt_);
+    if (pendingBindAfter_) sendBound(*std::exchange(pendingBindAfter_, std::nullopt));
     reportEndedSegments(now);
-    if (!rest_.empty() && now >= lookAt_) write("");
-    watch(now);
-    Duration next = lookAt_;
+    if (!unsentPart_.empty() && now >= nextSampleAt_) write("");
+    sampleLoad(now);
+    Duration next = nextSampleAt_;
     if (const auto end = cores_.nextEnd()) next = std::min(next, *end);
-    pace_.startAt(next);
+    timer_.startAt(next);
 }
 
 // The crowd that makes it fall over is a mean, so a sample every now and then
 // tells.
-void WorkerPool::watch(Duration now) {
-    if (now < lookAt_) return;
-    lookAt_ = now + kWatch;
-    if (terms_.endsAtCalls) endWhatIsOver();
-    crowd_.emplace_back(now, static_cast<double>(cores_.running()));
-    crowdSum_ += crowd_.back().second;
-    while (crowd_.front().first < now - terms_.fallOver)
-        crowdSum_ -= crowd_.front().second, crowd_.pop_front();
-    const bool whole = now - upSince_ > terms_.fallOver;
-    const double mean = crowdSum_ / static_cast<double>(crowd_.size());
-    if (whole && mean > terms_.cores.cores * terms_.fallMultiple && !std::exchange(fell_, true))
-        checker_.fellOver(instance_, "a mean crowd of " + std::to_string(mean) + " on its cores");
+void WorkerPool::sampleLoad(Duration now) {
+    if (now < nextSampleAt_) return;
+    nextSampleAt_ = now + kSampleInterval;
+    if (config_.endsBlockedRuns) endRunsOfClosedRequests();
+    runSamples_.emplace_back(now, static_cast<double>(cores_.running()));
+    runSum_ += runSamples_.back().second;
+    while (runSamples_.front().first < now - config_.overloadWindow)
+        runSum_ -= runSamples_.front().second, runSamples_.pop_front();
+    const bool windowFilled = now - startedAt_ > config_.overloadWindow;
+    const double mean = runSum_ / static_cast<double>(runSamples_.size());
+    if (windowFilled && mean > config_.cores.cores * config_.overloadFactor &&
+        !std::exchange(overloadReported_, true))
+        checker_.overloaded(instance_, "a mean crowd of " + std::to_string(mean) + " on its cores");
 }
 
 // Those at a call whose request is over, as the pool of the platform ends them.
-void WorkerPool::endWhatIsOver() {
+void WorkerPool::endRunsOfClosedRequests() {
     std::vector<std::uint64_t> over;
     for (const auto& [id, job] : jobs_)
-        if (job.blocked && !checker_.waits(job.name)) over.push_back(id);
+        if (job.blocked && !checker_.clientWaits(job.name)) over.push_back(id);
     for (const std::uint64_t id : over) finish(id, "halted", "");
 }
 
-std::size_t WorkerPool::atCalls() const {
+std::size_t WorkerPool::blockedRuns() const {
     return static_cast<std::size_t>(
         std::count_if(jobs_.begin(), jobs_.end(), [](const auto& entry) { return entry.second.blocked; }));
 }
 
-void WorkerPool::slow(double factor) {
-    cores_.setSlow(factor, steadyNow());
-    pump();
+void WorkerPool::setSlowdown(double factor) {
+    cores_.setSlowdown(factor, steadyNow());
+    onTimer();
 }
 
-void WorkerPool::breakLink() {
-    if (link_) link_->connection.reset(), link_->closing = true;
+void WorkerPool::breakConnection() {
+    if (connection_) connection_->connection.reset(), connection_->closing = true;
 }
 
 void WorkerPool::crash() {
-    gone_ = true;
+    crashed_ = true;
     listener_.reset();
-    breakLink();
-    for (const auto& [id, job] : jobs_) checker_.finished(job.name);
-    jobs_.clear(), names_.clear(), notices_.clear();
+    breakConnection();
+    for (const auto& [id, job] : jobs_) checker_.runEnded(job.name);
+    jobs_.clear(), jobByName_.clear(), notices_.clear();
     lastNotice_ = 0;
-    waitsBound_.reset();
-    boundOnce_ = false;
+    pendingBindAfter_.reset();
+    bound_ = false;
     cores_.start(steadyNow());
 }
 
-void WorkerPool::retryAfter(bool cold) {
-    gone_ = false;
+void WorkerPool::restart(bool cold) {
+    crashed_ = false;
     cold_ = cold;
-    upAt_ = upSince_ = steadyNow() + terms_.startsAfter;
-    cores_.start(upAt_);
-    crowd_.clear();
-    crowdSum_ = 0;
-    fell_ = false;
+    readyAt_ = startedAt_ = steadyNow() + config_.startDelay;
+    cores_.start(readyAt_);
+    runSamples_.clear();
+    runSum_ = 0;
+    overloadReported_ = false;
     listen();
-    pace_.startAt(upAt_);
+    timer_.startAt(readyAt_);
 }
 
 }  // namespace cottonwing::loadtest
--- a/src/loadtest/experiment.cpp
+++ b/src/loadtest/experiment.cpp
@@ -104,22 +104,22 @@
     }
     if (const kdl::Node* const found = in.child("pool")) {
         kdl::NodeReader inner(*found);
-        PoolTerms& pool = config->workerPool;
+        WorkerPoolConfig& pool = config->workerPool;
         inner.property("cores", pool.cores.cores, kdl::number);
         inner.property("speed", pool.cores.speed, kdl::number);
-        inner.property("thrash-at", pool.cores.thrashAt, kdl::number);
-        inner.property("thrash-to", pool.cores.thrashTo, kdl::fraction);
-        inner.property("cold", pool.cores.coldPart, kdl::fraction);
-        inner.property("warms-over", pool.cores.warmsOver, kdl::duration);
+        inner.property("thrash-at", pool.cores.thrashingThreshold, kdl::number);
+        inner.property("thrash-to", pool.cores.minEfficiency, kdl::fraction);
+        inner.property("cold", pool.cores.coldSpeedFraction, kdl::fraction);
+        inner.property("warms-over", pool.cores.warmUpTime, kdl::duration);
         inner.property("heap", pool.heapKb,
                        [](const kdl::Value& value) { return static_cast<double>(kdl::bytes(value)) / 1024; });
         inner.property("run-factor", config->runMemoryFactor, kdl::number);
-        inner.property("fall-multiple", pool.fallMultiple, kdl::number);
-        inner.property("fall-over", pool.fallOver, kdl::duration);
-        inner.property("starts-after", pool.startsAfter, kdl::duration);
-        inner.property("ends-at-calls", pool.endsAtCalls, kdl::boolean);
-        inner.property("pieces-every", pool.piecesEvery, kdl::integerBetween(1, 1000000));
-        inner.property("twice-every", pool.twiceEvery, kdl::integerBetween(1, 1000000));
+        inner.property("fall-multiple", pool.overloadFactor, kdl::number);
+        inner.property("fall-over", pool.overloadWindow, kdl::duration);
+        inner.property("starts-after", pool.startDelay, kdl::duration);
+        inner.property("ends-at-calls", pool.endsBlockedRuns, kdl::boolean);
+        inner.property("pieces-every", pool.splitEvery, kdl::integerBetween(1, 1000000));
+        inner.property("twice-every", pool.duplicateEvery, kdl::integerBetween(1, 1000000));
         inner.rejectUnknown();
         if (pool.cores.cores < 1 || pool.cores.speed <= 0 || pool.heapKb <= 0)
             throw kdl::DocumentError(found->location, "a pool without cores, speed or heap was found",
@@ -127,15 +127,15 @@
     }
     if (const kdl::Node* const found = in.child("records")) {
         kdl::NodeReader inner(*found);
-        RecordsTerms& records = config->dependency;
+        DependencyConfig& records = config->dependency;
         inner.property("slots", records.slots, kdl::integerBetween(1, 1000000));
-        inner.property("line", records.line, kdl::integerBetween(0, 1000000));
-        inner.property("crowd-slows", records.crowdSlows, kdl::number);
-        inner.property("falls-at", records.fallsAt, kdl::number);
-        inner.property("down-for", records.downFor, kdl::duration);
-        inner.property("share", records.share, kdl::number);
-        inner.property("share-over", records.callsOver, kdl::duration);
-        inner.property("linger", records.linger, kdl::duration);
+        inner.property("line", records.queueCapacity, kdl::integerBetween(0, 1000000));
+        inner.property("crowd-slows", records.queueSlowdown, kdl::number);
+        inner.property("falls-at", records.overloadThreshold, kdl::number);
+        inner.property("down-for", records.downTime, kdl::duration);
+        inner.property("share", records.callQuota, kdl::number);
+        inner.property("share-over", records.quotaWindow, kdl::duration);
+        inner.property("linger", records.lingerTime, kdl::duration);
         inner.rejectUnknown();
     }
     if (const kdl::Node* const found = in.child("registry")) {
@@ -186,8 +186,8 @@
     net::Loop loop;
     InvariantChecker checker;
     std::vector<Backend> backends;
-    std::vector<std::unique_ptr<ScgiServer>> servers;
-    std::unique_ptr<RecordsService> dependency;
+    std::vector<std::unique_ptr<EmulatedScgiServer>> servers;
+    std::unique_ptr<DependencyService> dependency;
     std::unique_ptr<RegistryService> registry;
     std::vector<std::string> notes;  // events that no metric shows: a crash, a slow shutdown
     std::vector<std::size_t> pendingRestarts;
@@ -226,18 +226,19 @@
     }
     environment_->registry = std::make_unique<RegistryService>(
         environment_->loop, environment_->backends[0].registryAddress, config.registryDelay);
-    environment_->dependency = std::make_unique<RecordsService>(environment_->loop, dependencyAddresses,
-                                                                config.dependency, environment_->checker);
+    environment_->dependency = std::make_unique<DependencyService>(environment_->loop, dependencyAddresses,
+                                                                   config.dependency, environment_->checker);
     for (std::size_t index = 0; index < config.servers.count; ++index) {
-        ScgiServerTerms server;
+        EmulatedScgiServerConfig server;
         server.slots = config.servers.slots;
-        environment_->servers.push_back(std::make_unique<ScgiServer>(
+        environment_->servers.push_back(std::make_unique<EmulatedScgiServer>(
             environment_->loop, net::Address{addressPrefix + std::to_string(100 + index), 9001}, server));
-        environment_->servers.back()->onEnd(
-            [this](const std::string& trace) { environment_->checker.finished(trace); });
+        environment_->servers.back()->onRequestEnd(
+            [this](const std::string& trace) { environment_->checker.runEnded(trace); });
         // The invariant checker knows from the attempt's trace which gateway sent it.
-        environment_->servers.back()->onRun([this](const std::string& trace, const std::string& first) {
-            environment_->checker.spawned(environment_->checker.instanceOf(trace), trace, first, steadyNow());
+        environment_->servers.back()->onRequest([this](const std::string& trace, const std::string& first) {
+            environment_->checker.runStarted(environment_->checker.instanceOf(trace), trace, first,
+                                             steadyNow());
         });
     }
     for (std::size_t index = 0; index < config.backends; ++index) {
@@ -282,20 +283,20 @@
     settings["permissions"] = {{"retry_after", config_.retryAfterAllowed},
                                {"max_retry_after_us", micros(config_.maxRetryAfter)}};
     settings["obligations"] = {{"drain_grace_us", micros(config_.drainGrace)},
-                               {"fall_multiple", config_.workerPool.fallMultiple},
-                               {"overload_for_us", micros(config_.workerPool.fallOver)},
-                               {"start_capacity", config_.workerPool.cores.coldPart},
-                               {"ramp_time_us", micros(config_.workerPool.cores.warmsOver)}};
+                               {"fall_multiple", config_.workerPool.overloadFactor},
+                               {"overload_for_us", micros(config_.workerPool.overloadWindow)},
+                               {"start_capacity", config_.workerPool.cores.coldSpeedFraction},
+                               {"ramp_time_us", micros(config_.workerPool.cores.warmUpTime)}};
     settings["family_info"] = {{"below", anyCalls ? "shared" : "off"},
-                               {"calls_over_us", micros(config_.dependency.callsOver)},
+                               {"calls_over_us", micros(config_.dependency.quotaWindow)},
                                {"class_calls", makesCalls},
                                {"degraded_worth", degradedValues},
                                {"cores", static_cast<int>(config_.workerPool.cores.cores)},
-                               {"dep_share", config_.dependency.share},
+                               {"dep_share", config_.dependency.callQuota},
                                {"halt", "suspend"},
                                {"heap_kb", config_.workerPool.heapKb},
                                {"idle_us", micros(config_.load->client.idleTimeout)},
-                               {"linger_us", micros(config_.dependency.linger)},
+                               {"linger_us", micros(config_.dependency.lingerTime)},
                                {"own_stats", {"core_use", "on_cores", "heap_share", "links"}},
                                {"readiness", true},
                                {"run_factor", config_.runMemoryFactor},
@@ -374,7 +375,7 @@
     if (!out) throw std::runtime_error(configPath + " can't be written");
     backend.exitExpected = backend.crashed = false;
     backend.lastCpuSeconds = 0;
-    environment_->checker.restarted(index);
+    environment_->checker.instanceRestarted(index);
     backend.process = std::make_unique<ChildProcess>(
         environment_->loop, program_,
         gateway ? std::vector<std::string>{"serve", configPath} : std::vector<std::string>{},
@@ -410,27 +411,27 @@
     EmulatedEnvironment& environment = *environment_;
     switch (fault.kind) {
         case Fault::Kind::Dependency:
-            environment.dependency->slow(starts ? fault.slowdown : 1);
-            environment.dependency->hang(starts ? fault.hangFraction : 0);
-            environment.dependency->spoil(starts ? fault.malformedFraction : 0);
-            if (fault.down) environment.dependency->down(starts);
+            environment.dependency->setSlowdown(starts ? fault.slowdown : 1);
+            environment.dependency->setHangFraction(starts ? fault.hangFraction : 0);
+            environment.dependency->setMalformedFraction(starts ? fault.malformedFraction : 0);
+            if (fault.down) environment.dependency->setDown(starts);
             break;
         case Fault::Kind::ScgiServer:
             for (const std::size_t index : targetInstances(fault)) {
-                ScgiServerTerms server = environment.servers[index]->terms();
-                server.slow = starts ? fault.slowdown : 1;
-                server.fault = starts && fault.failsFast ? ScgiFault::FailsFast
+                EmulatedScgiServerConfig server = environment.servers[index]->config();
+                server.slowdown = starts ? fault.slowdown : 1;
+                server.fault = starts && fault.failsFast ? ScgiFault::FailFast
                                : starts && fault.silent  ? ScgiFault::Silent
                                                          : ScgiFault::None;
-                environment.servers[index]->set(server);
+                environment.servers[index]->setConfig(server);
             }
             break;
         case Fault::Kind::Registry:
-            environment.registry->silent(starts && fault.silent);
+            environment.registry->setSilent(starts && fault.silent);
             break;
         case Fault::Kind::WorkerPool:
             for (const std::size_t index : targetInstances(fault))
-                environment.backends[index].workerPool->slow(starts ? fault.slowdown : 1);
+                environment.backends[index].workerPool->setSlowdown(starts ? fault.slowdown : 1);
             break;
         case Fault::Kind::Stall:
             for (const std::size_t index : targetInstances(fault))
@@ -439,7 +440,7 @@
         case Fault::Kind::PoolDisconnect:
             if (starts)
                 for (const std::size_t index : targetInstances(fault))
-                    environment.backends[index].workerPool->breakLink();
+                    environment.backends[index].workerPool->breakConnection();
             break;
         case Fault::Kind::Reload:
             if (starts)
@@ -454,7 +455,7 @@
                     backend.process->sendSignal(SIGKILL);
                     backend.workerPool->crash();
                 } else {
-                    backend.workerPool->retryAfter(fault.coldStart);
+                    backend.workerPool->restart(fault.coldStart);
                     startBackend(index);
                 }
             }
@@ -479,8 +480,8 @@
         backend.lastCpuSeconds = cpu;
         sample.memoryMb = backend.process->memoryMb();
         backend.maxMemoryMb = std::max(backend.maxMemoryMb, sample.memoryMb);
-        sample.runsOnCores = static_cast<double>(backend.workerPool->onCores());
-        sample.runsInFlight = static_cast<double>(backend.workerPool->inHand());
+        sample.runsOnCores = static_cast<double>(backend.workerPool->runsOnCores());
+        sample.runsInFlight = static_cast<double>(backend.workerPool->unfinishedRuns());
         backend.samples.push_back(sample);
     }
 }
@@ -550,19 +551,19 @@
             if (!backend.restarting) {
                 backend.restarting = true;
                 backend.stopDeadline = now + config_.shutdownTimeout;
-                environment.checker.notice(index, now,
-                                           std::min(config_.drainGrace, config_.shutdownTimeout / 2));
+                environment.checker.drainStarted(index, now,
+                                                 std::min(config_.drainGrace, config_.shutdownTimeout / 2));
                 backend.process->sendSignal(SIGTERM);
             } else if (!backend.process->running() || now >= backend.stopDeadline) {
                 if (backend.process->running()) {
                     environment.notes.push_back(backend.name +
                                                 " did not exit within its shutdown timeout and was killed");
-                    environment.checker.fellOver(index, "it did not exit within its shutdown timeout");
+                    environment.checker.overloaded(index, "it did not exit within its shutdown timeout");
                     backend.exitExpected = true;
                     backend.process->sendSignal(SIGKILL);
                 }
                 backend.workerPool->crash();
-                backend.workerPool->retryAfter(true);
+                backend.workerPool->restart(true);
                 backend.restarting = false;
                 startBackend(index);
                 environment.pendingRestarts.erase(environment.pendingRestarts.begin());
@@ -623,12 +624,12 @@
     const auto counts = environment.checker.counts();
     std::uint64_t violationCount = result.statistics.violations.total();
     Json violations;
-    for (std::size_t rule = 0; rule < kRules; ++rule) {
-        violations[nameOf(static_cast<Rule>(rule))] = counts[rule];
+    for (std::size_t rule = 0; rule < kInvariants; ++rule) {
+        violations[nameOf(static_cast<Invariant>(rule))] = counts[rule];
         violationCount += counts[rule];
     }
     violations["lost"] =
-        counts[static_cast<std::size_t>(Rule::Lost)] + result.statistics.violations.lostResponses;
+        counts[static_cast<std::size_t>(Invariant::Lost)] + result.statistics.violations.lostResponses;
     violations["answers"] = result.statistics.violations.total() - result.statistics.violations.lostResponses;
     int crashes = 0;
     for (const Backend& backend : environment.backends) crashes += backend.crashes;
@@ -636,7 +637,8 @@
     violations["all"] = violationCount + static_cast<std::uint64_t>(crashes);
     violations["examples"] = Json::array();
     for (const Violation& violation : environment.checker.violations())
-        violations["examples"].push_back(std::string(nameOf(violation.rule)) + ": " + violation.what);
+        violations["examples"].push_back(std::string(nameOf(violation.invariant)) + ": " +
+                                         violation.description);
     for (const std::string& example : result.statistics.violations.examples)
         violations["examples"].push_back(example);
     summary["broken"] = violations;
@@ -660,14 +662,15 @@
                                        {"memory_most_mb", backend.maxMemoryMb},
                                        {"cpu_s", cpu},
                                        {"cpu_dearest_second", maxCpuSecond},
-                                       {"runs_started", backend.workerPool->spawns()},
+                                       {"runs_started", backend.workerPool->startedRuns()},
                                        {"samples", samples}});
     }
     Json servers = Json::array();
     for (const auto& server : environment.servers) {
         totalWork += server->workDone();
-        servers.push_back(
-            {{"requests", server->requests()}, {"work_s", server->workDone()}, {"left", server->left()}});
+        servers.push_back({{"requests", server->requests()},
+                           {"work_s", server->workDone()},
+                           {"left", server->abandonedRequests()}});
     }
     summary["servers"] = servers;
     const double completed = environment.checker.completedWork();
@@ -676,11 +679,11 @@
                        {"wasted_share", totalWork > 0 ? std::max(0.0, 1 - completed / totalWork) : 0}};
     double maxMeanInFlight = 0;
     for (std::size_t index = 0; index < config_.backends; ++index)
-        maxMeanInFlight = std::max(maxMeanInFlight, environment.dependency->mostMeanOf(index));
+        maxMeanInFlight = std::max(maxMeanInFlight, environment.dependency->maxMeanCalls(index));
     summary["records"] = {{"calls", environment.dependency->calls()},
-                          {"turned_away", environment.dependency->turnedAway()},
-                          {"fallen", environment.dependency->fallen()},
-                          {"share", config_.dependency.share},
+                          {"turned_away", environment.dependency->rejectedCalls()},
+                          {"fallen", environment.dependency->overloads()},
+                          {"share", config_.dependency.callQuota},
                           {"most_mean_in_hands", maxMeanInFlight}};
     summary["registry_reports"] = environment.registry->reports();
     summary["troubles"] = Json::array();
--- a/src/loadtest/experiment.h
+++ b/src/loadtest/experiment.h
@@ -60,8 +60,8 @@
     Duration shutdownTimeout{std::chrono::milliseconds(3200)}, drainGrace{std::chrono::milliseconds(800)};
     bool retryAfterAllowed = true;
     Duration maxRetryAfter{std::chrono::seconds(1)};
-    PoolTerms workerPool;
-    RecordsTerms dependency;
+    WorkerPoolConfig workerPool;
+    DependencyConfig dependency;
     double runMemoryFactor = 4;  // a request takes this many times its memory while it runs
     Duration registryDelay{0};   // of the registry's responses
     std::vector<Fault> faults;
--- a/src/loadtest/invariants/invariant_checker.cpp
+++ b/src/loadtest/invariants/invariant_checker.cpp
@@ -8,184 +8,187 @@
 constexpr std::size_t kMaxViolations = 50;
 // Between the write of a request and its reading lies the loopback; a request
 // may only be blamed when it came clearly after the grace.
-constexpr Duration kSlack = std::chrono::milliseconds(50);
+constexpr Duration kLoopbackTolerance = std::chrono::milliseconds(50);
 }  // namespace
 
-const char* nameOf(Rule rule) {
-    static constexpr const char* kNames[kRules] = {"lost", "twice", "drain", "fall-over"};
-    return kNames[static_cast<std::size_t>(rule)];
+const char* nameOf(Invariant invariant) {
+    static constexpr const char* kNames[kInvariants] = {"lost", "twice", "drain", "fall-over"};
+    return kNames[static_cast<std::size_t>(invariant)];
 }
 
-InvariantChecker::InvariantChecker(const std::vector<RequestClassLoad>& requestClasses, Duration keeps,
+InvariantChecker::InvariantChecker(const std::vector<RequestClassLoad>& requestClasses, Duration retention,
                                    double heapKb, double runFactor)
-    : requestClasses_(requestClasses), keeps_(keeps), heapKb_(heapKb), runFactor_(runFactor) {}
+    : requestClasses_(requestClasses), retention_(retention), heapKb_(heapKb), runFactor_(runFactor) {}
 
-void InvariantChecker::book(Try& entry) {
-    const double now = entry.runs ? entry.kb * runFactor_ : entry.waits ? entry.kb : 0;
-    double& all = memory_[entry.instance];
+void InvariantChecker::updateMemory(Attempt& attempt) {
+    const double now = attempt.running       ? attempt.declaredKb * runFactor_
+                       : attempt.clientWaits ? attempt.declaredKb
+                                             : 0;
+    double& all = memoryByInstance_[attempt.instance];
     const bool was = all > heapKb_;
-    all += now - std::exchange(entry.booked, now);
+    all += now - std::exchange(attempt.countedKb, now);
     if (all > heapKb_ && !was)
-        violation(Rule::FallOver, "instance " + std::to_string(entry.instance) + ": " + std::to_string(all) +
-                                      " KB of commands");
+        violation(Invariant::Overload, "instance " + std::to_string(attempt.instance) + ": " +
+                                           std::to_string(all) + " KB of commands");
 }
 
-void InvariantChecker::violation(Rule rule, const std::string& what) {
-    ++counts_[static_cast<std::size_t>(rule)];
-    if (violations_.size() < kMaxViolations) violations_.push_back({rule, what});
+void InvariantChecker::violation(Invariant invariant, const std::string& description) {
+    ++counts_[static_cast<std::size_t>(invariant)];
+    if (violations_.size() < kMaxViolations) violations_.push_back({invariant, description});
 }
 
-void InvariantChecker::forgetOld(Duration now) {
-    while (!order_.empty() && order_.front().first + keeps_ < now) {
-        const auto at = tries_.find(order_.front().second);
-        if (at != tries_.end()) {
-            const auto family = families_.find(at->second.first);
-            if (family != families_.end() && --family->second.tries == 0) families_.erase(family);
-            at->second.waits = at->second.runs = false;
-            book(at->second);
-            tries_.erase(at);
+void InvariantChecker::removeExpired(Duration now) {
+    while (!expiryOrder_.empty() && expiryOrder_.front().first + retention_ < now) {
+        const auto at = attempts_.find(expiryOrder_.front().second);
+        if (at != attempts_.end()) {
+            const auto request = requests_.find(at->second.first);
+            if (request != requests_.end() && --request->second.attempts == 0) requests_.erase(request);
+            at->second.clientWaits = at->second.running = false;
+            updateMemory(at->second);
+            attempts_.erase(at);
         }
-        order_.pop_front();
+        expiryOrder_.pop_front();
     }
 }
 
 void InvariantChecker::onAttemptSent(const ScheduledRequest& planned, const std::string& trace,
                                      const std::string& first, std::size_t target) {
-    const std::lock_guard hold(guard_);
+    const std::lock_guard lock(mutex_);
     const Duration now = steadyNow();
-    forgetOld(now);
-    Try& entry = tries_[trace];
-    entry.first = first;
-    entry.sent = now;
-    entry.requestClass = planned.requestClass;
-    entry.instance = target;
-    entry.kb = planned.memoryKb;
-    book(entry);
-    ++families_[first].tries;
-    order_.emplace_back(now, trace);
+    removeExpired(now);
+    Attempt& attempt = attempts_[trace];
+    attempt.first = first;
+    attempt.sent = now;
+    attempt.requestClass = planned.requestClass;
+    attempt.instance = target;
+    attempt.declaredKb = planned.memoryKb;
+    updateMemory(attempt);
+    ++requests_[first].attempts;
+    expiryOrder_.emplace_back(now, trace);
 }
 
 void InvariantChecker::onResponse(const std::string& trace, ClientResponse::Kind kind) {
-    const std::lock_guard hold(guard_);
-    const auto at = tries_.find(trace);
-    if (at == tries_.end()) return;
-    if (kind == ClientResponse::Kind::Busy && at->second.ran)
-        violation(Rule::Twice, trace + " was bounced after it ran");
-    if (kind == ClientResponse::Kind::Answer && !at->second.ran)
-        violation(Rule::Lost, trace + " was handled without a run");
+    const std::lock_guard lock(mutex_);
+    const auto at = attempts_.find(trace);
+    if (at == attempts_.end()) return;
+    if (kind == ClientResponse::Kind::Busy && at->second.hasRun)
+        violation(Invariant::Duplicate, trace + " was bounced after it ran");
+    if (kind == ClientResponse::Kind::Answer && !at->second.hasRun)
+        violation(Invariant::Lost, trace + " was handled without a run");
 }
 
 void InvariantChecker::onAttemptReleased(const std::string& trace) {
-    const std::lock_guard hold(guard_);
-    const auto at = tries_.find(trace);
-    if (at == tries_.end()) return;
-    at->second.waits = false;
-    book(at->second);
+    const std::lock_guard lock(mutex_);
+    const auto at = attempts_.find(trace);
+    if (at == attempts_.end()) return;
+    at->second.clientWaits = false;
+    updateMemory(at->second);
 }
 
-void InvariantChecker::finished(const std::string& trace) {
-    const std::lock_guard hold(guard_);
-    const auto at = tries_.find(trace);
-    if (at == tries_.end()) return;
-    at->second.runs = false;
-    book(at->second);
+void InvariantChecker::runEnded(const std::string& trace) {
+    const std::lock_guard lock(mutex_);
+    const auto at = attempts_.find(trace);
+    if (at == attempts_.end()) return;
+    at->second.running = false;
+    updateMemory(at->second);
 }
 
 std::size_t InvariantChecker::instanceOf(const std::string& trace) const {
-    const std::lock_guard hold(guard_);
-    const auto at = tries_.find(trace);
-    return at == tries_.end() ? 0 : at->second.instance;
+    const std::lock_guard lock(mutex_);
+    const auto at = attempts_.find(trace);
+    return at == attempts_.end() ? 0 : at->second.instance;
 }
 
-bool InvariantChecker::waits(const std::string& trace) const {
-    const std::lock_guard hold(guard_);
-    const auto at = tries_.find(trace);
-    return at != tries_.end() && at->second.waits;
+bool InvariantChecker::clientWaits(const std::string& trace) const {
+    const std::lock_guard lock(mutex_);
+    const auto at = attempts_.find(trace);
+    return at != attempts_.end() && at->second.clientWaits;
 }
 
 double InvariantChecker::memoryKb(std::size_t instance) const {
-    const std::lock_guard hold(guard_);
-    const auto at = memory_.find(instance);
-    return at == memory_.end() ? 0 : at->second;
+    const std::lock_guard lock(mutex_);
+    const auto at = memoryByInstance_.find(instance);
+    return at == memoryByInstance_.end() ? 0 : at->second;
 }
 
 void InvariantChecker::onRequestEnded(const ScheduledRequest& planned, const std::string&,
                                       RequestOutcome outcome) {
-    const std::lock_guard hold(guard_);
+    const std::lock_guard lock(mutex_);
     if (outcome == RequestOutcome::Completed || outcome == RequestOutcome::Late)
         completedWork_ += std::chrono::duration<double>(planned.work).count();
 }
 
-void InvariantChecker::spawned(std::size_t instance, const std::string& trace, const std::string& first,
-                               Duration now) {
-    const std::lock_guard hold(guard_);
-    const auto at = tries_.find(trace);
+void InvariantChecker::runStarted(std::size_t instance, const std::string& trace, const std::string& first,
+                                  Duration now) {
+    const std::lock_guard lock(mutex_);
+    const auto at = attempts_.find(trace);
     const std::string where = ", instance " + std::to_string(instance);
-    if (at == tries_.end())
-        return violation(Rule::Twice, trace + " was started, and nobody sent it lately" + where);
-    Try& entry = at->second;
-    const auto closed = closedSince_.find(instance);
-    if (closed != closedSince_.end() && entry.sent > closed->second + kSlack && now > closed->second)
-        violation(Rule::Drain, trace + " came after the grace and was started" + where);
-    Family& family = families_[first];
-    const bool once =
-        requestClasses_[static_cast<std::size_t>(entry.requestClass)].idempotency != Idempotency::Idempotent;
-    if (once && family.runs > 0)
-        violation(Rule::Twice, trace + " ran again (first try " + first + ")" + where);
-    ++family.runs;
-    entry.ran = entry.runs = true;
-    book(entry);
-}
-
-void InvariantChecker::calling(std::size_t instance, const std::string& trace) {
-    const std::lock_guard hold(guard_);
-    const auto at = tries_.find(trace);
-    if (at == tries_.end()) return;
-    Try& entry = at->second;
-    const bool once =
-        requestClasses_[static_cast<std::size_t>(entry.requestClass)].idempotency != Idempotency::Idempotent;
-    if (once && entry.lastCallMayHaveRun)
-        violation(Rule::Twice,
+    if (at == attempts_.end())
+        return violation(Invariant::Duplicate, trace + " was started, and nobody sent it lately" + where);
+    Attempt& attempt = at->second;
+    const auto drainEnd = drainEndsAt_.find(instance);
+    if (drainEnd != drainEndsAt_.end() && attempt.sent > drainEnd->second + kLoopbackTolerance &&
+        now > drainEnd->second)
+        violation(Invariant::Drain, trace + " came after the grace and was started" + where);
+    Request& request = requests_[first];
+    const bool nonIdempotent = requestClasses_[static_cast<std::size_t>(attempt.requestClass)].idempotency !=
+                               Idempotency::Idempotent;
+    if (nonIdempotent && request.runs > 0)
+        violation(Invariant::Duplicate, trace + " ran again (first try " + first + ")" + where);
+    ++request.runs;
+    attempt.hasRun = attempt.running = true;
+    updateMemory(attempt);
+}
+
+void InvariantChecker::callStarted(std::size_t instance, const std::string& trace) {
+    const std::lock_guard lock(mutex_);
+    const auto at = attempts_.find(trace);
+    if (at == attempts_.end()) return;
+    Attempt& attempt = at->second;
+    const bool nonIdempotent = requestClasses_[static_cast<std::size_t>(attempt.requestClass)].idempotency !=
+                               Idempotency::Idempotent;
+    if (nonIdempotent && attempt.lastCallMayHaveRun)
+        violation(Invariant::Duplicate,
                   "the call of " + trace + " was made again, instance " + std::to_string(instance));
-    entry.lastCallMayHaveRun = true;
+    attempt.lastCallMayHaveRun = true;
 }
 
 void InvariantChecker::callEnded(const std::string& trace, bool knownNotRun) {
-    const std::lock_guard hold(guard_);
-    const auto at = tries_.find(trace);
-    if (at != tries_.end() && knownNotRun) at->second.lastCallMayHaveRun = false;
+    const std::lock_guard lock(mutex_);
+    const auto at = attempts_.find(trace);
+    if (at != attempts_.end() && knownNotRun) at->second.lastCallMayHaveRun = false;
 }
 
-void InvariantChecker::notice(std::size_t instance, Duration now, Duration grace) {
-    const std::lock_guard hold(guard_);
-    closedSince_[instance] = now + grace;
+void InvariantChecker::drainStarted(std::size_t instance, Duration now, Duration grace) {
+    const std::lock_guard lock(mutex_);
+    drainEndsAt_[instance] = now + grace;
 }
 
-void InvariantChecker::restarted(std::size_t instance) {
-    const std::lock_guard hold(guard_);
-    closedSince_.erase(instance);
+void InvariantChecker::instanceRestarted(std::size_t instance) {
+    const std::lock_guard lock(mutex_);
+    drainEndsAt_.erase(instance);
 }
 
-void InvariantChecker::fellOver(std::size_t instance, const std::string& what) {
-    const std::lock_guard hold(guard_);
-    violation(Rule::FallOver, "instance " + std::to_string(instance) + ": " + what);
+void InvariantChecker::overloaded(std::size_t instance, const std::string& description) {
+    const std::lock_guard lock(mutex_);
+    violation(Invariant::Overload, "instance " + std::to_string(instance) + ": " + description);
 }
 
 std::vector<Violation> InvariantChecker::violations() const {
-    const std::lock_guard hold(guard_);
+    const std::lock_guard lock(mutex_);
     return violations_;
 }
-std::array<std::uint64_t, kRules> InvariantChecker::counts() const {
-    const std::lock_guard hold(guard_);
+std::array<std::uint64_t, kInvariants> InvariantChecker::counts() const {
+    const std::lock_guard lock(mutex_);
     return counts_;
 }
 double InvariantChecker::completedWork() const {
-    const std::lock_guard hold(guard_);
+    const std::lock_guard lock(mutex_);
     return completedWork_;
 }
-std::size_t InvariantChecker::entries() const {
-    const std::lock_guard hold(guard_);
-    return tries_.size();
+std::size_t InvariantChecker::attemptCount() const {
+    const std::lock_guard lock(mutex_);
+    return attempts_.size();
 }
 
 }  // namespace cottonwing::loadtest
--- a/src/loadtest/main.cpp
+++ b/src/loadtest/main.cpp
@@ -271,11 +271,11 @@
     return {address.substr(0, colon), std::atoi(address.c_str() + colon + 1)};
 }
 
-int scgiCommand(const std::vector<std::string>& addresses, const ScgiServerTerms& config) {
+int scgiCommand(const std::vector<std::string>& addresses, const EmulatedScgiServerConfig& config) {
     net::Loop loop;
-    std::vector<std::unique_ptr<ScgiServer>> servers;
+    std::vector<std::unique_ptr<EmulatedScgiServer>> servers;
     for (const std::string& address : addresses)
-        servers.push_back(std::make_unique<ScgiServer>(loop, parseAddress(address), config));
+        servers.push_back(std::make_unique<EmulatedScgiServer>(loop, parseAddress(address), config));
     net::Signal onInt(loop, SIGINT, [&] { loop.stop(); }), onTerm(loop, SIGTERM, [&] { loop.stop(); });
     std::cout << servers.size() << " SCGI servers" << std::endl;
     loop.run();
@@ -283,9 +283,9 @@
     return 0;
 }
 
-int answerCommand(const std::string& address, const AnsweringTerms& config) {
+int answerCommand(const std::string& address, const EmulatedThriftServerConfig& config) {
     net::Loop loop;
-    Answering answering(loop, parseAddress(address), config);
+    EmulatedThriftServer answering(loop, parseAddress(address), config);
     net::Signal onInt(loop, SIGINT, [&] { loop.stop(); }), onTerm(loop, SIGTERM, [&] { loop.stop(); });
     std::cout << "listening on " << answering.address().host << ":" << answering.address().port << std::endl;
     loop.run();
@@ -323,7 +323,7 @@
     drawSubcommand->add_option("--to", to, "trace file to write")->required();
     drawSubcommand->footer("Example:\n  cottonwing_lab draw deploy/lab/hello.kdl --to hello.csv");
 
-    AnsweringTerms answering;
+    EmulatedThriftServerConfig answering;
     double serviceTimeMs = 0;
     CLI::App* const answerSubcommand =
         app.add_subcommand("answer", "Thrift server that answers every request itself, as a target for load");
@@ -380,11 +380,11 @@
         if (compareSubcommand->parsed()) return compareCommand(folder, other);
         if (drawSubcommand->parsed()) return drawCommand(file, to);
         if (scgiSubcommand->parsed()) {
-            ScgiServerTerms scgi;
-            scgi.takes = Duration(static_cast<std::int64_t>(serviceTimeMs * 1e6));
+            EmulatedScgiServerConfig scgi;
+            scgi.serviceTime = Duration(static_cast<std::int64_t>(serviceTimeMs * 1e6));
             return scgiCommand(listenAddresses, scgi);
         }
-        answering.takes = Duration(static_cast<std::int64_t>(serviceTimeMs * 1e6));
+        answering.responseDelay = Duration(static_cast<std::int64_t>(serviceTimeMs * 1e6));
         return answerCommand(listen, answering);
     } catch (const kdl::DocumentError& problem) {
         std::cerr << problem.what() << std::endl;
--- a/tests/loadtest/experiment_test.cpp
+++ b/tests/loadtest/experiment_test.cpp
@@ -23,7 +23,7 @@
 using namespace std::chrono_literals;
 using cottonwing::testing::runUntil;
 
-int upTo(int most) { return *rc::gen::resize(1000, rc::gen::inRange(0, most + 1)); }
+int randomUpTo(int max) { return *rc::gen::resize(1000, rc::gen::inRange(0, max + 1)); }
 
 // ---- cores ----------------------------------------------------------------------------------------------
 
@@ -31,12 +31,12 @@
 constexpr double kCoresTolerance = 1e-6;  // seconds, of time and of work
 // Where work has whole milliseconds, nothing ends in a moment that lies so far behind a step of the test:
 // whether a run ends just before a pause or just after it would be a matter of rounding.
-constexpr Duration kOffStep = 1234567ns;
+constexpr Duration kStepOffset = 1234567ns;
 
 // The emulated cores twice, beside the reference: once asked at each end, as the worker pool's timer does,
 // and once asked late, as on a machine that is too busy for that.
 struct ComparedCores {
-    explicit ComparedCores(const CoreTerms& terms) : punctual(terms), late(terms), reference(terms) {
+    explicit ComparedCores(const CoresConfig& config) : punctual(config), late(config), reference(config) {
         punctual.start(0s);
         late.start(0s);
     }
@@ -46,7 +46,7 @@
         for (const std::uint64_t id : punctual.ended(now)) punctualEnds.emplace(id, now);
         reference.advanceTo(std::chrono::duration<long double>(now).count());
     }
-    void askLate(Duration now) {
+    void advanceLate(Duration now) {
         for (const std::uint64_t id : late.ended(now)) lateEnds.insert(id);
     }
     void add(std::uint64_t id, double work, Duration now) {
@@ -54,14 +54,14 @@
         late.add(id, work, now);
         reference.add(id, work);
     }
-    void setSlow(double factor, Duration now) {
+    void setSlowdown(double factor, Duration now) {
         advanceTo(now);
-        punctual.setSlow(factor, now);
-        late.setSlow(factor, now);
-        reference.setSlow(factor);
+        punctual.setSlowdown(factor, now);
+        late.setSlowdown(factor, now);
+        reference.setSlowdown(factor);
     }
     void remove(std::uint64_t id, Duration now) {
-        const double left = static_cast<double>(reference.left().at(id));
+        const double left = static_cast<double>(reference.remainingWork().at(id));
         RC_ASSERT(std::abs(punctual.remove(id, now) - left) < kCoresTolerance);
         RC_ASSERT(std::abs(late.remove(id, now) - left) < kCoresTolerance);
         reference.remove(id);
@@ -72,14 +72,14 @@
     }
     // What has more work left than the tolerance runs, and what ended longer ago than that does not.
     void compareRuns(Duration now) const {
-        for (const auto& [id, left] : reference.left())
+        for (const auto& [id, left] : reference.remainingWork())
             if (left > kCoresTolerance) RC_ASSERT(punctual.has(id));
         for (const auto& [id, end] : reference.ends())
             if (std::chrono::duration<double>(now).count() - static_cast<double>(end) > kCoresTolerance)
                 RC_ASSERT(!punctual.has(id));
     }
     void compareEnds() const {
-        RC_ASSERT(reference.left().empty());
+        RC_ASSERT(reference.remainingWork().empty());
         RC_ASSERT(punctualEnds.size() == reference.ends().size());
         RC_ASSERT(lateEnds.size() == reference.ends().size());
         for (const auto& [id, end] : reference.ends()) {
@@ -98,43 +98,43 @@
 
 // Guards against runs that end at another time than their share of the cores gives, and against a reference
 // that steps so coarsely that it can't tell.
-RC_GTEST_PROP(EmulatedCores, ShareAsAPlainCountOfEveryRunDoes, ()) {
-    CoreTerms terms;
-    terms.cores = 1 + upTo(3);
-    terms.thrashAt = 1 + upTo(2);
-    ComparedCores cores(terms);
+RC_GTEST_PROP(EmulatedCores, MatchTheProcessorSharingReference, ()) {
+    CoresConfig config;
+    config.cores = 1 + randomUpTo(3);
+    config.thrashingThreshold = 1 + randomUpTo(2);
+    ComparedCores cores(config);
     std::uint64_t next = 1;
     for (Duration now = 0s; now < 400ms; now += 5ms) {
         cores.advanceTo(now);
         cores.compareRuns(now);
-        if (upTo(3) == 0) cores.askLate(now);
-        if (next <= 30 && upTo(2) == 0)
-            cores.add(next++, 0.001 * (1 + upTo(40)), now);
-        else if (!cores.reference.left().empty() && upTo(20) == 0)
-            cores.remove(cores.reference.left().begin()->first, now);
-        else if (upTo(20) == 0)
-            cores.setSlow(upTo(3), now + kOffStep);
+        if (randomUpTo(3) == 0) cores.advanceLate(now);
+        if (next <= 30 && randomUpTo(2) == 0)
+            cores.add(next++, 0.001 * (1 + randomUpTo(40)), now);
+        else if (!cores.reference.remainingWork().empty() && randomUpTo(20) == 0)
+            cores.remove(cores.reference.remainingWork().begin()->first, now);
+        else if (randomUpTo(20) == 0)
+            cores.setSlowdown(randomUpTo(3), now + kStepOffset);
     }
-    cores.setSlow(1, 400ms);
+    cores.setSlowdown(1, 400ms);
     cores.advanceTo(100s);
-    cores.askLate(100s);
+    cores.advanceLate(100s);
     cores.compareEnds();
 }
 
-TEST(EmulatedCores, APauseAndAColdStartTakeTheirTime) {
-    CoreTerms terms;
-    terms.cores = 1;
-    Cores cores(terms);
+TEST(EmulatedCores, PauseAndSlowStartDelayRuns) {
+    CoresConfig config;
+    config.cores = 1;
+    Cores cores(config);
     cores.start(0s);
     cores.add(1, 0.1, 0s);
-    cores.setSlow(0, 50ms);
+    cores.setSlowdown(0, 50ms);
     EXPECT_FALSE(cores.nextEnd());
-    cores.setSlow(1, 5s);
+    cores.setSlowdown(1, 5s);
     EXPECT_TRUE(cores.ended(5s + 49ms).empty());
     EXPECT_EQ(cores.ended(5s + 51ms).size(), 1U);
-    terms.coldPart = 0.25;
-    terms.warmsOver = 10s;
-    Cores cold(terms);
+    config.coldSpeedFraction = 0.25;
+    config.warmUpTime = 10s;
+    Cores cold(config);
     cold.start(0s);
     cold.add(1, 0.1, 0s);
     EXPECT_TRUE(cold.ended(300ms).empty());
@@ -156,66 +156,67 @@
     result.memoryKb = kb;
     return result;
 }
-std::uint64_t count(const InvariantChecker& checker, Rule rule) {
-    return checker.counts()[static_cast<std::size_t>(rule)];
+std::uint64_t count(const InvariantChecker& checker, Invariant invariant) {
+    return checker.counts()[static_cast<std::size_t>(invariant)];
 }
 
-TEST(InvariantCheckerTest, NoticeWhatRunsAgainOrIsBouncedAfterItRan) {
+TEST(InvariantCheckerTest, ReportsDuplicateRunsAndRejectionAfterRun) {
     InvariantChecker checker(twoRequestClasses(), 60s, 1e6, 4);
     checker.onAttemptSent(planned(0), "r1", "r1", 0);
-    checker.spawned(0, "r1", "r1", steadyNow());
+    checker.runStarted(0, "r1", "r1", steadyNow());
     checker.onAttemptSent(planned(0), "r2", "r1", 1);
-    checker.spawned(1, "r2", "r1", steadyNow());
-    EXPECT_EQ(count(checker, Rule::Twice), 0U) << "what is repeatable may run again";
+    checker.runStarted(1, "r2", "r1", steadyNow());
+    EXPECT_EQ(count(checker, Invariant::Duplicate), 0U) << "what is repeatable may run again";
     checker.onAttemptSent(planned(1), "w1", "w1", 0);
-    checker.spawned(0, "w1", "w1", steadyNow());
+    checker.runStarted(0, "w1", "w1", steadyNow());
     checker.onAttemptSent(planned(1), "w2", "w1", 1);
-    checker.spawned(1, "w2", "w1", steadyNow());
-    EXPECT_EQ(count(checker, Rule::Twice), 1U);
-    EXPECT_NE(checker.violations()[0].what.find("w2 ran again (first try w1), instance 1"),
+    checker.runStarted(1, "w2", "w1", steadyNow());
+    EXPECT_EQ(count(checker, Invariant::Duplicate), 1U);
+    EXPECT_NE(checker.violations()[0].description.find("w2 ran again (first try w1), instance 1"),
               std::string::npos);
     checker.onResponse("w2", ClientResponse::Kind::Busy);
-    EXPECT_EQ(count(checker, Rule::Twice), 2U);
+    EXPECT_EQ(count(checker, Invariant::Duplicate), 2U);
     checker.onAttemptSent(planned(0), "r3", "r3", 0);
     checker.onResponse("r3", ClientResponse::Kind::Answer);
-    EXPECT_EQ(count(checker, Rule::Lost), 1U) << "handled without a run";
+    EXPECT_EQ(count(checker, Invariant::Lost), 1U) << "handled without a run";
 }
 
-TEST(InvariantCheckerTest, NoticeCallsMadeAgainUnlessTheLastIsKnownNotToHaveRun) {
+TEST(InvariantCheckerTest, ReportsRepeatedCallsUnlessTheLastIsKnownNotToHaveRun) {
     InvariantChecker checker(twoRequestClasses(), 60s, 1e6, 4);
     checker.onAttemptSent(planned(1), "w1", "w1", 0);
-    checker.spawned(0, "w1", "w1", steadyNow());
-    checker.calling(0, "w1");
+    checker.runStarted(0, "w1", "w1", steadyNow());
+    checker.callStarted(0, "w1");
     checker.callEnded("w1", true);
-    checker.calling(0, "w1");
-    EXPECT_EQ(count(checker, Rule::Twice), 0U);
-    checker.calling(0, "w1");
-    EXPECT_EQ(count(checker, Rule::Twice), 1U);
+    checker.callStarted(0, "w1");
+    EXPECT_EQ(count(checker, Invariant::Duplicate), 0U);
+    checker.callStarted(0, "w1");
+    EXPECT_EQ(count(checker, Invariant::Duplicate), 1U);
 }
 
-TEST(InvariantCheckerTest, NoticeMemoryAndLateStartsAndForgetInTime) {
+TEST(InvariantCheckerTest, ReportsMemoryOverloadAndLateStartsAndRemovesExpiredAttempts) {
     InvariantChecker checker(twoRequestClasses(), 60s, 100, 4);
     checker.onAttemptSent(planned(0, 30), "a", "a", 0);
-    checker.spawned(0, "a", "a", steadyNow());
-    EXPECT_EQ(count(checker, Rule::FallOver), 1U) << "four times 30 of 100";
+    checker.runStarted(0, "a", "a", steadyNow());
+    EXPECT_EQ(count(checker, Invariant::Overload), 1U) << "four times 30 of 100";
     EXPECT_DOUBLE_EQ(checker.memoryKb(0), 120);
     checker.onAttemptReleased("a");
-    checker.finished("a");
+    checker.runEnded("a");
     EXPECT_DOUBLE_EQ(checker.memoryKb(0), 0);
-    checker.notice(0, steadyNow() - 1s, 100ms);
+    checker.drainStarted(0, steadyNow() - 1s, 100ms);
     checker.onAttemptSent(planned(0, 1), "late", "late", 0);
-    checker.spawned(0, "late", "late", steadyNow());
-    EXPECT_EQ(count(checker, Rule::Drain), 1U);
-    InvariantChecker brief(twoRequestClasses(), 0s, 1e6, 4);
-    for (int n = 0; n < 1000; ++n) brief.onAttemptSent(planned(0), std::to_string(n), std::to_string(n), 0);
-    EXPECT_LT(brief.entries(), 10U);
+    checker.runStarted(0, "late", "late", steadyNow());
+    EXPECT_EQ(count(checker, Invariant::Drain), 1U);
+    InvariantChecker expiring(twoRequestClasses(), 0s, 1e6, 4);
+    for (int n = 0; n < 1000; ++n)
+        expiring.onAttemptSent(planned(0), std::to_string(n), std::to_string(n), 0);
+    EXPECT_LT(expiring.attemptCount(), 10U);
 }
 
 // ---- services -------------------------------------------------------------------------------------------
 
 // A connection that keeps what it hears.
-struct Peer : net::ConnectionHandler {
-    Peer(net::Loop& loop, const net::Address& to)
+struct RecordingConnection : net::ConnectionHandler {
+    RecordingConnection(net::Loop& loop, const net::Address& to)
         : connection(
               std::make_unique<net::Connection>(loop, to, *this, net::BufferLimits{1 << 20, 1 << 20})) {}
     void arrived(net::Connection& from) override {
@@ -223,11 +224,11 @@
         text += from.input().peek(from.input().size(), scratch);
         from.input().drop(from.input().size());
     }
-    void ended(net::Connection&, net::ConnectionEnd) override { gone = true, connection.reset(); }
-    bool clientResponse(const std::string& what) const { return text.find(what) != text.npos; }
+    void ended(net::Connection&, net::ConnectionEnd) override { closed = true, connection.reset(); }
+    bool hasReceived(const std::string& what) const { return text.find(what) != text.npos; }
     std::unique_ptr<net::Connection> connection;
     std::string text;
-    bool gone = false;
+    bool closed = false;
 };
 
 std::string spawnLine(int job, int micros, int calls) {
@@ -237,7 +238,7 @@
         "cw1 " + name + " " + std::to_string(micros) + " " + std::to_string(calls) + " 1000 0;");
 }
 
-struct Place {
+struct EmulationFixture {
     net::Loop loop;
     InvariantChecker checker{twoRequestClasses(), 60s, 1e6, 4};
     net::Address at{"127.0.0." + std::to_string(2 + getpid() % 250), 0};
@@ -249,39 +250,39 @@
         .port();
 }
 
-TEST(EmulatedPool, RunsBlocksAndSaysAgainWhatALostLinkMissed) {
-    Place place;
-    place.at.port = freePort(place.loop, place.at.host);
-    PoolTerms terms;
-    terms.twiceEvery = 2;
-    WorkerPool pool(place.loop, 0, place.at, terms, place.checker);
-    auto link = std::make_unique<Peer>(place.loop, place.at);
-    link->connection->send(worker_pool::bindLine(0) + spawnLine(1, 2000, 1) + spawnLine(2, 1000, 0));
-    runUntil(place.loop, [&] { return link->clientResponse("blocked") && link->clientResponse("finished"); });
-    EXPECT_TRUE(link->clientResponse("\"bound\""));
-    link.reset();
-    link = std::make_unique<Peer>(place.loop, place.at);
-    link->connection->send(worker_pool::bindLine(0));
-    runUntil(place.loop, [&] { return link->clientResponse("blocked") && link->clientResponse("finished"); });
-    link->connection->send(worker_pool::supplyLine("0000000000000001", "reply"));
-    runUntil(place.loop, [&] { return link->clientResponse("\"n\":3"); });
-    EXPECT_EQ(pool.inHand(), 0U);
-    link->connection->send("this is no command\n");
-    runUntil(place.loop, [&] { return link->gone; });
+TEST(EmulatedWorkerPool, RunsBlocksAndResendsNoticesAfterAConnectionLoss) {
+    EmulationFixture fixture;
+    fixture.at.port = freePort(fixture.loop, fixture.at.host);
+    WorkerPoolConfig config;
+    config.duplicateEvery = 2;
+    WorkerPool pool(fixture.loop, 0, fixture.at, config, fixture.checker);
+    auto client = std::make_unique<RecordingConnection>(fixture.loop, fixture.at);
+    client->connection->send(worker_pool::bindLine(0) + spawnLine(1, 2000, 1) + spawnLine(2, 1000, 0));
+    runUntil(fixture.loop, [&] { return client->hasReceived("blocked") && client->hasReceived("finished"); });
+    EXPECT_TRUE(client->hasReceived("\"bound\""));
+    client.reset();
+    client = std::make_unique<RecordingConnection>(fixture.loop, fixture.at);
+    client->connection->send(worker_pool::bindLine(0));
+    runUntil(fixture.loop, [&] { return client->hasReceived("blocked") && client->hasReceived("finished"); });
+    client->connection->send(worker_pool::supplyLine("0000000000000001", "reply"));
+    runUntil(fixture.loop, [&] { return client->hasReceived("\"n\":3"); });
+    EXPECT_EQ(pool.unfinishedRuns(), 0U);
+    client->connection->send("this is no command\n");
+    runUntil(fixture.loop, [&] { return client->closed; });
 }
 
-TEST(EmulatedPool, ACrowdPastWhatItBearsIsAFallOver) {
-    Place place;
-    place.at.port = freePort(place.loop, place.at.host);
-    PoolTerms terms;
-    terms.cores.cores = 1;
-    terms.fallMultiple = 3;
-    terms.fallOver = 100ms;
-    WorkerPool pool(place.loop, 0, place.at, terms, place.checker);
-    Peer link(place.loop, place.at);
-    link.connection->send(worker_pool::bindLine(0));
-    for (int job = 1; job < 8; ++job) link.connection->send(spawnLine(job, 50000000, 0));
-    runUntil(place.loop, [&] { return count(place.checker, Rule::FallOver) > 0; });
+TEST(EmulatedWorkerPool, ConcurrencyAboveTheLimitIsReportedAsOverload) {
+    EmulationFixture fixture;
+    fixture.at.port = freePort(fixture.loop, fixture.at.host);
+    WorkerPoolConfig config;
+    config.cores.cores = 1;
+    config.overloadFactor = 3;
+    config.overloadWindow = 100ms;
+    WorkerPool pool(fixture.loop, 0, fixture.at, config, fixture.checker);
+    RecordingConnection client(fixture.loop, fixture.at);
+    client.connection->send(worker_pool::bindLine(0));
+    for (int job = 1; job < 8; ++job) client.connection->send(spawnLine(job, 50000000, 0));
+    runUntil(fixture.loop, [&] { return count(fixture.checker, Invariant::Overload) > 0; });
 }
 
 std::string callText(const std::string& of, int micros) {
@@ -290,46 +291,47 @@
            "\r\nOp-Wait-Ms: 500\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-TEST(EmulatedRecords, AnswerTurnAwayHangAndGoDownAsTold) {
-    Place place;
-    place.at.port = freePort(place.loop, place.at.host);
-    RecordsTerms terms;
-    terms.slots = 1;
-    terms.line = 1;
-    RecordsService records(place.loop, {place.at}, terms, place.checker);
-    Peer first(place.loop, place.at), second(place.loop, place.at), third(place.loop, place.at);
+TEST(EmulatedDependency, AnswersRejectsHangsAndGoesDownAsConfigured) {
+    EmulationFixture fixture;
+    fixture.at.port = freePort(fixture.loop, fixture.at.host);
+    DependencyConfig config;
+    config.slots = 1;
+    config.queueCapacity = 1;
+    DependencyService records(fixture.loop, {fixture.at}, config, fixture.checker);
+    RecordingConnection first(fixture.loop, fixture.at), second(fixture.loop, fixture.at),
+        third(fixture.loop, fixture.at);
     first.connection->send(callText("0000000000000001", 100000));
-    runUntil(place.loop, [&] { return records.inHands() == 1; });
+    runUntil(fixture.loop, [&] { return records.callsInFlight() == 1; });
     second.connection->send(callText("0000000000000002", 1000));
-    runUntil(place.loop, [&] { return records.inHands() == 2; });
+    runUntil(fixture.loop, [&] { return records.callsInFlight() == 2; });
     third.connection->send(callText("0000000000000003", 1000));
-    runUntil(place.loop, [&] { return third.clientResponse("503"); });
-    EXPECT_TRUE(third.clientResponse("Op-Not-Begun: 1"));
-    runUntil(place.loop,
-             [&] { return first.clientResponse("200") && second.clientResponse("re 0000000000000002"); });
-    records.spoil(1);
+    runUntil(fixture.loop, [&] { return third.hasReceived("503"); });
+    EXPECT_TRUE(third.hasReceived("Op-Not-Begun: 1"));
+    runUntil(fixture.loop,
+             [&] { return first.hasReceived("200") && second.hasReceived("re 0000000000000002"); });
+    records.setMalformedFraction(1);
     third.connection->send(callText("0000000000000003", 1000));
-    runUntil(place.loop, [&] { return third.clientResponse("2oo WHAT"); });
-    records.spoil(0);
-    records.hang(1);
+    runUntil(fixture.loop, [&] { return third.hasReceived("2oo WHAT"); });
+    records.setMalformedFraction(0);
+    records.setHangFraction(1);
     first.connection->send(callText("0000000000000004", 1000));
-    runUntil(place.loop, [&] { return records.inHands() == 1; });
+    runUntil(fixture.loop, [&] { return records.callsInFlight() == 1; });
     first.connection.reset();  // given up: in its hands for a while yet, then gone
-    runUntil(place.loop, [&] { return records.inHands() == 0; });
-    records.down(true);
-    runUntil(place.loop, [&] { return second.gone; });
-    Peer refused(place.loop, place.at);
-    runUntil(place.loop, [&] { return refused.gone; });
-    records.hang(0);
-    records.down(false);
-    Peer again(place.loop, place.at);
-    again.connection->send(callText("0000000000000005", 1000));
-    runUntil(place.loop, [&] { return again.clientResponse("200"); });
+    runUntil(fixture.loop, [&] { return records.callsInFlight() == 0; });
+    records.setDown(true);
+    runUntil(fixture.loop, [&] { return second.closed; });
+    RecordingConnection rejected(fixture.loop, fixture.at);
+    runUntil(fixture.loop, [&] { return rejected.closed; });
+    records.setHangFraction(0);
+    records.setDown(false);
+    RecordingConnection reconnected(fixture.loop, fixture.at);
+    reconnected.connection->send(callText("0000000000000005", 1000));
+    runUntil(fixture.loop, [&] { return reconnected.hasReceived("200"); });
 }
 
 // ---- a morning ------------------------------------------------------------------------------------------
 
-TEST(Ratios, TellChanceFromADifference) {
+TEST(PairedRatio, SeparatesADifferenceFromChance) {
     const PairedRatio same = compareInPairs({0.50, 0.61, 0.55}, {0.52, 0.60, 0.54});
     EXPECT_FALSE(same.significant);
     EXPECT_NEAR(same.mean, 1, 0.02);
@@ -340,7 +342,7 @@
     EXPECT_TRUE(std::isinf(compareInPairs({1}, {2}).high));
 }
 
-constexpr const char* kMorning = R"(
+constexpr const char* kShortExperiment = R"(
 experiment "short" {
     about "A short morning <with> troubles & all"
     backends 2 stop=1500ms grace=300ms
@@ -372,10 +374,10 @@
     return path;
 }
 
-TEST(AMorning, BreaksNoRuleWhateverGoesWrongAroundIt) {
-    const auto terms = readExperimentConfig(experimentFile(kMorning));
+TEST(ShortExperiment, ViolatesNoInvariantUnderFaults) {
+    const auto config = readExperimentConfig(experimentFile(kShortExperiment));
     const std::string folder = ::testing::TempDir() + "cottonwing-experiment-" + std::to_string(getpid());
-    Experiment experiment(*terms, COTTONWING, folder);
+    Experiment experiment(*config, COTTONWING, folder);
     const ExperimentResult result = experiment.run();
     EXPECT_EQ(result.violations, 0U) << result.metrics["broken"].dump(1) << result.metrics["notes"].dump(1);
     const auto& load = result.metrics["load"];
@@ -401,11 +403,11 @@
     std::filesystem::remove_all(folder);
 }
 
-TEST(AMorning, ABackendThatDoesNotStartIsNamed) {
-    const auto terms = readExperimentConfig(experimentFile(kMorning));
+TEST(ShortExperiment, BackendThatDoesNotStartIsNamed) {
+    const auto config = readExperimentConfig(experimentFile(kShortExperiment));
     const std::string folder = ::testing::TempDir() + "cottonwing-experiment-" + std::to_string(getpid());
-    EXPECT_THROW(Experiment(*terms, "/no/such/program", folder), std::runtime_error);
-    Experiment experiment(*terms, "/bin/true", folder);
+    EXPECT_THROW(Experiment(*config, "/no/such/program", folder), std::runtime_error);
+    Experiment experiment(*config, "/bin/true", folder);
     try {
         experiment.run();
         FAIL();
@@ -415,24 +417,24 @@
     std::filesystem::remove_all(folder);
 }
 
-TEST(AMorning, MistakesInItsFileAreNamed) {
-    const auto problemOf = [](const std::string& text) {
+TEST(ShortExperiment, ConfigurationErrorsAreReported) {
+    const auto errorOf = [](const std::string& text) {
         try {
             readExperimentConfig(experimentFile(text));
-        } catch (const kdl::DocumentError& problem) {
-            return std::string(problem.what());
+        } catch (const kdl::DocumentError& error) {
+            return std::string(error.what());
         }
         return std::string("none");
     };
     const std::string load = "load { rate { steady 1/s }; profile a }\n";
-    EXPECT_NE(problemOf(load).find("no 'experiment' was found"), std::string::npos);
-    EXPECT_NE(problemOf("experiment \"a b\"\n" + load).find("letters, digits, - and _"), std::string::npos);
-    EXPECT_NE(problemOf("experiment a { trouble \"flood\" at=1s }\n" + load)
+    EXPECT_NE(errorOf(load).find("no 'experiment' was found"), std::string::npos);
+    EXPECT_NE(errorOf("experiment \"a b\"\n" + load).find("letters, digits, - and _"), std::string::npos);
+    EXPECT_NE(errorOf("experiment a { trouble \"flood\" at=1s }\n" + load)
                   .find(":1:24: 'flood' was found, one of records, pool"),
               std::string::npos);
-    EXPECT_NE(problemOf("experiment a { trouble \"crash\" }\n" + load).find("'at=10s' was expected"),
+    EXPECT_NE(errorOf("experiment a { trouble \"crash\" }\n" + load).find("'at=10s' was expected"),
               std::string::npos);
-    EXPECT_NE(problemOf("experiment a { backends 2; trouble \"stall\" at=1s on=3 }\n" + load)
+    EXPECT_NE(errorOf("experiment a { backends 2; trouble \"stall\" at=1s on=3 }\n" + load)
                   .find("a whole number from 1 to 2"),
               std::string::npos);
 }
--- a/tests/loadtest/load_run_test.cpp
+++ b/tests/loadtest/load_run_test.cpp
@@ -273,18 +273,18 @@
 // An answering server on a thread of its own, as another process would be.
 class ThriftServerThread {
 public:
-    explicit ThriftServerThread(const AnsweringTerms& config) {
+    explicit ThriftServerThread(const EmulatedThriftServerConfig& config) {
         std::promise<net::Address> bound;
         auto address = bound.get_future();
         thread_ = std::thread([this, config, &bound] {
             net::Loop loop;
-            Answering answering(loop, {"127.0.0.1", 0}, config);
+            EmulatedThriftServer answering(loop, {"127.0.0.1", 0}, config);
             CrossThreadWakeup bell(loop, [&] { loop.stop(); });
             bell_ = &bell;
             bound.set_value(answering.address());
             loop.run();
-            book = answering.book();
-            cancelMessages = answering.forgets();
+            book = answering.requestTimes();
+            cancelMessages = answering.cancels();
         });
         at = address.get();
     }
@@ -296,7 +296,7 @@
     }
     std::string to() const { return "to \"" + at.host + ":" + std::to_string(at.port) + "\""; }
     net::Address at;
-    std::unordered_map<std::string, Answering::Entry> book;  // once it has stopped
+    std::unordered_map<std::string, EmulatedThriftServer::RequestTimes> book;  // once it has stopped
     std::uint64_t cancelMessages = 0;
 
 private:
@@ -357,11 +357,11 @@
 // the percent, and never less than by the stand-in's own times of sending them. (How long an answer lies
 // unread is up to the machine.) A closed loop sends little meanwhile, and hides the stall.
 TEST(OnSockets, AStallOfTwoSecondsIsToldInFull) {
-    AnsweringTerms stalls;
-    stalls.takes = 100ms;
-    stalls.stallAt = 800ms;
-    stalls.stallFor = 2s;
-    stalls.keepsBook = true;
+    EmulatedThriftServerConfig stalls;
+    stalls.responseDelay = 100ms;
+    stalls.stallStart = 800ms;
+    stalls.stallDuration = 2s;
+    stalls.recordsTimes = true;
     const std::string inside =
         "seed 3; workers 2; length 4s; arrivals even; rate { steady 250/s }\n"
         "profile a { promised 1s; hard-stop 8s }\n";
@@ -401,9 +401,9 @@
 }
 
 TEST(OnSockets, ADeafServerGetsNoAnswersCounted) {
-    AnsweringTerms deaf;
-    deaf.deaf = true;
-    ThriftServerThread server(deaf);
+    EmulatedThriftServerConfig serverConfig;
+    serverConfig.neverReads = true;
+    ThriftServerThread server(serverConfig);
     const auto config = loadConfig(
         "length 500ms; rate { steady 400/s }; profile a { promised 100ms; hard-stop 300ms; body 2KiB }\n"
         "callers 2 { " +
@@ -418,7 +418,7 @@
 }
 
 TEST(OnSockets, WhoGivesUpSaysSo) {
-    AnsweringTerms silent;
+    EmulatedThriftServerConfig silent;
     silent.silent = true;
     ThriftServerThread server(silent);
     const auto config = loadConfig(
@@ -435,7 +435,7 @@
 }
 
 TEST(OnSockets, ResetsInMidAnswerAreConnectionsLostAndRepeatsStayBounded) {
-    AnsweringTerms breaks;
+    EmulatedThriftServerConfig breaks;
     breaks.resetEvery = 5;
     ThriftServerThread server(breaks);
     const auto config = loadConfig(
@@ -453,10 +453,10 @@
 }
 
 TEST(OnSockets, AnswersTwiceToNothingOrOfNoRunAreBrokenRules) {
-    AnsweringTerms rude;
-    rude.twiceEvery = 10;
-    rude.toNothingEvery = 15;
-    rude.wrongEvery = 20;
+    EmulatedThriftServerConfig rude;
+    rude.duplicateEvery = 10;
+    rude.unknownSequenceEvery = 15;
+    rude.wrongResultEvery = 20;
     ThriftServerThread server(rude);
     const auto config = loadConfig(
         "length 500ms; rate { steady 400/s }; profile a { promised 500ms; hard-stop 1s }\n"
@@ -475,7 +475,7 @@
 }
 
 TEST(OnSockets, RejectedRequestsAreRetriedAfterTheirRetryAfter) {
-    AnsweringTerms busy;
+    EmulatedThriftServerConfig busy;
     busy.busyEvery = 20;
     busy.goawayEvery = 50;
     ThriftServerThread server(busy);
@@ -493,7 +493,7 @@
 }
 
 TEST(OnSockets, AClockThatStepsBackMovesNoFigure) {
-    ThriftServerThread server(AnsweringTerms{});
+    ThriftServerThread server(EmulatedThriftServerConfig{});
     auto config = loadConfig(
         "length 600ms; rate { steady 300/s }; profile a { promised 400ms; hard-stop 1s }\n"
         "callers 1 { " +
@@ -518,7 +518,7 @@
 };
 
 TEST(OnSockets, AStarvedGeneratorSaysThatItsRunIsInvalid) {
-    ThriftServerThread server(AnsweringTerms{});
+    ThriftServerThread server(EmulatedThriftServerConfig{});
     const auto config = loadConfig(
         "length 600ms; rate { steady 300/s }; profile a { promised 400ms; hard-stop 1s }\n"
         "callers 1 { " +
@@ -576,7 +576,7 @@
 TEST(OnSockets, WhatIsSentDoesNotTurnOnTheNumberOfWorkers) {
     std::vector<std::uint64_t> sums;
     for (const char* workers : {"1", "3"}) {
-        ThriftServerThread server(AnsweringTerms{});
+        ThriftServerThread server(EmulatedThriftServerConfig{});
         const auto config = loadConfig(
             "length 300ms; rate { steady 500/s }; profile a { promised 400ms; hard-stop 1s }; workers " +
                 std::string(workers) + "\ncallers 5 { " + server.to() + " }",
@@ -592,7 +592,7 @@
 }
 
 TEST(OnSockets, StoppedInMidRunItTellsWhatItMeasured) {
-    ThriftServerThread server(AnsweringTerms{});
+    ThriftServerThread server(EmulatedThriftServerConfig{});
     const auto config = loadConfig(
         "length 60s; rate { steady 200/s }; profile a { promised 400ms; hard-stop 1s }\n"
         "callers 2 { " +
@@ -632,7 +632,7 @@
 }
 
 TEST(LabProgram, AFullDiskCostsTheFileAndNotTheFigures) {
-    ThriftServerThread server(AnsweringTerms{});
+    ThriftServerThread server(EmulatedThriftServerConfig{});
     const std::string path = writeLoadFile(
         "length 200ms; rate { steady 100/s }; profile a { promised 400ms; hard-stop 1s }\n"
         "send-within 10s; callers 1 { " +
@@ -646,7 +646,7 @@
 }
 
 TEST(LabProgram, InterruptedItPrintsWhatItHas) {
-    ThriftServerThread server(AnsweringTerms{});
+    ThriftServerThread server(EmulatedThriftServerConfig{});
     const std::string path = writeLoadFile(
         "length 60s; rate { steady 100/s }; profile a { promised 400ms; hard-stop 1s }\n"
         "send-within 10s; callers 1 { " +
--- a/tests/scgi/scgi_test.cpp
+++ b/tests/scgi/scgi_test.cpp
@@ -22,8 +22,8 @@
 
 using namespace std::chrono_literals;
 using cottonwing::testing::runUntil;
+using loadtest::EmulatedScgiServer;
 using loadtest::ScgiFault;
-using loadtest::ScgiServer;
 
 int intUpTo(int max) { return *rc::gen::resize(1000, rc::gen::inRange(0, max + 1)); }
 
@@ -221,12 +221,13 @@
 
 class GatewayFixture {
 public:
-    explicit GatewayFixture(const std::vector<loadtest::ScgiServerTerms>& serverConfigs,
+    explicit GatewayFixture(const std::vector<loadtest::EmulatedScgiServerConfig>& serverConfigs,
                             const std::string& scgiProperties = "", const std::string& groupNodes = "")
         : log(logLines, telemetry::Level::Debug) {
         loop.onUncaughtException([](const std::string& what) { ADD_FAILURE() << what; });
         for (const auto& config : serverConfigs)
-            servers.push_back(std::make_unique<ScgiServer>(loop, net::Address{"127.0.0.1", 0}, config));
+            servers.push_back(
+                std::make_unique<EmulatedScgiServer>(loop, net::Address{"127.0.0.1", 0}, config));
         path = ::testing::TempDir() + "cottonwing-serve-" + std::to_string(getpid()) + ".kdl";
         writeFile(scgiProperties, groupNodes);
         gateway = std::make_unique<serve::Gateway>(loop, serve::readGatewayConfig(path), log, counters);
@@ -263,13 +264,13 @@
     std::ostringstream logLines;
     telemetry::Log log;
     telemetry::Counters counters;
-    std::vector<std::unique_ptr<ScgiServer>> servers;
+    std::vector<std::unique_ptr<EmulatedScgiServer>> servers;
     std::string path;
     std::unique_ptr<serve::Gateway> gateway;
 };
 
 TEST(Gateway, ForwardsRequestReplyAndDeadlineUnchanged) {
-    GatewayFixture fixture({loadtest::ScgiServerTerms{}});
+    GatewayFixture fixture({loadtest::EmulatedScgiServerConfig{}});
     const auto client = fixture.newClient();
     client->sendRequest(
         "/list/supreme?day=2", "GET",
@@ -288,7 +289,7 @@
 }
 
 TEST(Gateway, ThriftAndScgiShareOneRequestManager) {
-    GatewayFixture fixture({loadtest::ScgiServerTerms{}});
+    GatewayFixture fixture({loadtest::EmulatedScgiServerConfig{}});
     testing::ThriftTestClient thriftClient(fixture.loop, fixture.gateway->thriftServer()->port());
     const auto sequence = thriftClient.sendRequest(7, "plain bytes", "cause-list", 1500);
     runUntil(fixture.loop, [&] { return thriftClient.answers.contains(sequence); });
@@ -301,7 +302,7 @@
 
 // Guards against a reset of a connection that is still in the listen backlog when the listener closes.
 TEST(Gateway, AnScgiConnectionThatWaitsAtTheListenerIsAnsweredAtTheDrain) {
-    GatewayFixture fixture({loadtest::ScgiServerTerms{}});
+    GatewayFixture fixture({loadtest::EmulatedScgiServerConfig{}});
     const Duration from = net::unixNow();
     fixture.gateway->beginShutdown();
     while (net::unixNow() < from + 296ms) fixture.loop.runWithoutWaiting();
@@ -317,7 +318,7 @@
 
 // Guards against a request that is read in the last turn of the loop and never answered.
 TEST(Gateway, AThriftRequestReadInTheLastTurnIsAnswered) {
-    GatewayFixture fixture({loadtest::ScgiServerTerms{}});
+    GatewayFixture fixture({loadtest::EmulatedScgiServerConfig{}});
     testing::RawClient client(fixture.gateway->thriftServer()->port());
     client.send(testing::frames::isWell(1, false));
     runUntil(fixture.loop, [&] { return client.receive() > 0; });
@@ -339,8 +340,9 @@
 // A server fault costs only the attempt it hits: idempotent requests are retried on another server and
 // succeed, once-only requests fail and never run twice.
 TEST(Gateway, ServerFaultCostsOneAttemptAndOnceOnlyNeverRunsTwice) {
-    for (const ScgiFault fault : {ScgiFault::Half, ScgiFault::Twice, ScgiFault::BadStatus, ScgiFault::TooMuch,
-                                  ScgiFault::Breaks, ScgiFault::FailsFast}) {
+    for (const ScgiFault fault :
+         {ScgiFault::TruncatedResponse, ScgiFault::DuplicateResponse, ScgiFault::MalformedStatus,
+          ScgiFault::ExcessBody, ScgiFault::CloseAfterRequest, ScgiFault::FailFast}) {
         GatewayFixture fixture({{0ns, 1000, fault}, {}});
         for (int n = 0; n < 6; ++n)
             EXPECT_EQ(fixture.exchange("/board/3").substr(0, 11), "Status: 200") << static_cast<int>(fault);
@@ -360,7 +362,7 @@
 // A failure reply of a server is forwarded when the request is not retried. Guards against reading the reply
 // after the record of the run was erased.
 TEST(Gateway, FailureReplyOfServerIsForwardedUnchanged) {
-    GatewayFixture fixture({{0ns, 1000, ScgiFault::FailsFast}});
+    GatewayFixture fixture({{0ns, 1000, ScgiFault::FailFast}});
     for (int n = 0; n < 3; ++n)
         EXPECT_EQ(fixture.exchange("/filing/1", "POST", "once"), scgi::writeReply(503, {}, "not now"));
     fixture.expectEveryRequestEnded();
@@ -381,13 +383,13 @@
     client->sendRequest("/board/1");
     runUntil(fixture.loop, [&] { return fixture.servers[0]->requests() == 1; });
     client.reset();
-    runUntil(fixture.loop, [&] { return fixture.servers[0]->left() == 1; });
+    runUntil(fixture.loop, [&] { return fixture.servers[0]->abandonedRequests() == 1; });
     EXPECT_EQ(fixture.gateway->upstreamGroups().inFlight(), 0U);
     fixture.expectEveryRequestEnded();
 }
 
 TEST(Gateway, RejectsAtOnceWithRetryAfterWhenAllServersAreDown) {
-    GatewayFixture fixture({loadtest::ScgiServerTerms{}});
+    GatewayFixture fixture({loadtest::EmulatedScgiServerConfig{}});
     const std::string before = fixture.exchange("/board/1");
     EXPECT_EQ(before.substr(0, 11), "Status: 200");
     fixture.servers.clear();
@@ -400,7 +402,7 @@
 }
 
 TEST(Gateway, MalformedRequestAffectsOnlyItsOwnConnection) {
-    GatewayFixture fixture({loadtest::ScgiServerTerms{}},
+    GatewayFixture fixture({loadtest::EmulatedScgiServerConfig{}},
                            "head-at-most=1KiB body-at-most=1KiB "
                            "head-within=200ms body-within=200ms");
     const auto statusFor = [&](const std::string& bytes) {
@@ -422,7 +424,7 @@
 // Bodies that arrive during the shutdown. One that is complete within the grace period runs; one that is
 // complete later is rejected and never runs; one that stays incomplete is rejected before the process stops.
 TEST(Gateway, BodiesArrivingDuringShutdownAreAnswered) {
-    GatewayFixture fixture({loadtest::ScgiServerTerms{}});
+    GatewayFixture fixture({loadtest::EmulatedScgiServerConfig{}});
     const std::string bytes =
         scgi::writeRequest({{"REQUEST_METHOD", "POST"}, {"REQUEST_URI", "/filing/1"}}, "abcdef");
     auto early = fixture.newClient(), late = fixture.newClient(), never = fixture.newClient();
@@ -451,8 +453,8 @@
     client->sendRequest("/board/1");
     runUntil(fixture.loop, [&] { return fixture.servers[0]->requests() == 1; });
     auto old = std::move(fixture.servers[0]);
-    fixture.servers[0] =
-        std::make_unique<ScgiServer>(fixture.loop, net::Address{"127.0.0.1", 0}, loadtest::ScgiServerTerms{});
+    fixture.servers[0] = std::make_unique<EmulatedScgiServer>(fixture.loop, net::Address{"127.0.0.1", 0},
+                                                              loadtest::EmulatedScgiServerConfig{});
     fixture.writeFile("", "");
     fixture.gateway->reload(fixture.path);
     runUntil(fixture.loop, [&] { return client->closed; });
@@ -467,11 +469,11 @@
 }
 
 TEST(Gateway, OutlierIsEjectedAndReturns) {
-    GatewayFixture fixture({{0ns, 1000, ScgiFault::Breaks}, {}, {}}, "",
+    GatewayFixture fixture({{0ns, 1000, ScgiFault::CloseAfterRequest}, {}, {}}, "",
                            "leave-out for=100ms\nchoose round-robin");
     for (int n = 0; n < 40; ++n) fixture.exchange("/board/" + std::to_string(n));
     EXPECT_NE(fixture.logLines.str().find("ejected, 1 of 3 ejected"), std::string::npos);
-    fixture.servers[0]->set({});
+    fixture.servers[0]->setConfig({});
     runUntil(fixture.loop, [&] {
         fixture.exchange("/board/1");
         return fixture.gateway->upstreamGroups().ejectedCount(0) == 0;
--- a/tests/soak/worker_pool_process.cpp
+++ b/tests/soak/worker_pool_process.cpp
@@ -20,8 +20,8 @@
 constexpr Duration kPieceDelay = 3ms;
 constexpr int kSplitOneIn = 6, kRepeatOneIn = 12;  // of the notices
 
-loadtest::CoreTerms coreTerms(const WorkerPoolSettings& settings) {
-    loadtest::CoreTerms terms;
+loadtest::CoresConfig coreTerms(const WorkerPoolSettings& settings) {
+    loadtest::CoresConfig terms;
     terms.cores = settings.cores;
     return terms;
 }
@@ -113,7 +113,7 @@
     if (type == "poll")
         return send(Json{{"type", "polled"},
                          {"ref", message["ref"]},
-                         {"gauges", {cores_.busy(), cores_.running(), 0.3, 5}}}
+                         {"gauges", {cores_.utilisation(), cores_.running(), 0.3, 5}}}
                         .dump() +
                     "\n");
     if (type == "verify")
--- a/tests/support/processor_sharing_reference.h
+++ b/tests/support/processor_sharing_reference.h
@@ -16,12 +16,12 @@
 /// seconds, as `double` nanoseconds would not add up to the last digit.
 class ProcessorSharingReference {
 public:
-    explicit ProcessorSharingReference(const loadtest::CoreTerms& terms) : terms_(terms) {}
+    explicit ProcessorSharingReference(const loadtest::CoresConfig& config) : config_(config) {}
 
-    void add(std::uint64_t id, double work) { left_[id] = work; }
-    void remove(std::uint64_t id) { left_.erase(id); }
+    void add(std::uint64_t id, double work) { remainingWork_[id] = work; }
+    void remove(std::uint64_t id) { remainingWork_.erase(id); }
     /// @param factor above 1: all work takes this many times as long; 0: it stands still.
-    void setSlow(double factor) { slow_ = factor; }
+    void setSlowdown(double factor) { slowdown_ = factor; }
 
     /// Passes the time until then; each end on the way is noted with its moment.
     void advanceTo(long double then) {
@@ -35,49 +35,50 @@
     }
     /// @return when the next run ends, in seconds; nothing while none progresses.
     std::optional<long double> nextEnd() const {
-        if (left_.empty() || rate() <= 0) return std::nullopt;
-        const auto least = std::min_element(left_.begin(), left_.end(),
-                                            [](auto& a, auto& b) { return a.second < b.second; });
-        return now_ + least->second / rate();
+        if (remainingWork_.empty() || rate() <= 0) return std::nullopt;
+        const auto smallest = std::min_element(remainingWork_.begin(), remainingWork_.end(),
+                                               [](auto& a, auto& b) { return a.second < b.second; });
+        return now_ + smallest->second / rate();
     }
 
-    const std::map<std::uint64_t, long double>& left() const { return left_; }
+    const std::map<std::uint64_t, long double>& remainingWork() const { return remainingWork_; }
     const std::map<std::uint64_t, long double>& ends() const { return ends_; }
 
 private:
     static constexpr long double kNoWork = 1e-12L;  // seconds; what rounding may leave of a run at its end
 
     long double rate() const {
-        if (slow_ <= 0) return 0;
-        const long double runs = left_.size(), cores = terms_.cores, runsPerCore = runs / cores;
+        if (slowdown_ <= 0) return 0;
+        const long double runs = remainingWork_.size(), cores = config_.cores, runsPerCore = runs / cores;
         long double efficiency = 1;
-        if (runsPerCore > terms_.thrashAt)
-            efficiency = std::max<long double>(
-                terms_.thrashTo,
-                1 - (1 - terms_.thrashTo) * (runsPerCore - terms_.thrashAt) / terms_.thrashAt);
-        return efficiency * std::min(1.0L, cores / runs) / slow_;
+        if (runsPerCore > config_.thrashingThreshold)
+            efficiency = std::max<long double>(config_.minEfficiency,
+                                               1 - (1 - config_.minEfficiency) *
+                                                       (runsPerCore - config_.thrashingThreshold) /
+                                                       config_.thrashingThreshold);
+        return efficiency * std::min(1.0L, cores / runs) / slowdown_;
     }
     void passTime(long double elapsed) {
-        const long double work = left_.empty() ? 0 : rate() * elapsed;
-        for (auto& [id, left] : left_) left -= work;
+        const long double work = remainingWork_.empty() ? 0 : rate() * elapsed;
+        for (auto& [id, remaining] : remainingWork_) remaining -= work;
         now_ += elapsed;
     }
     void endRunsWithoutWork() {
-        for (auto at = left_.begin(); at != left_.end();) {
+        for (auto at = remainingWork_.begin(); at != remainingWork_.end();) {
             if (at->second > kNoWork) {
                 ++at;
                 continue;
             }
             ends_[at->first] = now_;
-            at = left_.erase(at);
+            at = remainingWork_.erase(at);
         }
     }
 
-    const loadtest::CoreTerms terms_;
+    const loadtest::CoresConfig config_;
     long double now_ = 0;
-    long double slow_ = 1;
-    std::map<std::uint64_t, long double> left_;  // seconds of work by run
-    std::map<std::uint64_t, long double> ends_;  // by run, in seconds
+    long double slowdown_ = 1;
+    std::map<std::uint64_t, long double> remainingWork_;  // seconds of work by run
+    std::map<std::uint64_t, long double> ends_;           // by run, in seconds
 };
 
 }  // namespace cottonwing::testing
