--- a/tests/loadtest/load_run_test.cpp
+++ b/tests/loadtest/load_run_test.cpp
@@ -23,7 +23,7 @@
 
 using namespace std::chrono_literals;
 
-int upTo(int most) { return *rc::gen::resize(1000, rc::gen::inRange(0, most + 1)); }
+int upTo(int maximum) { return *rc::gen::resize(1000, rc::gen::inRange(0, maximum + 1)); }
 
 std::unique_ptr<LoadConfig> loadConfig(const std::string& inside, bool targets = false) {
     return readLoadConfig(kdl::parse("load {\n" + inside + "\n}", "t.kdl"), "t.kdl", targets);
@@ -46,7 +46,7 @@
 
 // ---- what is drawn --------------------------------------------------------------------------------------
 
-TEST(Shapes, EvenArrivalsKeepTheRateTheyWereGiven) {
+TEST(LoadCurve, EvenArrivalsFollowTheRate) {
     const auto count = [](const std::string& rate, const char* length) {
         const auto config = loadConfig(std::string(kRequestClass) + "arrivals even; length " + length +
                                        "; rate {" + rate + "}");
@@ -60,7 +60,7 @@
     EXPECT_NEAR(count("climb from=100/s to=300/s over=10s", "10s"), 2000, 3);
 }
 
-TEST(Shapes, BurstsAndPoissonAreTheSameForTheSameSeed) {
+TEST(LoadCurve, BurstsAndPoissonArrivalsDependOnlyOnTheSeed) {
     const std::string inside = std::string(kRequestClass) +
                                "length 20s; rate { bursts on=400/s off=20/s stay-on=1s stay-off=2s }; seed ";
     const auto first = allRequests(loadConfig(inside + "5")->schedule);
@@ -76,23 +76,23 @@
     EXPECT_GT((square - mean * mean) / mean, 5) << "a Poisson stream has 1";
 }
 
-TEST(Draws, ZipfGivesEachRankItsShare) {
+TEST(RandomDistributions, ZipfDrawsEachRankWithItsProbability) {
     for (const double exponent : {0.0, 0.7, 1.0, 1.6}) {
         const Zipf zipf(1000, exponent);
         RandomGenerator random = makeRandomGenerator(7, RandomStream::Subjects);
-        std::map<std::uint64_t, int> seen;
-        for (int n = 0; n < 100000; ++n) ++seen[zipf.draw(random)];
+        std::map<std::uint64_t, int> counts;
+        for (int n = 0; n < 100000; ++n) ++counts[zipf.draw(random)];
         double sum = 0;
         for (int rank = 1; rank <= 1000; ++rank) sum += std::pow(rank, -exponent);
         for (const std::uint64_t rank : {0ULL, 1ULL, 9ULL}) {
             const double expected = 100000 * std::pow(static_cast<double>(rank + 1), -exponent) / sum;
-            EXPECT_NEAR(seen[rank], expected, 5 * std::sqrt(expected) + 1) << exponent << " " << rank;
+            EXPECT_NEAR(counts[rank], expected, 5 * std::sqrt(expected) + 1) << exponent << " " << rank;
         }
-        EXPECT_LT(seen.rbegin()->first, 1000U);
+        EXPECT_LT(counts.rbegin()->first, 1000U);
     }
 }
 
-TEST(Draws, DistributionsKeepTheirMeanAndBounds) {
+TEST(RandomDistributions, DistributionsKeepTheirMeanAndBounds) {
     const auto nodes = kdl::parse(
         "a 8ms\na uniform 5ms 20ms\na exponential mean=8ms\na lognormal median=8ms p99=40ms\na pareto "
         "least=1ms shape=1.5 most=1s",
@@ -115,7 +115,7 @@
     }
 }
 
-TEST(Traces, AnExportedAndImportedPlanHasTheSameRequests) {
+TEST(RequestTrace, ExportedAndImportedScheduleHasTheSameRequests) {
     const auto config = loadConfig(std::string(kRequestClass) +
                                    "profile \"b, \\\"quoted\\\"\" { share 30%; calls 1; work lognormal "
                                    "median=8ms p99=40ms; failing 10% }\n"
@@ -127,15 +127,16 @@
         for (const ScheduledRequest& request : original) writer.add(request);
         ASSERT_TRUE(writer.close());
     }
-    RequestScheduleConfig again = config->schedule;
-    again.trace = TraceConfig{};
-    again.trace->file = path;
-    EXPECT_TRUE(allRequests(again) == original);
+    RequestScheduleConfig imported = config->schedule;
+    imported.trace = TraceConfig{};
+    imported.trace->file = path;
+    EXPECT_TRUE(allRequests(imported) == original);
     // Cut and stretched: what lies in the part, twice as slow.
-    again.trace->from = 1s, again.trace->until = 2s, again.trace->timeScale = 2;
-    std::size_t inPart = 0;
-    for (const ScheduledRequest& request : original) inPart += request.arrival >= 1s && request.arrival < 2s;
-    EXPECT_EQ(allRequests(again).size(), inPart);
+    imported.trace->from = 1s, imported.trace->until = 2s, imported.trace->timeScale = 2;
+    std::size_t selected = 0;
+    for (const ScheduledRequest& request : original)
+        selected += request.arrival >= 1s && request.arrival < 2s;
+    EXPECT_EQ(allRequests(imported).size(), selected);
     std::remove(path.c_str());
 }
 
@@ -145,7 +146,7 @@
     return path;
 }
 
-TEST(Traces, BadLinesAreNamedAndCounted) {
+TEST(RequestTrace, UnreadableLinesAreReportedAndCounted) {
     const std::string path =
         writeTraceFile("time_ms,profile,cost_ms\n1,a,5\n2,nobody,5\nx,a,5\n3,a\n0,a,5\n4,a,5\n");
     auto config = loadConfig(std::string(kRequestClass) + "trace \"" + path + "\"");
@@ -168,39 +169,39 @@
     std::remove(path.c_str());
 }
 
-TEST(Traces, JsonLinesAreReadToo) {
+TEST(RequestTrace, JsonLinesAreRead) {
     const std::string path = writeTraceFile(
         "{\"time_s\":0.5,\"profile\":\"a\",\"customer\":\"acme\",\"mark\":1}\n"
         "{\"time_s\":0.75,\"profile\":\"a\",\"patience_ms\":200,\"size\":99}\n");
-    const auto rows =
+    const auto requests =
         allRequests(loadConfig(std::string(kRequestClass) + "trace \"" + path + "\"")->schedule);
-    ASSERT_EQ(rows.size(), 2U);
-    EXPECT_TRUE(rows[0].isRetry);
-    EXPECT_EQ(rows[1].arrival, 750ms);
-    EXPECT_EQ(rows[1].attemptTimeout, 200ms);
-    EXPECT_EQ(rows[1].bodyBytes, 99U);
+    ASSERT_EQ(requests.size(), 2U);
+    EXPECT_TRUE(requests[0].isRetry);
+    EXPECT_EQ(requests[1].arrival, 750ms);
+    EXPECT_EQ(requests[1].attemptTimeout, 200ms);
+    EXPECT_EQ(requests[1].bodyBytes, 99U);
     std::remove(path.c_str());
 }
 
 // Ten at once every second, three times as many: still in the first hundredth of each second, none elsewhere.
-TEST(Traces, MultipliedABurstStaysABurst) {
+TEST(RequestTrace, MultipliedBurstStaysABurst) {
     std::string text = "time_ms,profile\n";
     for (int second = 0; second < 5; ++second)
         for (int n = 0; n < 10; ++n) text += std::to_string(second * 1000) + ",a\n";
     const std::string path = writeTraceFile(text);
-    const auto rows = allRequests(
+    const auto requests = allRequests(
         loadConfig(std::string(kRequestClass) + "length 10s; trace \"" + path + "\" copies=3")->schedule);
-    EXPECT_EQ(rows.size(), 150U);
-    for (std::size_t at = 0; at < rows.size(); ++at) {
-        EXPECT_LE(rows[at].arrival % 1s, 10ms);
+    EXPECT_EQ(requests.size(), 150U);
+    for (std::size_t at = 0; at < requests.size(); ++at) {
+        EXPECT_LE(requests[at].arrival % 1s, 10ms);
         if (at > 0) {
-            EXPECT_GE(rows[at].arrival, rows[at - 1].arrival);
+            EXPECT_GE(requests[at].arrival, requests[at - 1].arrival);
         }
     }
     std::remove(path.c_str());
 }
 
-TEST(LoadFiles, MistakesAreNamedWithTheirPlace) {
+TEST(LoadConfigFile, ErrorsAreReportedWithTheirLocation) {
     EXPECT_NE(errorOf("").find("t.kdl:1:1: 'load' was found without a profile"), std::string::npos);
     EXPECT_NE(errorOf(kRequestClass).find("one of 'rate { … }' and 'trace FILE' was expected"),
               std::string::npos);
@@ -223,7 +224,7 @@
 
 // ---- what is counted ------------------------------------------------------------------------------------
 
-RC_GTEST_PROP(Histograms, QuantilesAreWithinHalfAPercent, ()) {
+RC_GTEST_PROP(LatencyHistogram, QuantilesAreWithinHalfAPercent, ()) {
     std::vector<std::int64_t> times;
     LatencyHistogram one, other;
     for (int n = 1 + upTo(300); n > 0; --n) {
@@ -234,15 +235,15 @@
     std::sort(times.begin(), times.end());
     RC_ASSERT(one.count() == times.size());
     RC_ASSERT(std::abs(one.max() * 1e9 - static_cast<double>(times.back())) < 1);
-    for (const double part : {0.0, 0.5, 0.9, 0.99, 1.0}) {
+    for (const double fraction : {0.0, 0.5, 0.9, 0.99, 1.0}) {
         const auto rank =
-            static_cast<std::size_t>(std::max(1.0, std::ceil(part * static_cast<double>(times.size()))));
+            static_cast<std::size_t>(std::max(1.0, std::ceil(fraction * static_cast<double>(times.size()))));
         const double exact = static_cast<double>(times[rank - 1]) / 1e9;
-        RC_ASSERT(std::abs(one.quantile(part) / exact - 1) < 0.005);
+        RC_ASSERT(std::abs(one.quantile(fraction) / exact - 1) < 0.005);
     }
 }
 
-TEST(Histograms, ALongRunKeepsItsSumsInBoundedMemory) {
+TEST(TimeSeriesOfRun, LongRunKeepsItsSumsInBoundedMemory) {
     TimeSeries series;
     for (int second = 0; second < 5000; ++second) {
         Interval& interval = series.at(second * 1s);
@@ -279,8 +280,8 @@
         thread_ = std::thread([this, config, &bound] {
             net::Loop loop;
             EmulatedThriftServer answering(loop, {"127.0.0.1", 0}, config);
-            CrossThreadWakeup bell(loop, [&] { loop.stop(); });
-            bell_ = &bell;
+            CrossThreadWakeup wakeup(loop, [&] { loop.stop(); });
+            wakeup_ = &wakeup;
             bound.set_value(answering.address());
             loop.run();
             book = answering.requestTimes();
@@ -291,7 +292,7 @@
     ~ThriftServerThread() { stop(); }
     void stop() {
         if (!thread_.joinable()) return;
-        bell_->wake();
+        wakeup_->wake();
         thread_.join();
     }
     std::string to() const { return "to \"" + at.host + ":" + std::to_string(at.port) + "\""; }
@@ -301,10 +302,10 @@
 
 private:
     std::thread thread_;
-    CrossThreadWakeup* bell_ = nullptr;
+    CrossThreadWakeup* wakeup_ = nullptr;
 };
 
-void expectAddsUp(const LoadResult& result) {
+void expectOutcomesAddUp(const LoadResult& result) {
     for (const RequestClassStatistics& requestClass : result.statistics.requestClasses) {
         EXPECT_EQ(requestClass.ended(), requestClass.scheduled);
         EXPECT_EQ(requestClass.latencyFromSchedule.count(),
@@ -312,9 +313,10 @@
     }
     std::array<std::uint64_t, kOutcomeCount> sums{};
     for (const Interval& interval : result.statistics.series.intervals())
-        for (std::size_t end = 0; end < kOutcomeCount; ++end) sums[end] += interval.outcomes[end];
-    for (std::size_t end = 0; end < kOutcomeCount; ++end)
-        EXPECT_EQ(sums[end], result.statistics.count(static_cast<RequestOutcome>(end)));
+        for (std::size_t outcome = 0; outcome < kOutcomeCount; ++outcome)
+            sums[outcome] += interval.outcomes[outcome];
+    for (std::size_t outcome = 0; outcome < kOutcomeCount; ++outcome)
+        EXPECT_EQ(sums[outcome], result.statistics.count(static_cast<RequestOutcome>(outcome)));
     EXPECT_EQ(result.statistics.sendDelay.count(), result.statistics.scheduled());
 }
 
@@ -336,71 +338,72 @@
     std::map<std::uint64_t, Duration> scheduledAt;
 };
 
-double exactQuantile(std::vector<double> values, double part) {
+double exactQuantile(std::vector<double> values, double fraction) {
     std::sort(values.begin(), values.end());
     return values[static_cast<std::size_t>(
-                      std::max(1.0, std::ceil(part * static_cast<double>(values.size())))) -
+                      std::max(1.0, std::ceil(fraction * static_cast<double>(values.size())))) -
                   1];
 }
 
 // Counts for itself, beside the schedule, when each request was answered.
 class ResponseRecorder : public ScheduleRecorder {
 public:
-    void onResponse(const std::string& trace, ClientResponse::Kind) override {
+    void onResponse(const std::string& traceId, ClientResponse::Kind) override {
         const std::lock_guard lock(mutex);
-        answeredAt[trace] = steadyNow();
+        respondedAt[traceId] = steadyNow();
     }
-    std::map<std::string, Duration> answeredAt;
+    std::map<std::string, Duration> respondedAt;
 };
 
 // A server stands still for two seconds: what clients waited, until they had read their answers, is told to
 // the percent, and never less than by the stand-in's own times of sending them. (How long an answer lies
 // unread is up to the machine.) A closed loop sends little meanwhile, and hides the stall.
-TEST(OnSockets, AStallOfTwoSecondsIsToldInFull) {
-    EmulatedThriftServerConfig stalls;
-    stalls.responseDelay = 100ms;
-    stalls.stallStart = 800ms;
-    stalls.stallDuration = 2s;
-    stalls.recordsTimes = true;
+TEST(LoadRunOnSockets, TwoSecondStallIsReportedInFull) {
+    EmulatedThriftServerConfig serverConfig;
+    serverConfig.responseDelay = 100ms;
+    serverConfig.stallStart = 800ms;
+    serverConfig.stallDuration = 2s;
+    serverConfig.recordsTimes = true;
     const std::string inside =
         "seed 3; workers 2; length 4s; arrivals even; rate { steady 250/s }\n"
         "profile a { promised 1s; hard-stop 8s }\n";
-    ThriftServerThread server(stalls);
+    ThriftServerThread server(serverConfig);
     auto config = loadConfig(inside + "callers 4 { " + server.to() + " }", true);
     config->maxSendDelay = 1s;  // this test judges its own count, on whatever machine
     ResponseRecorder recorder;
     const LoadResult result = runLoad(*config, {&recorder});
     server.stop();
-    expectAddsUp(result);
+    expectOutcomesAddUp(result);
     EXPECT_EQ(result.statistics.scheduled(), 1000U);
     EXPECT_EQ(
         result.statistics.count(RequestOutcome::Completed) + result.statistics.count(RequestOutcome::Late),
         1000U);
     std::vector<double> untilRead, untilSent;
     for (const auto& [number, scheduled] : recorder.scheduledAt) {
-        const std::string trace = attemptTraceId(3, number, 0);
-        const Duration sent = server.book.at(trace).sent, read = recorder.answeredAt.at(trace);
+        const std::string traceId = attemptTraceId(3, number, 0);
+        const Duration sent = server.book.at(traceId).sent, read = recorder.respondedAt.at(traceId);
         EXPECT_GE(read, sent);
         untilSent.push_back(std::chrono::duration<double>(sent - scheduled).count());
         untilRead.push_back(std::chrono::duration<double>(read - scheduled).count());
     }
     ASSERT_EQ(untilRead.size(), 1000U);
     const LatencyHistogram reported = result.statistics.completedLatencies();
-    for (const double part : {0.5, 0.99, 0.999, 1.0}) {
-        EXPECT_NEAR(reported.quantile(part) / exactQuantile(untilRead, part), 1, 0.01) << part;
-        EXPECT_GT(reported.quantile(part) / exactQuantile(untilSent, part), 0.99) << part;
+    for (const double fraction : {0.5, 0.99, 0.999, 1.0}) {
+        EXPECT_NEAR(reported.quantile(fraction) / exactQuantile(untilRead, fraction), 1, 0.01) << fraction;
+        EXPECT_GT(reported.quantile(fraction) / exactQuantile(untilSent, fraction), 0.99) << fraction;
     }
     EXPECT_GT(reported.quantile(0.99), 1.9);
 
-    ThriftServerThread secondServer(stalls);
-    const auto closed = loadConfig(inside + "callers 4 { " + secondServer.to() + "; closed 4 }", true);
-    const LoadResult closedLoopResult = runLoad(*closed);
-    expectAddsUp(closedLoopResult);
+    ThriftServerThread secondServer(serverConfig);
+    const auto closedLoopConfig =
+        loadConfig(inside + "callers 4 { " + secondServer.to() + "; closed 4 }", true);
+    const LoadResult closedLoopResult = runLoad(*closedLoopConfig);
+    expectOutcomesAddUp(closedLoopResult);
     EXPECT_LT(closedLoopResult.statistics.completedLatencies().quantile(0.9), reported.quantile(0.9) / 5)
         << "the closed loop hides the stall";
 }
 
-TEST(OnSockets, ADeafServerGetsNoAnswersCounted) {
+TEST(LoadRunOnSockets, ServerThatNeverReadsCompletesNoRequests) {
     EmulatedThriftServerConfig serverConfig;
     serverConfig.neverReads = true;
     ThriftServerThread server(serverConfig);
@@ -410,17 +413,17 @@
             server.to() + "; attempts 1; connections 2 }",
         true);
     const LoadResult result = runLoad(*config);
-    expectAddsUp(result);
+    expectOutcomesAddUp(result);
     EXPECT_GT(result.statistics.scheduled(), 100U);
     EXPECT_EQ(result.statistics.count(RequestOutcome::Completed), 0U);
     EXPECT_GT(result.statistics.count(RequestOutcome::NoAnswer), 0U);
     EXPECT_EQ(result.statistics.count(RequestOutcome::NoAnswer), result.statistics.violations.lostResponses);
 }
 
-TEST(OnSockets, WhoGivesUpSaysSo) {
-    EmulatedThriftServerConfig silent;
-    silent.silent = true;
-    ThriftServerThread server(silent);
+TEST(LoadRunOnSockets, TimedOutRequestsAreCancelled) {
+    EmulatedThriftServerConfig serverConfig;
+    serverConfig.silent = true;
+    ThriftServerThread server(serverConfig);
     const auto config = loadConfig(
         "length 300ms; rate { steady 200/s }; profile a { promised 50ms; hard-stop 100ms }\n"
         "callers 2 { " +
@@ -428,16 +431,16 @@
         true);
     const LoadResult result = runLoad(*config);
     server.stop();
-    expectAddsUp(result);
+    expectOutcomesAddUp(result);
     EXPECT_EQ(result.statistics.connections.cancelMessages,
               result.statistics.count(RequestOutcome::NoAnswer));
     EXPECT_EQ(server.cancelMessages, result.statistics.connections.cancelMessages);
 }
 
-TEST(OnSockets, ResetsInMidAnswerAreConnectionsLostAndRepeatsStayBounded) {
-    EmulatedThriftServerConfig breaks;
-    breaks.resetEvery = 5;
-    ThriftServerThread server(breaks);
+TEST(LoadRunOnSockets, ResetsDuringResponsesAreConnectionsLostAndRetriesStayBounded) {
+    EmulatedThriftServerConfig serverConfig;
+    serverConfig.resetEvery = 5;
+    ThriftServerThread server(serverConfig);
     const auto config = loadConfig(
         "length 1s; rate { steady 400/s }; profile a { promised 500ms; hard-stop 1s }\n"
         "profile b { share 100%; repeat once-only; promised 500ms; hard-stop 1s }\n"
@@ -445,26 +448,26 @@
             server.to() + "; attempts 3 }",
         true);
     const LoadResult result = runLoad(*config);
-    expectAddsUp(result);
-    const RequestClassStatistics& once = result.statistics.requestClasses[1];
-    EXPECT_GT(once.outcomes[static_cast<std::size_t>(RequestOutcome::ConnectionLost)], 0U);
-    EXPECT_EQ(once.attempts, once.scheduled) << "once-only is never sent twice";
+    expectOutcomesAddUp(result);
+    const RequestClassStatistics& nonIdempotent = result.statistics.requestClasses[1];
+    EXPECT_GT(nonIdempotent.outcomes[static_cast<std::size_t>(RequestOutcome::ConnectionLost)], 0U);
+    EXPECT_EQ(nonIdempotent.attempts, nonIdempotent.scheduled) << "once-only is never sent twice";
     EXPECT_EQ(result.statistics.violations.total(), 0U);
 }
 
-TEST(OnSockets, AnswersTwiceToNothingOrOfNoRunAreBrokenRules) {
-    EmulatedThriftServerConfig rude;
-    rude.duplicateEvery = 10;
-    rude.unknownSequenceEvery = 15;
-    rude.wrongResultEvery = 20;
-    ThriftServerThread server(rude);
+TEST(LoadRunOnSockets, DuplicateUnknownAndWrongResponsesAreViolations) {
+    EmulatedThriftServerConfig serverConfig;
+    serverConfig.duplicateEvery = 10;
+    serverConfig.unknownSequenceEvery = 15;
+    serverConfig.wrongResultEvery = 20;
+    ThriftServerThread server(serverConfig);
     const auto config = loadConfig(
         "length 500ms; rate { steady 400/s }; profile a { promised 500ms; hard-stop 1s }\n"
         "callers 1 { " +
             server.to() + "; attempts 1 }",
         true);
     const LoadResult result = runLoad(*config);
-    expectAddsUp(result);
+    expectOutcomesAddUp(result);
     const ProtocolViolations& violations = result.statistics.violations;
     EXPECT_GT(violations.duplicateResponses, 0U);
     EXPECT_GT(violations.unknownSequences, 0U);
@@ -474,25 +477,25 @@
     EXPECT_FALSE(violations.examples.empty());
 }
 
-TEST(OnSockets, RejectedRequestsAreRetriedAfterTheirRetryAfter) {
-    EmulatedThriftServerConfig busy;
-    busy.busyEvery = 20;
-    busy.goawayEvery = 50;
-    ThriftServerThread server(busy);
+TEST(LoadRunOnSockets, RejectedRequestsAreRetriedAfterTheirRetryAfter) {
+    EmulatedThriftServerConfig serverConfig;
+    serverConfig.busyEvery = 20;
+    serverConfig.goawayEvery = 50;
+    ThriftServerThread server(serverConfig);
     const auto config = loadConfig(
         "length 1s; rate { steady 300/s }; profile a { promised 500ms; hard-stop 1s }\n"
         "callers 1 { " +
             server.to() + "; attempts 3 longest=10ms }",
         true);
     const LoadResult result = runLoad(*config);
-    expectAddsUp(result);
+    expectOutcomesAddUp(result);
     EXPECT_GT(result.statistics.requestClasses[0].attempts, result.statistics.scheduled());
     EXPECT_GT(result.statistics.connections.goaways, 0U);
     EXPECT_GT(result.statistics.count(RequestOutcome::Completed), result.statistics.scheduled() * 95 / 100);
     EXPECT_EQ(result.statistics.violations.total(), 0U);
 }
 
-TEST(OnSockets, AClockThatStepsBackMovesNoFigure) {
+TEST(LoadRunOnSockets, WallClockSteppingBackChangesNoFigure) {
     ThriftServerThread server(EmulatedThriftServerConfig{});
     auto config = loadConfig(
         "length 600ms; rate { steady 300/s }; profile a { promised 400ms; hard-stop 1s }\n"
@@ -504,7 +507,7 @@
     const Duration begun = steadyNow();
     clocks.unix = [begun] { return net::unixNow() - (steadyNow() - begun > 300ms ? 3600s : 0s); };
     const LoadResult result = runLoad(*config, {}, clocks);
-    expectAddsUp(result);
+    expectOutcomesAddUp(result);
     EXPECT_EQ(result.statistics.count(RequestOutcome::Completed), result.statistics.scheduled());
     EXPECT_LT(result.statistics.completedLatencies().max(), 1.0);
 }
@@ -517,7 +520,7 @@
     }
 };
 
-TEST(OnSockets, AStarvedGeneratorSaysThatItsRunIsInvalid) {
+TEST(LoadRunOnSockets, StarvedGeneratorMarksItsRunInvalid) {
     ThriftServerThread server(EmulatedThriftServerConfig{});
     const auto config = loadConfig(
         "length 600ms; rate { steady 300/s }; profile a { promised 400ms; hard-stop 1s }\n"
@@ -526,7 +529,7 @@
         true);
     StallingObserver observer;
     const LoadResult result = runLoad(*config, {&observer});
-    expectAddsUp(result);
+    expectOutcomesAddUp(result);
     EXPECT_FALSE(result.valid);
     EXPECT_NE(result.invalidReason.find("were sent within 20.0 ms"), std::string::npos);
     EXPECT_GT(result.statistics.completedLatencies().max(), 0.2)
@@ -535,7 +538,7 @@
 
 // Guards against a generator that loses count of refused connections. No machine is so slow that time cuts an
 // attempt short, so that each request makes both of its attempts and each of them is refused.
-TEST(OnSockets, TenThousandRefusedConnectionsEndInOrder) {
+TEST(LoadRunOnSockets, TenThousandRefusedConnectionsAreCounted) {
     auto config = loadConfig(
         "workers 2; length 1s; arrivals even; rate { steady 5200/s }\n"
         "profile a { promised 50ms; hard-stop 600s }\n"
@@ -543,7 +546,7 @@
         true);
     config->maxSendDelay = 600s;
     const LoadResult result = runLoad(*config);
-    expectAddsUp(result);
+    expectOutcomesAddUp(result);
     EXPECT_GT(result.statistics.connections.connectFailures, 10000U);
     EXPECT_EQ(result.statistics.connections.connectFailures, 2 * result.statistics.scheduled());
     EXPECT_EQ(result.statistics.requestClasses[0].attempts, 2 * result.statistics.scheduled());
@@ -552,14 +555,14 @@
 
 // Guards against attempts that nobody counts when the generator falls behind: whatever the machine's speed,
 // an attempt that was sent is refused or given up, and what was never sent is counted as that.
-TEST(OnSockets, RefusedConnectionsThatTimeCutsShortAddUp) {
+TEST(LoadRunOnSockets, RefusedConnectionsWithTimeoutsAddUp) {
     auto config = loadConfig(
         "workers 2; length 1s; rate { steady 10000/s }; profile a { promised 50ms; hard-stop 500ms }\n"
         "callers 2 { to \"127.0.0.1:1\"; attempts 2 budget=#false; connections 10000 open=1 }",
         true);
     config->maxSendDelay = 10s;
     const LoadResult result = runLoad(*config);
-    expectAddsUp(result);
+    expectOutcomesAddUp(result);
     const LoadStatistics& statistics = result.statistics;
     std::uint64_t failedAttempts = 0;
     for (const std::uint64_t count : statistics.connections.retryDecisions) failedAttempts += count;
@@ -573,7 +576,7 @@
     EXPECT_EQ(statistics.violations.total(), 0U);
 }
 
-TEST(OnSockets, WhatIsSentDoesNotTurnOnTheNumberOfWorkers) {
+TEST(LoadRunOnSockets, RequestsDoNotDependOnTheNumberOfWorkers) {
     std::vector<std::uint64_t> sums;
     for (const char* workers : {"1", "3"}) {
         ThriftServerThread server(EmulatedThriftServerConfig{});
@@ -583,7 +586,7 @@
             true);
         ScheduleRecorder recorder;
         const LoadResult result = runLoad(*config, {&recorder});
-        expectAddsUp(result);
+        expectOutcomesAddUp(result);
         std::uint64_t sum = 0;
         for (const auto& [number, scheduled] : recorder.scheduledAt) sum += routing::splitMix64(number);
         sums.push_back(sum);
@@ -591,7 +594,7 @@
     EXPECT_EQ(sums[0], sums[1]);
 }
 
-TEST(OnSockets, StoppedInMidRunItTellsWhatItMeasured) {
+TEST(LoadRunOnSockets, StoppedRunReportsWhatItMeasured) {
     ThriftServerThread server(EmulatedThriftServerConfig{});
     const auto config = loadConfig(
         "length 60s; rate { steady 200/s }; profile a { promised 400ms; hard-stop 1s }\n"
@@ -603,7 +606,7 @@
     while (load.completed() < 50) std::this_thread::sleep_for(1ms);
     load.stop();
     const LoadResult result = load.finish();
-    expectAddsUp(result);
+    expectOutcomesAddUp(result);
     EXPECT_TRUE(result.stopped);
     EXPECT_GE(result.statistics.count(RequestOutcome::Completed), 50U);
     EXPECT_LT(result.length, 60s);
@@ -631,7 +634,7 @@
     return path;
 }
 
-TEST(LabProgram, AFullDiskCostsTheFileAndNotTheFigures) {
+TEST(LoadTestProgram, FullDiskLosesTheFileButNotTheFigures) {
     ThriftServerThread server(EmulatedThriftServerConfig{});
     const std::string path = writeLoadFile(
         "length 200ms; rate { steady 100/s }; profile a { promised 400ms; hard-stop 1s }\n"
@@ -645,7 +648,7 @@
     EXPECT_NE(result.out.find("handled"), std::string::npos);
 }
 
-TEST(LabProgram, InterruptedItPrintsWhatItHas) {
+TEST(LoadTestProgram, InterruptedRunPrintsItsFigures) {
     ThriftServerThread server(EmulatedThriftServerConfig{});
     const std::string path = writeLoadFile(
         "length 60s; rate { steady 100/s }; profile a { promised 400ms; hard-stop 1s }\n"
@@ -660,7 +663,7 @@
     EXPECT_EQ(figures["ends"]["handled"], figures["planned"]);
 }
 
-TEST(LabProgram, AWrongFileIsNamedWithItsPlace) {
+TEST(LoadTestProgram, InvalidFileIsReportedWithItsLocation) {
     const std::string path = writeLoadFile("length 200; rate { steady 100/s }; profile a { promised 400ms }");
     const ProgramResult result = runProgram(std::string(COTTONWING_LAB) + " load " + path);
     EXPECT_EQ(result.code, 2);
