--- a/src/loadtest/load_statistics.h
+++ b/src/loadtest/load_statistics.h
@@ -90,7 +90,7 @@
 
 /// All statistics of one worker, or of a whole run after merging.
 struct LoadStatistics {
-    explicit LoadStatistics(const std::vector<RequestClassLoad>& requestClasses);
+    explicit LoadStatistics(const std::vector<RequestClassLoad>& loads);
     std::vector<RequestClassStatistics> requestClasses;
     /// From the scheduled time of a request to its first send, or to the decision that it is never sent.
     LatencyHistogram sendDelay;
