--- a/src/loadtest/load_clients.cpp
+++ b/src/loadtest/load_clients.cpp
@@ -399,6 +399,8 @@
         usesScgi ? openScgiConnection(client, target) : selectConnection(client, target);
     if (connection == nullptr) return false;
     request.queued = false;
+    // Attempts use the numbers 0 to 5, and the numbers from 8 once the request was resent, so that no two
+    // attempts share an id.
     request.traceId = request.resent ? attemptTraceId(scheduleConfig_.seed, id, request.attempts + 7)
                                      : attemptTraceId(scheduleConfig_.seed, id, request.attempts - 1);
     request.connection = connection;
--- a/tests/loadtest/load_run_test.cpp
+++ b/tests/loadtest/load_run_test.cpp
@@ -1,5 +1,6 @@
-// The load generator: what it draws, what it counts, and that it tells the truth of servers that stall, are
-// deaf, break off, answer twice or are not there, of clocks that step back, and of itself.
+// The load generator: its request schedules and statistics; that its figures are right with servers that
+// stall, never read, close connections, answer twice or refuse connections, and when the wall clock steps
+// back; that it reports its own delay.
 #include "loadtest/load_run.h"
 
 #include <gtest/gtest.h>
@@ -44,7 +45,7 @@
 }
 constexpr const char* kRequestClass = "profile \"a\" { promised 1s; hard-stop 4s }\n";
 
-// ---- what is drawn --------------------------------------------------------------------------------------
+// ---- request schedules ----------------------------------------------------------------------------------
 
 TEST(LoadCurve, EvenArrivalsFollowTheRate) {
     const auto count = [](const std::string& rate, const char* length) {
@@ -66,14 +67,14 @@
     const auto first = allRequests(loadConfig(inside + "5")->schedule);
     EXPECT_EQ(first, allRequests(loadConfig(inside + "5")->schedule));
     EXPECT_NE(first, allRequests(loadConfig(inside + "6")->schedule));
-    // On a third of the time: about 147 a second, and more unequal than one steady rate could be.
+    // On for a third of the time: about 147 requests per second, with more variance than a steady rate has.
     EXPECT_GT(first.size(), 800U);
     EXPECT_LT(first.size(), 6000U);
     std::vector<double> each(20);
     for (const ScheduledRequest& request : first) each[static_cast<std::size_t>(request.arrival / 1s)] += 1;
     double mean = 0, square = 0;
     for (const double count : each) mean += count / 20, square += count * count / 20;
-    EXPECT_GT((square - mean * mean) / mean, 5) << "a Poisson stream has 1";
+    EXPECT_GT((square - mean * mean) / mean, 5) << "the index of dispersion; that of a Poisson process is 1";
 }
 
 TEST(RandomDistributions, ZipfDrawsEachRankWithItsProbability) {
@@ -131,7 +132,7 @@
     imported.trace = TraceConfig{};
     imported.trace->file = path;
     EXPECT_TRUE(allRequests(imported) == original);
-    // Cut and stretched: what lies in the part, twice as slow.
+    // Cut and stretched: only the requests of the part, at half the speed.
     imported.trace->from = 1s, imported.trace->until = 2s, imported.trace->timeScale = 2;
     std::size_t selected = 0;
     for (const ScheduledRequest& request : original)
@@ -152,7 +153,7 @@
     auto config = loadConfig(std::string(kRequestClass) + "trace \"" + path + "\"");
     try {
         allRequests(config->schedule);
-        FAIL() << "the bad line was taken";
+        FAIL() << "the unreadable line was accepted";
     } catch (const kdl::DocumentError& error) {
         EXPECT_EQ(std::string(error.what()),
                   path + ":3:1: the profile 'nobody' was found, one of a was expected");
@@ -163,7 +164,7 @@
     while (requests->next()) ++count;
     EXPECT_EQ(count, 2);
     EXPECT_EQ(requests->skippedLines(), 4U);
-    // A column without its unit can't be guessed, whatever is skipped.
+    // A time column without a unit is an error, even if unreadable lines are skipped.
     std::ofstream(path) << "time,profile\n1,a\n";
     EXPECT_THROW(allRequests(config->schedule), kdl::DocumentError);
     std::remove(path.c_str());
@@ -183,7 +184,7 @@
     std::remove(path.c_str());
 }
 
-// Ten at once every second, three times as many: still in the first hundredth of each second, none elsewhere.
+// Bursts of ten requests each second, multiplied by three, stay within the first 10 ms of each second.
 TEST(RequestTrace, MultipliedBurstStaysABurst) {
     std::string text = "time_ms,profile\n";
     for (int second = 0; second < 5; ++second)
@@ -222,7 +223,7 @@
               std::string::npos);
 }
 
-// ---- what is counted ------------------------------------------------------------------------------------
+// ---- statistics -----------------------------------------------------------------------------------------
 
 RC_GTEST_PROP(LatencyHistogram, QuantilesAreWithinHalfAPercent, ()) {
     std::vector<std::int64_t> times;
@@ -271,7 +272,8 @@
 
 // ---- on sockets -----------------------------------------------------------------------------------------
 
-// An answering server on a thread of its own, as another process would be.
+// An emulated Thrift server on its own thread, so that it runs in parallel to the load as another process
+// would.
 class ThriftServerThread {
 public:
     explicit ThriftServerThread(const EmulatedThriftServerConfig& config) {
@@ -297,7 +299,7 @@
     }
     std::string to() const { return "to \"" + at.host + ":" + std::to_string(at.port) + "\""; }
     net::Address at;
-    std::unordered_map<std::string, EmulatedThriftServer::RequestTimes> book;  // once it has stopped
+    std::unordered_map<std::string, EmulatedThriftServer::RequestTimes> book;  // valid after stop()
     std::uint64_t cancelMessages = 0;
 
 private:
@@ -327,7 +329,7 @@
     return load.finish();
 }
 
-// Counts for itself when each request was due, by the id of its first try.
+// Records the scheduled time of each request, by its number, independently of the statistics.
 class ScheduleRecorder : public RequestObserver {
 public:
     void onScheduled(const ScheduledRequest& request, Duration time) override {
@@ -345,7 +347,7 @@
                   1];
 }
 
-// Counts for itself, beside the schedule, when each request was answered.
+// Records also when the response to each attempt was read.
 class ResponseRecorder : public ScheduleRecorder {
 public:
     void onResponse(const std::string& traceId, ClientResponse::Kind) override {
@@ -355,9 +357,10 @@
     std::map<std::string, Duration> respondedAt;
 };
 
-// A server stands still for two seconds: what clients waited, until they had read their answers, is told to
-// the percent, and never less than by the stand-in's own times of sending them. (How long an answer lies
-// unread is up to the machine.) A closed loop sends little meanwhile, and hides the stall.
+// Guards against coordinated omission. During a server's stall of two seconds the reported latencies must
+// match the observer's record to 1%, up to the reading of each response, and must not be less than the
+// server's own times of sending. (How long a response stays unread depends on the machine.) A closed loop
+// sends little during the stall and hides it.
 TEST(LoadRunOnSockets, TwoSecondStallIsReportedInFull) {
     EmulatedThriftServerConfig serverConfig;
     serverConfig.responseDelay = 100ms;
@@ -369,7 +372,8 @@
         "profile a { promised 1s; hard-stop 8s }\n";
     ThriftServerThread server(serverConfig);
     auto config = loadConfig(inside + "callers 4 { " + server.to() + " }", true);
-    config->maxSendDelay = 1s;  // this test judges its own count, on whatever machine
+    // The observer's record accounts for late sending, so the test also holds on a slow machine.
+    config->maxSendDelay = 1s;
     ResponseRecorder recorder;
     const LoadResult result = runLoad(*config, {&recorder});
     server.stop();
@@ -400,7 +404,7 @@
     const LoadResult closedLoopResult = runLoad(*closedLoopConfig);
     expectOutcomesAddUp(closedLoopResult);
     EXPECT_LT(closedLoopResult.statistics.completedLatencies().quantile(0.9), reported.quantile(0.9) / 5)
-        << "the closed loop hides the stall";
+        << "a closed loop must hide the stall";
 }
 
 TEST(LoadRunOnSockets, ServerThatNeverReadsCompletesNoRequests) {
@@ -451,7 +455,7 @@
     expectOutcomesAddUp(result);
     const RequestClassStatistics& nonIdempotent = result.statistics.requestClasses[1];
     EXPECT_GT(nonIdempotent.outcomes[static_cast<std::size_t>(RequestOutcome::ConnectionLost)], 0U);
-    EXPECT_EQ(nonIdempotent.attempts, nonIdempotent.scheduled) << "once-only is never sent twice";
+    EXPECT_EQ(nonIdempotent.attempts, nonIdempotent.scheduled) << "a once-only request was sent twice";
     EXPECT_EQ(result.statistics.violations.total(), 0U);
 }
 
@@ -473,7 +477,7 @@
     EXPECT_GT(violations.unknownSequences, 0U);
     EXPECT_GT(violations.wrongResults, 0U);
     EXPECT_EQ(result.statistics.count(RequestOutcome::Failed), violations.wrongResults)
-        << "never counted as handled";
+        << "a wrong result must not count as completed";
     EXPECT_FALSE(violations.examples.empty());
 }
 
@@ -512,7 +516,7 @@
     EXPECT_LT(result.statistics.completedLatencies().max(), 1.0);
 }
 
-// The worker itself gets no time for a while, as on a machine with too few cores.
+// Blocks the worker thread for a while, as on a machine with too few cores.
 class StallingObserver : public RequestObserver {
 public:
     void onScheduled(const ScheduledRequest& request, Duration) override {
@@ -533,11 +537,11 @@
     EXPECT_FALSE(result.valid);
     EXPECT_NE(result.invalidReason.find("were sent within 20.0 ms"), std::string::npos);
     EXPECT_GT(result.statistics.completedLatencies().max(), 0.2)
-        << "its own lateness is in the latency of what it sent late";
+        << "the latency of a request that is sent late includes the delay";
 }
 
-// Guards against a generator that loses count of refused connections. No machine is so slow that time cuts an
-// attempt short, so that each request makes both of its attempts and each of them is refused.
+// Guards against refused connections that are not counted. The timeout is too long to be reached on any
+// machine, so that each request makes both of its attempts and each of them is refused.
 TEST(LoadRunOnSockets, TenThousandRefusedConnectionsAreCounted) {
     auto config = loadConfig(
         "workers 2; length 1s; arrivals even; rate { steady 5200/s }\n"
@@ -553,8 +557,8 @@
     EXPECT_EQ(result.statistics.count(RequestOutcome::ConnectionLost), result.statistics.scheduled());
 }
 
-// Guards against attempts that nobody counts when the generator falls behind: whatever the machine's speed,
-// an attempt that was sent is refused or given up, and what was never sent is counted as that.
+// Guards against attempts that are not counted when the generator falls behind its schedule: at any speed of
+// the machine, each attempt that was sent is refused or times out, and other requests count as never sent.
 TEST(LoadRunOnSockets, RefusedConnectionsWithTimeoutsAddUp) {
     auto config = loadConfig(
         "workers 2; length 1s; rate { steady 10000/s }; profile a { promised 50ms; hard-stop 500ms }\n"
@@ -612,7 +616,7 @@
     EXPECT_LT(result.length, 60s);
 }
 
-// ---- the program ----------------------------------------------------------------------------------------
+// ---- program cottonwing_lab -----------------------------------------------------------------------------
 
 struct ProgramResult {
     int code = 0;
