--- a/tests/soak/client_connection.cpp
+++ b/tests/soak/client_connection.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 constexpr std::size_t kFrameHeaderBytes = 4;
-constexpr std::size_t kMaxFrameBytes = 1 << 20;  // more is no answer of this service
+constexpr std::size_t kMaxFrameBytes = 1 << 20;  // larger than any answer of this service
 }  // namespace
 
 ClientConnection::ClientConnection(const net::Address& to)
@@ -54,7 +54,7 @@
     while (isOpen() && !output_.empty() && output_.front().notBefore <= now) {
         Piece& piece = output_.front();
         const ssize_t count = send(socket_, piece.bytes.data(), piece.bytes.size(), MSG_NOSIGNAL);
-        if (count < 0) return;  // full, or ended: reading tells
+        if (count < 0) return;  // the buffer is full, or read() reports the end
         piece.bytes.erase(0, static_cast<std::size_t>(count));
         if (!piece.bytes.empty()) return;
         const auto onWritten = std::move(piece.onWritten);
@@ -97,7 +97,8 @@
     getsockname(socket_, reinterpret_cast<sockaddr*>(&local), &size);
     return "port " + std::to_string(ntohs(local.sin_port)) + " (" + std::to_string(attempts.size()) +
            " attempts, " + std::to_string(open.size()) + " open, " + std::to_string(output_.size()) +
-           " pieces left" + (hasReceivedMessage ? ", served" : "") + (receivedGoaway ? ", goaway" : "") + ")";
+           " pieces unwritten" + (hasReceivedMessage ? ", served" : "") + (receivedGoaway ? ", goaway" : "") +
+           ")";
 }
 
 void ClientConnection::checkEnded() {
--- a/tests/soak/client_connection.h
+++ b/tests/soak/client_connection.h
@@ -1,6 +1,6 @@
 /// @file
-/// A connection of a soak's client, on a socket of its own that is read only when asked to: a client may be
-/// slow, write in pieces, or break off.
+/// A connection of a soak client, on a socket that is read only on request, so that a client can read slowly,
+/// write in pieces or disconnect.
 #pragma once
 
 #include <cstdint>
@@ -15,44 +15,47 @@
 
 namespace cottonwing::soak {
 
+/// A non-blocking client connection outside the event loop.
 class ClientConnection {
 public:
     enum class State { Connecting, Open, Refused, ClosedByServer, ClosedByClient };
 
-    /// Begins to connect.
+    /// Starts to connect.
     explicit ClientConnection(const net::Address& to);
     ~ClientConnection();
     ClientConnection(const ClientConnection&) = delete;
     ClientConnection& operator=(const ClientConnection&) = delete;
 
-    /// Queues bytes; from this time on they may be written.
-    /// @param onWritten runs once the system has taken the last of them.
+    /// Queues bytes.
+    /// @param notBefore earliest time at which they are written
+    /// @param onWritten called when the last byte has been written to the socket
     void write(const std::string& bytes, Duration notBefore, std::function<void()> onWritten = {});
-    /// Writes what is due and the system takes.
+    /// Writes the bytes that are due, as far as the socket accepts them.
     void writeDue(Duration now);
-    /// Reads what lies there and passes whole messages on.
-    /// @param onMessage of each; @return whether all could be read
+    /// Reads the available input.
+    /// @param onMessage called for each complete message
+    /// @return false if the input is malformed
     bool read(const std::function<void(const testing::frames::Message&)>& onMessage);
-    /// Notices that it has opened or was refused.
+    /// Updates the state of a connection that is being established.
     void checkConnected();
-    /// Notices that the server has ended the connection, without reading what lies before its end.
+    /// Records when the server closed the connection, without reading the input before the close.
     void checkEnded();
-    /// @param reset by a reset instead of an orderly close
+    /// @param reset closes with a reset instead of gracefully
     void close(bool reset);
 
     State state() const { return state_; }
     bool isOpen() const { return state_ == State::Open; }
-    /// @return its local port, and what has happened on it.
+    /// @return its local port and state, for the timeline.
     std::string describe() const;
     bool hasOutput() const { return !output_.empty(); }
 
-    // Kept by its client.
+    // Maintained by Clients.
     std::int32_t sequence = 0;
-    std::map<std::int32_t, std::string> open;  ///< attempts that wait, by sequence number
-    std::map<std::int32_t, std::string> sent;  ///< all attempts
+    std::map<std::int32_t, std::string> open;  ///< unanswered attempts, by sequence number
+    std::map<std::int32_t, std::string> sent;  ///< all attempts, by sequence number
     std::deque<std::string> attempts;          ///< all attempts, in order
     bool receivedGoaway = false;
-    bool hasReceivedMessage = false;  ///< a message has come
+    bool hasReceivedMessage = false;  ///< at least one message was received
     bool outcomeRecorded = false;
     std::optional<Duration> endedByServerAt;
 
--- a/tests/soak/clients.cpp
+++ b/tests/soak/clients.cpp
@@ -16,15 +16,15 @@
 namespace frames = testing::frames;
 using State = ClientConnection::State;
 
-constexpr std::size_t kMaxOpenRequests = 32;  // PROTOCOL.md: of one connection
+constexpr std::size_t kMaxOpenRequests = 32;  // PROTOCOL.md: per connection
 constexpr Duration kReopenInterval = 20ms;
 constexpr Duration kIdleServiceInterval = 25ms;
 constexpr int kMaxIdleOpenedPerInterval = 8;
 constexpr Duration kHealthCheckInterval = 30ms;
 constexpr std::size_t kMaxKeyedAttempts = 6;
-constexpr long long kDefaultRetryDelayMs = 20;  // before a retry where the rejection named no time
+constexpr long long kDefaultRetryDelayMs = 20;  // before a retry if the rejection has no Retry-After
 
-// Shares of the requests with a habit, in percent.
+// Percentages of the requests that are sent or treated in a special way.
 constexpr int kShortTimeoutPercent = 5;
 constexpr int kSplitWritePercent = 10;
 constexpr int kCancelPercent = 5;
@@ -48,7 +48,7 @@
     Duration readsAgainAt{0}, nextPause{0};
 };
 
-/// A request about to be sent.
+/// A request that is about to be sent.
 struct Clients::OutgoingRequest {
     Attempt attempt;
     Duration timeout{0};
@@ -156,7 +156,7 @@
         connection.close(false);
 }
 
-// Those that only hold a descriptor: half of them never say a word, the others asked once for health.
+// Connections that only occupy a descriptor: half of them send nothing, the others a single health check.
 void Clients::serviceIdleConnections(Duration now) {
     if (now < nextIdleService_) return;
     nextIdleService_ = now + kIdleServiceInterval;
@@ -292,7 +292,7 @@
                       " on " + connection.describe() + ", sequence " + std::to_string(sequence),
                   id);
     if (random_.withPercent(kCloseAfterWritePercent)) {
-        // Not from under the write that led here.
+        // Scheduled, as the connection must not be closed from within its own write.
         scheduler_.schedule(*attempt.writtenAt, [this, &client, sequence, id, reset = random_.oneIn(2)] {
             ClientConnection* const there = findAwaiting(client, sequence, id);
             if (there == nullptr) return;
@@ -311,7 +311,7 @@
     });
 }
 
-// The open connection on which an attempt waits for its answer.
+// Returns the open connection on which an attempt awaits its answer.
 ClientConnection* Clients::findAwaiting(Client& client, std::int32_t sequence, const std::string& id) {
     for (const auto& connection : client.connections) {
         const auto found = connection->open.find(sequence);
@@ -327,14 +327,16 @@
     if (message.method == "goaway") {
         connection.receivedGoaway = true;
         for (const auto& [sequence, id] : connection.open)
-            recorder_.log("client " + std::to_string(client.number), "got goaway meanwhile", id);
+            recorder_.log("client " + std::to_string(client.number),
+                          "received goaway while awaiting the answer", id);
         return;
     }
     if (message.method == "isWell") return;
     const auto found = connection.sent.find(message.sequence);
     if (found == connection.sent.end()) {
         ++recorder_.current().unreadableBytes;
-        return recorder_.log("client " + std::to_string(client.number), "got an answer to nothing");
+        return recorder_.log("client " + std::to_string(client.number),
+                             "received an answer with an unknown sequence number");
     }
     connection.open.erase(message.sequence);
     Attempt& attempt = *recorder_.find(found->second);
@@ -350,7 +352,7 @@
                                              : Response::Kind::Failed;
     response.body = message.body;
     attempt.responses.push_back(response);
-    recorder_.log("client", "got the answer: " + message.kind + " " + message.body, attempt.id);
+    recorder_.log("client", "received the answer: " + message.kind + " " + message.body, attempt.id);
     if (response.kind != Response::Kind::Rejected || message.fields.contains("terminal")) return;
     if (attempt.responses.size() > 1 || !random_.withPercent(kRetryAfterRejectionPercent)) return;
     const auto pause = message.fields.find("pause");
@@ -359,7 +361,7 @@
     retry(attempt, wait);
 }
 
-// A further attempt of the same request, with an id of its own.
+// Sends another attempt of the same request, with a new id.
 void Clients::retry(const Attempt& attempt, Duration after) {
     OutgoingRequest request;
     request.attempt.requestClass = attempt.requestClass;
@@ -376,7 +378,7 @@
     });
 }
 
-// What crossed a close of the server is sent once more, on another connection.
+// A request that crossed a close by the server is sent again on another connection.
 void Clients::recordOutcome(ClientConnection& connection, ConnectionOutcome outcome) {
     if (std::exchange(connection.outcomeRecorded, true)) return;
     const Duration ended = connection.endedByServerAt.value_or(net::unixNow());
@@ -386,7 +388,7 @@
         attempt.connection = outcome;
         attempt.connectionEndedAt = ended;
         if (!attempt.writtenAt) continue;
-        recorder_.log("client", "its connection has ended without an answer", id);
+        recorder_.log("client", "connection ended without an answer", id);
         const bool crossed =
             outcome == ConnectionOutcome::ClosedByServer && ended - *attempt.writtenAt <= 50ms;
         if (crossed && !attempt.cancelledAt) retry(attempt, 1ms);
--- a/tests/soak/clients.h
+++ b/tests/soak/clients.h
@@ -1,6 +1,6 @@
 /// @file
-/// The clients of a soak run: they open connections before the shutdown and go on using them until the kill,
-/// with the habits that the plan draws.
+/// The clients of a soak run: they open connections before the shutdown and use them until the kill, with the
+/// behaviour that the plan defines.
 #pragma once
 
 #include <deque>
@@ -18,22 +18,23 @@
 /// The request classes of every soak run, by index.
 enum RequestClassIndex { kRead, kReadWithCall, kOnceWithCall, kKeyed };
 
+/// All clients of a run.
 class Clients {
 public:
     Clients(const SoakPlan& plan, const net::Address& server, TaskScheduler& scheduler,
             RandomGenerator& random, Recorder& recorder);
     ~Clients();
 
-    /// The server process has been started: connections are opened, and a health check is repeated.
+    /// Called when the server process has been started: opens connections and repeats a health check.
     void beginIncarnation();
-    /// Requests are sent from now on, duplicates of the incarnation before among them.
+    /// Starts to send requests, among them duplicates of requests to the previous incarnation.
     void startTraffic();
-    /// The server process has ended: what its connections still hold is read, and they are closed.
+    /// Called when the server process has ended: reads the remaining input and closes the connections.
     void endIncarnation();
-    /// Reads, writes and sends what is due; called every millisecond.
+    /// Reads, writes and sends requests that are due; called every millisecond.
     void tick(Duration now);
     const net::Address& server() const { return server_; }
-    /// Whether a health check has been answered well in this incarnation.
+    /// @return whether a health check of this incarnation has succeeded.
     bool isServerReady() const { return ready_; }
 
 private:
@@ -67,7 +68,7 @@
     std::vector<std::unique_ptr<Client>> clients_;
     std::vector<std::unique_ptr<ClientConnection>> idle_;
     std::unique_ptr<ClientConnection> health_;
-    std::deque<std::string> keyedAttempts_;  ///< the last ones, for duplicates in the next incarnation
+    std::deque<std::string> keyedAttempts_;  ///< the latest, to be duplicated in the next incarnation
     std::uint64_t lastId_;
     std::uint64_t incarnationCount_ = 0;
     bool active_ = false, sending_ = false, ready_ = false;
--- a/tests/soak/http_peers.cpp
+++ b/tests/soak/http_peers.cpp
@@ -12,7 +12,7 @@
 using namespace std::chrono_literals;
 using testing::FakeHttpServer;
 
-// A connection of one of two servers, which may end before its reply is due.
+// Identifies a connection of one of two servers; the connection may end before the reply is sent.
 class ReplyAddress {
 public:
     ReplyAddress(FakeHttpServer& first, FakeHttpServer& second, const net::Connection& on)
@@ -58,7 +58,7 @@
     const std::string id = FakeHttpServer::header(head, "Op-Of");
     if (!isBlocked_(id)) return FakeHttpServer::reply(409, "", "Op-Not-Begun: 1\r\n");
     if (random_.withPercent(4)) {
-        recorder_.log("dependency", "turns the call away", id);
+        recorder_.log("dependency", "rejects the call", id);
         return FakeHttpServer::reply(503, "", "Op-Not-Begun: 1\r\n");
     }
     recorder_.log("dependency", "begins the call", id);
@@ -68,7 +68,7 @@
     if (random_.withPercent(3))
         replyLater(on, takes, FakeHttpServer::reply(500, "no"));
     else if (random_.withPercent(2))
-        replyLater(on, takes, "HTTP/1.1 200 X\r\nContent-Le");  // breaks off with the connection's end
+        replyLater(on, takes, "HTTP/1.1 200 X\r\nContent-Le");  // truncated response
     else
         replyLater(on, takes, FakeHttpServer::reply(200, "re: " + body));
     return "";
--- a/tests/soak/http_peers.h
+++ b/tests/soak/http_peers.h
@@ -1,5 +1,5 @@
 /// @file
-/// The dependency and the registry in a soak run, with the faults that its plan draws.
+/// The dependency and the registry of a soak run, with the faults of its plan.
 #pragma once
 
 #include <functional>
@@ -13,22 +13,23 @@
 
 namespace cottonwing::soak {
 
-/// Functions to be run later, by time.
+/// Runs functions at given times.
 class TaskScheduler {
 public:
     void schedule(Duration time, std::function<void()> task) { entries_.emplace(time, std::move(task)); }
-    /// Runs what is due.
+    /// Runs the tasks that are due.
     void runDue(Duration now);
 
 private:
     std::multimap<Duration, std::function<void()>> entries_;
 };
 
-/// The records service: answers calls after a while; some fail, are turned away, hang or break off.
+/// The dependency: answers calls after a delay; some fail, are rejected, hang or return a truncated response.
 class DependencyPeer {
 public:
-    /// @param isBlocked whether a run waits for the call of this attempt
-    /// @param segmentOf which call of its run it is
+    /// @param hangs whether some calls get no response
+    /// @param isBlocked returns whether a run waits for the call of an attempt
+    /// @param segmentOf returns the index of the current call within the run of an attempt
     DependencyPeer(net::Loop& loop, TaskScheduler& scheduler, RandomGenerator& random, Recorder& recorder,
                    bool hangs, std::function<bool(const std::string&)> isBlocked,
                    std::function<int(const std::string&)> segmentOf);
@@ -47,7 +48,7 @@
     std::unique_ptr<testing::FakeHttpServer> first_, second_;
 };
 
-/// The registry: notes what is reported, and answers late or not at all where the plan has it so.
+/// The registry: records reports and answers late or not at all, as the plan requires.
 class RegistryPeer {
 public:
     RegistryPeer(net::Loop& loop, TaskScheduler& scheduler, Recorder& recorder);
--- a/tests/soak/observations.h
+++ b/tests/soak/observations.h
@@ -1,7 +1,6 @@
 /// @file
-/// What a soak run saw from outside: of each attempt of a request at its client, of each run at the worker
-/// pool, of each call at the dependency and of each incarnation of the server process. Times are of the Unix
-/// clock.
+/// Observations of a soak run from outside the server: each attempt at its client, each run at the worker
+/// pool, each call at the dependency and each incarnation of the server process. Times are Unix times.
 #pragma once
 
 #include <cstddef>
@@ -15,7 +14,7 @@
 
 namespace cottonwing::soak {
 
-/// One response as its client read it.
+/// A response as its client received it.
 struct Response {
     enum class Kind { Served, Rejected, Failed };
     Duration at{0};
@@ -23,50 +22,50 @@
     std::string body;
 };
 
-/// How the connection of an attempt ended, for its client.
+/// How the connection of an attempt ended, as seen by its client.
 enum class ConnectionOutcome {
-    Open,            ///< it was open when the observation ended
-    ClosedByServer,  ///< in order or by a reset
+    Open,            ///< still open when the observation ended
+    ClosedByServer,  ///< gracefully or by a reset
     ClosedByClient
 };
 
-/// One attempt of a request, as its client saw it.
+/// An attempt of a request as its client observed it.
 struct Attempt {
-    std::string id;            ///< 16 hex digits, new with each attempt
-    std::string firstAttempt;  ///< the id of the request's first attempt
+    std::string id;            ///< 16 hexadecimal digits, unique for each attempt
+    std::string firstAttempt;  ///< id of the first attempt of the request
     std::string key;           ///< idempotency key; empty without one
     int requestClass = 0;
-    std::size_t incarnation = 0;  ///< of the server process it was sent to
+    std::size_t incarnation = 0;  ///< index of the incarnation that it was sent to
     std::string body;
     double memoryKb = 0;
     Duration deadline{0};
-    std::optional<Duration> writtenAt;  ///< the moment of its last byte
+    std::optional<Duration> writtenAt;  ///< when its last byte was written
     std::vector<Response> responses;
     std::optional<Duration> cancelledAt;
     ConnectionOutcome connection = ConnectionOutcome::Open;
     Duration connectionEndedAt{0};
-    bool connectionHadResponse = false;  ///< a byte had come on its connection
-    bool clientPausedReading = false;    ///< between its last byte and its response
+    bool connectionHadResponse = false;  ///< the connection had received a message before
+    bool clientPausedReading = false;    ///< between the last byte of the request and the response
 };
 
-/// One run at the worker pool.
+/// A run at the worker pool.
 struct ObservedRun {
-    std::string id;  ///< of the attempt
+    std::string id;  ///< id of the attempt
     std::size_t incarnation = 0;
     std::string requestClass;
     std::string body;
     Duration startedAt{0};
-    std::optional<std::string> result;  ///< of a run that ended well
+    std::optional<std::string> result;  ///< set if the run succeeded
 };
 
-/// One call that reached the dependency and was begun there.
+/// A call that the dependency has begun to execute.
 struct ObservedCall {
-    std::string id;   ///< of the attempt it was made for
-    int segment = 0;  ///< which of the run's calls it was
+    std::string id;   ///< id of the attempt
+    int segment = 0;  ///< index of the call within its run
     std::size_t incarnation = 0;
 };
 
-/// One report that reached the registry whole.
+/// A complete report received by the registry.
 struct RegistryReport {
     std::size_t incarnation = 0;
     Duration at{0};
@@ -76,38 +75,40 @@
 /// One incarnation of the server process.
 struct Incarnation {
     Duration startedAt{0};
-    std::optional<Duration> poolUpAt;      ///< the worker pool was up, so that the server can become ready
-    std::optional<Duration> readyAt;       ///< the first good health check
-    std::optional<Duration> terminatedAt;  ///< SIGTERM was sent
-    std::optional<Duration> killedAt;      ///< SIGKILL was sent, and the process was there
+    std::optional<Duration> poolUpAt;      ///< worker pool ready; the server can become ready
+    std::optional<Duration> readyAt;       ///< first successful health check
+    std::optional<Duration> terminatedAt;  ///< when SIGTERM was sent
+    std::optional<Duration> killedAt;      ///< when SIGKILL was sent to the running process
     std::optional<Duration> endedAt;
-    bool killedWithoutNotice = false;  ///< without a notice before
+    bool killedWithoutNotice = false;  ///< by SIGKILL without SIGTERM before
     int exitCode = 0;
     int exitSignal = 0;
     double peakMemoryMb = 0;
     std::size_t peakDescriptors = 0;
-    double peakReservedKb = 0;          ///< of the worker pool's memory
-    double peakOverloadFraction = 0;    ///< mean over the overload window, as a fraction of what it bears
-    std::string sanitizerReport;        ///< empty without one
-    std::uint64_t unreadableBytes = 0;  ///< responses that were no frame
-    /// Requests read less those that ended, by the counters that the server prints at a graceful end: what
-    /// it read in its last moments no client can tell from what it never read.
+    double peakReservedKb = 0;  ///< reserved memory of the worker pool
+    double peakOverloadFraction =
+        0;                        ///< mean runs on the cores over the overload window, relative to the limit
+    std::string sanitizerReport;  ///< first line; empty if there is none
+    std::uint64_t unreadableBytes = 0;  ///< number of responses that could not be decoded
+    /// Requests read minus requests ended, from the counters that the server prints after a graceful
+    /// shutdown. A client cannot distinguish a request that was read just before the exit from one that was
+    /// never read.
     std::int64_t unansweredByCounters = 0;
 };
 
-/// A time in which the machine stood still: the server was stopped, or the observer did not run.
+/// A period in which the machine stalled: the server was stopped, or the observer did not run.
 struct MachinePause {
     Duration from{0};
     Duration to{0};
 };
 
-/// What a class of requests is to the rules.
+/// The properties of a request class that the rules depend on.
 struct ObservedRequestClass {
     std::string name;
     Idempotency idempotency = Idempotency::Idempotent;
 };
 
-/// Everything that one run of the soak saw.
+/// All observations of one soak run.
 struct Observations {
     std::vector<ObservedRequestClass> classes;
     std::vector<Attempt> attempts;
@@ -116,7 +117,7 @@
     std::vector<RegistryReport> reports;
     std::vector<Incarnation> incarnations;
     std::vector<MachinePause> pauses;
-    // What the server was configured with.
+    // Configuration of the server.
     Duration drainGrace{0};
     double memoryLimitMb = 0;
     std::size_t descriptorLimit = 0;
--- a/tests/soak/plan.cpp
+++ b/tests/soak/plan.cpp
@@ -11,7 +11,7 @@
 
 using namespace std::chrono_literals;
 
-// The worker pool of the runs has two cores and requests of 15 ms on the mean.
+// The worker pool has two cores, and a request takes 15 ms of work on average.
 constexpr double kCapacityPerSecond = 130;
 
 using File = PlannedSignal::File;
@@ -27,7 +27,7 @@
         signals.push_back({random.between(least, most), SIGHUP, generateFile(random)});
 }
 
-// SIGTERM comes at 0; what comes before it has a negative time.
+// Times are relative to SIGTERM; signals before it have a negative time.
 std::vector<PlannedSignal> generateSignals(const SoakPlan& plan, RandomGenerator& random) {
     std::vector<PlannedSignal> signals = {{0ms, SIGTERM, File::Same}};
     switch (random.between(0, 5)) {
@@ -76,7 +76,7 @@
 }  // namespace
 
 std::int64_t RandomGenerator::between(std::int64_t least, std::int64_t most) {
-    // Not by a distribution of the library, whose draws may differ between libraries.
+    // The distributions of the standard library may give different values in different implementations.
     const auto range = static_cast<std::uint64_t>(most - least) + 1;
     return least + static_cast<std::int64_t>(engine_() % range);
 }
@@ -120,7 +120,7 @@
          << " sockets=" << sockets << (overload ? " overload" : "") << " idle_connections=" << idleConnections
          << " requests_per_s=" << requestsPerSecond << " clients=" << clients << "x" << connectionsPerClient
          << " slow_readers=" << slowReaders << " ignore_goaway=" << clientsIgnoringGoaway
-         << (poolSplitsNotices ? " pool_pieces" : "") << (dependencyHangs ? " hung_calls" : "");
+         << (poolSplitsNotices ? " pool_splits_notices" : "") << (dependencyHangs ? " dependency_hangs" : "");
     for (const IncarnationPlan& incarnation : incarnations) {
         text << "\n  incarnation: " << (incarnation.end == IncarnationPlan::End::Kill ? "killed" : "drains")
              << " after traffic_ms=" << incarnation.traffic / 1ms
@@ -131,10 +131,10 @@
              << (incarnation.registrySilent ? " registry_silent" : "")
              << " registry_delay_ms=" << incarnation.registryDelay / 1ms;
         if (incarnation.pauseDuration > 0ms)
-            text << " stopped_at_ms=" << incarnation.pausedAt / 1ms
+            text << " paused_at_ms=" << incarnation.pausedAt / 1ms
                  << " for_ms=" << incarnation.pauseDuration / 1ms;
         if (incarnation.connectionBreaksAt > 0ms)
-            text << " link_breaks_at_ms=" << incarnation.connectionBreaksAt / 1ms;
+            text << " connection_breaks_at_ms=" << incarnation.connectionBreaksAt / 1ms;
         if (incarnation.end == IncarnationPlan::End::Drain)
             for (const PlannedSignal& signal : incarnation.signals)
                 text << " " << (signal.number == SIGTERM ? "TERM" : "HUP") << "@" << signal.at / 1ms << "ms"
--- a/tests/soak/plan.h
+++ b/tests/soak/plan.h
@@ -1,6 +1,6 @@
 /// @file
-/// What one run of the soak does, drawn from one seed: the same seed draws the same plan again. What comes of
-/// it depends on the machine's timing.
+/// The plan of one soak run, generated from a seed: the same seed gives the same plan. The outcome of the run
+/// also depends on the timing of the machine.
 #pragma once
 
 #include <cstdint>
@@ -12,72 +12,75 @@
 
 namespace cottonwing::soak {
 
-/// The chance of a run.
+/// The random generator of a soak run.
 class RandomGenerator {
 public:
     explicit RandomGenerator(std::uint64_t seed) : engine_(seed) {}
-    /// @return from `least` to `most`, both included.
+    /// @return a uniformly distributed value from `least` to `most`, both included.
     std::int64_t between(std::int64_t least, std::int64_t most);
     Duration between(Duration least, Duration most);
+    /// @return true with probability 1/number.
     bool oneIn(int number) { return between(1, number) == 1; }
+    /// @return true with a probability of `number` percent.
     bool withPercent(int number) { return between(1, 100) <= number; }
-    /// @return a time between two arrivals of this rate a second.
+    /// @param rate arrivals per second
+    /// @return an exponentially distributed time between two arrivals.
     Duration nextInterarrivalTime(double rate);
 
 private:
     std::mt19937_64 engine_;
 };
 
-/// A signal to the server, at a time counted from the end's first signal.
+/// A signal to the server, at a time relative to the first SIGTERM.
 struct PlannedSignal {
     Duration at{0};
     int number = 0;
-    /// What lies in the configuration file by then.
+    /// The content of the configuration file at that time.
     enum class File { Same, OtherAddresses, Malformed };
     File file = File::Same;
 };
 
-/// One incarnation of the server process.
+/// The plan for one incarnation of the server process.
 struct IncarnationPlan {
     Duration poolStartsAfter{0};
     bool poolStartsCold = false;
-    bool poolRestarts = false;  ///< together with the server; else its runs go on
-    Duration traffic{0};        ///< from the first good health check to the end's first signal
+    bool poolRestarts = false;  ///< with the server; otherwise its runs continue
+    Duration traffic{0};        ///< from the first successful health check to the end phase
     bool endsBeforeReady = false;
     enum class End { Drain, Kill };
     End end = End::Drain;
-    std::vector<PlannedSignal> signals;  ///< of a drain; its first SIGTERM starts the time to the kill
+    std::vector<PlannedSignal> signals;  ///< of a drain; the first SIGTERM starts the shutdown timeout
     bool registrySilent = false;
     Duration registryDelay{0};
-    Duration pausedAt{0};            ///< SIGSTOP, from the first good health check
-    Duration pauseDuration{0};       ///< 0: not stopped
-    Duration connectionBreaksAt{0};  ///< the worker pool closes its connection; 0: it does not
+    Duration pausedAt{0};            ///< time of SIGSTOP after the first successful health check
+    Duration pauseDuration{0};       ///< 0: no SIGSTOP
+    Duration connectionBreaksAt{0};  ///< when the worker pool closes its connection; 0: never
 };
 
-/// One whole run.
+/// The plan of a complete run.
 struct SoakPlan {
     std::uint64_t seed = 0;
     std::vector<IncarnationPlan> incarnations;
     // Configuration.
     Duration shutdownTimeout{0};  ///< `stop_ms`
-    Duration drainGrace{0};       ///< of the settings
+    Duration drainGrace{0};       ///< `drain_grace_us`
     int sockets = 256;
     // Load.
-    bool overload = false;
+    bool overload = false;  ///< three to five times the capacity, and idle connections up to the limit
     int idleConnections = 0;
     double requestsPerSecond = 0;
     int clients = 4;
     int connectionsPerClient = 3;
-    int slowReaders = 0;            ///< of the clients
-    int clientsIgnoringGoaway = 0;  ///< of the clients: they use their connections until the kill
+    int slowReaders = 0;            ///< clients that pause reading
+    int clientsIgnoringGoaway = 0;  ///< clients that use their connections until the kill
     bool poolSplitsNotices = false;
     bool dependencyHangs = false;
 
-    /// One line that tells what was drawn.
+    /// @return a description of the plan for the test's output.
     std::string describe() const;
 };
 
-/// Draws the plan of a seed.
+/// @return the plan that the seed determines.
 SoakPlan generatePlan(std::uint64_t seed);
 
 }  // namespace cottonwing::soak
--- a/tests/soak/restart_soak_test.cpp
+++ b/tests/soak/restart_soak_test.cpp
@@ -1,9 +1,9 @@
 /// @file
-/// The soak of restarts: the real program between its peers, started, signalled and killed as plans drawn
-/// from seeds have it, judged from outside.
+/// Soak test of restarts: the real server with its peers is started, signalled and killed as plans generated
+/// from seeds define, and its behaviour is checked from outside.
 ///
-/// COTTONWING_SOAK_SEEDS chooses the seeds, as `1-50` (default 1-12); GoogleTest's sharding runs them side by
-/// side. With COTTONWING_SOAK_KEEP set, configurations and logs are kept in the folder of temporary files.
+/// COTTONWING_SOAK_SEEDS selects the seeds, such as `1-50` (default 1-12); GoogleTest's sharding runs them in
+/// parallel. If COTTONWING_SOAK_KEEP is set, configurations and logs stay in the folder for temporary files.
 #include <gtest/gtest.h>
 #include <sys/resource.h>
 #include <unistd.h>
@@ -29,7 +29,7 @@
     return range;
 }
 
-// The observer holds a crowd of connections itself.
+// The test process itself holds hundreds of connections.
 void raiseDescriptorLimit() {
     rlimit limit{};
     getrlimit(RLIMIT_NOFILE, &limit);
@@ -57,7 +57,7 @@
 void report(const SoakPlan& plan, const SoakRun& run, const std::vector<Violation>& violations) {
     constexpr std::size_t kMaxReported = 3;
     ADD_FAILURE() << violations.size() << " violations; " << plan.describe()
-                  << "\nrun again: COTTONWING_SOAK_SEEDS=" << plan.seed
+                  << "\nto reproduce: COTTONWING_SOAK_SEEDS=" << plan.seed
                   << " cottonwing_soak_tests --gtest_filter='*RestartSoak*'";
     for (std::size_t at = 0; at < std::min(kMaxReported, violations.size()); ++at) {
         const Violation& violation = violations[at];
@@ -72,7 +72,8 @@
 
 class RestartSoak : public ::testing::TestWithParam<std::uint64_t> {};
 
-// Guards against a request that is lost, run twice or run late around restarts, drains and kills.
+// Guards against requests that are lost, run twice or run after the drain grace around restarts, drains and
+// kills.
 TEST_P(RestartSoak, KeepsTheRules) {
     raiseDescriptorLimit();
     const SoakPlan plan = generatePlan(GetParam());
--- a/tests/soak/rules.cpp
+++ b/tests/soak/rules.cpp
@@ -11,11 +11,11 @@
 
 using namespace std::chrono_literals;
 
-// PROTOCOL.md, "The rules on sockets": every time limit is 50 ms longer.
+// PROTOCOL.md, "The rules on sockets": every time limit is extended by 50 ms.
 constexpr Duration kTimingTolerance = 50ms;
-// PROTOCOL.md, "Sidecars to backends": what crosses a close within this time is sent once more.
+// PROTOCOL.md, "Sidecars to backends": a request that crosses a close within this time is sent again.
 constexpr Duration kCloseRaceWindow = 50ms;
-// The regression's terms: nine in ten restarts are ready in this time.
+// The terms of the regression: nine in ten restarts are ready within this time.
 constexpr Duration kMaxStartupTime = 10s;
 
 class RuleChecker {
@@ -44,7 +44,7 @@
         return observations_.classes[static_cast<std::size_t>(attempt.requestClass)].idempotency;
     }
 
-    // The time between two moments that counts: during a pause of the machine none does.
+    // The time between two points without the pauses of the machine.
     Duration elapsed(Duration from, Duration to) const {
         Duration time = to - from;
         for (const MachinePause& pause : observations_.pauses)
@@ -52,7 +52,8 @@
         return time;
     }
 
-    // How long after its deadline; WIRE: that is in no case prior to the reading.
+    // The time since the deadline of the attempt. WIRE: a deadline is never earlier than the reading of the
+    // request.
     Duration lateness(const Attempt& attempt, Duration at) const {
         const Duration given = std::max(Duration(0), attempt.deadline - *attempt.writtenAt);
         return elapsed(*attempt.writtenAt, at) - given;
@@ -60,7 +61,7 @@
 
     void checkAnswers(const Attempt& attempt) {
         if (!attempt.writtenAt) return;
-        if (attempt.responses.size() > 1) violation(Rule::Duplicate, "a second answer", attempt.id);
+        if (attempt.responses.size() > 1) violation(Rule::Duplicate, "answered twice", attempt.id);
         if (attempt.responses.empty()) return checkUnanswered(attempt);
         const Response& response = attempt.responses.front();
         checkResponseTime(attempt, response);
@@ -75,7 +76,7 @@
             violation(Rule::Lost, "answered " + milliseconds(late) + " after its deadline", attempt.id);
     }
 
-    // PROTOCOL.md: an answer 'served' with what no run made for the request.
+    // PROTOCOL.md: a 'served' answer must contain a result that a run produced for the request.
     void checkResult(const Attempt& attempt, const Response& response) {
         const bool made =
             std::any_of(observations_.runs.begin(), observations_.runs.end(), [&](const ObservedRun& run) {
@@ -84,10 +85,10 @@
                 if (found == attempts_.end()) return false;
                 return run.id == attempt.id || (!attempt.key.empty() && found->second->key == attempt.key);
             });
-        if (!made) violation(Rule::Lost, "served with a result that no run made", attempt.id);
+        if (!made) violation(Rule::Lost, "served with a result that no run produced", attempt.id);
     }
 
-    // WIRE: once a try of a request that is not idempotent has run, it is not refused.
+    // WIRE: once an attempt of a request that is not idempotent has run, the request is not rejected.
     void checkRejection(const Attempt& attempt, const Response& response) {
         if (idempotencyOf(attempt) == Idempotency::Idempotent) return;
         for (const ObservedRun* const run : runsOf(attempt.id))
@@ -108,8 +109,9 @@
         violation(Rule::Lost, "no answer on an open connection", attempt.id);
     }
 
-    // Excused are: what an instance held that was killed outright; a request that crossed the close and never
-    // ran, which its client sends once more; and one on a new connection that was closed having run nothing.
+    // Not a violation: an open request of an instance that was killed without notice; a request that crossed
+    // the close and never ran, as its client sends it again; and a request that never ran on a new connection
+    // that was closed.
     void checkClosed(const Attempt& attempt, const Incarnation& incarnation) {
         const Duration closed = attempt.connectionEndedAt;
         const bool inTime = lateness(attempt, closed) <= kTimingTolerance;
@@ -130,14 +132,14 @@
         for (const ObservedRun& run : observations_.runs) {
             const auto found = attempts_.find(run.id);
             if (found == attempts_.end()) {
-                violation(Rule::Lost, "a run of a request that nobody sent", run.id);
+                violation(Rule::Lost, "run of a request that no client sent", run.id);
                 continue;
             }
             const Attempt& attempt = *found->second;
             const std::string& requestClass =
                 observations_.classes[static_cast<std::size_t>(attempt.requestClass)].name;
             if (run.body != attempt.body || run.requestClass != requestClass)
-                violation(Rule::Lost, "its body or class reached the worker pool changed", run.id);
+                violation(Rule::Lost, "body or request class changed on the way to the worker pool", run.id);
             checkDrain(run, attempt);
         }
     }
@@ -151,7 +153,8 @@
                       run.id);
     }
 
-    // What may run once: by its first attempt, or by its key within one incarnation of the server.
+    // A request that may run only once is identified by its first attempt, or by its key within one
+    // incarnation of the server.
     void checkEffects() {
         std::set<std::string> ran;
         for (const ObservedRun& run : observations_.runs) {
@@ -174,7 +177,7 @@
             if (found == attempts_.end() || idempotencyOf(*found->second) == Idempotency::Idempotent)
                 continue;
             if (!made.emplace(call.id, call.segment).second)
-                violation(Rule::Duplicate, "its dependency call was made again", call.id);
+                violation(Rule::Duplicate, "dependency call made twice", call.id);
         }
     }
 
@@ -195,8 +198,8 @@
         if (!incarnation.sanitizerReport.empty()) violation(Rule::Sanitizer, incarnation.sanitizerReport);
         if (incarnation.unansweredByCounters != 0)
             violation(Rule::Lost, std::to_string(incarnation.unansweredByCounters) +
-                                      " requests read and not ended, by its own counters");
-        if (incarnation.unreadableBytes > 0) violation(Rule::Lost, "an answer that can't be read");
+                                      " requests read but not ended, by the counters of the server");
+        if (incarnation.unreadableBytes > 0) violation(Rule::Lost, "answer could not be decoded");
     }
 
     void checkEnd(const Incarnation& incarnation) {
@@ -204,7 +207,7 @@
         if (incarnation.killedWithoutNotice) {
             if (incarnation.exitSignal == 0)
                 violation(Rule::Lifecycle,
-                          "ended by itself, with exit code " + std::to_string(incarnation.exitCode));
+                          "exited before the kill, with exit code " + std::to_string(incarnation.exitCode));
             return;
         }
         if (!incarnation.terminatedAt)
@@ -212,11 +215,11 @@
                                                   std::to_string(incarnation.exitCode));
         if (incarnation.killedAt)
             return violation(Rule::Lifecycle,
-                             "had not ended " +
+                             "still running " +
                                  milliseconds(*incarnation.killedAt - *incarnation.terminatedAt) +
-                                 " after SIGTERM, when the kill came");
+                                 " after SIGTERM, when it was killed");
         if (incarnation.exitCode != 0 || incarnation.exitSignal != 0)
-            violation(Rule::Lifecycle, "the shutdown ended with exit code " +
+            violation(Rule::Lifecycle, "shutdown ended with exit code " +
                                            std::to_string(incarnation.exitCode) + ", signal " +
                                            std::to_string(incarnation.exitSignal));
     }
--- a/tests/soak/rules.h
+++ b/tests/soak/rules.h
@@ -1,5 +1,6 @@
 /// @file
-/// Judges what a soak run saw by the rules of the users' pages, from outside alone.
+/// Checks the observations of a soak run against the rules of the service's specification (PROTOCOL.md,
+/// WIRE). It uses nothing but what is visible outside the server.
 #pragma once
 
 #include <string>
@@ -9,26 +10,26 @@
 
 namespace cottonwing::soak {
 
-/// The rules, by the names that the pages give them.
+/// The rules, by the names in the specification.
 enum class Rule {
-    Lost,       ///< a request without its one readable final answer in time
-    Duplicate,  ///< a second answer, a second effect, or a refusal of what has run
-    Drain,      ///< a run of what arrived after the drain grace
-    Limits,     ///< memory, descriptors, the worker pool's memory or its cores
-    Lifecycle,  ///< a crash, a start that was refused or too slow, an end that was not in order
+    Lost,       ///< a request without exactly one readable final answer in time
+    Duplicate,  ///< a second answer, a second effect, or a rejection after a run
+    Drain,      ///< a run of a request that arrived after the drain grace
+    Limits,     ///< memory, descriptors, memory or cores of the worker pool
+    Lifecycle,  ///< a crash, a failed or slow start, or an end that was not graceful
     Sanitizer
 };
 
 const char* nameOfRule(Rule rule);
 
-/// One broken rule.
+/// A violation of a rule.
 struct Violation {
     Rule rule;
     std::string what;
-    std::string attempt;  ///< the attempt concerned; empty where the process is concerned
+    std::string attempt;  ///< id of the attempt concerned; empty if it concerns the process
 };
 
-/// @return every broken rule, in the order of the rules.
+/// @return all violations, in the order of the rules.
 std::vector<Violation> checkRules(const Observations& observations);
 
 }  // namespace cottonwing::soak
--- a/tests/soak/rules_test.cpp
+++ b/tests/soak/rules_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The soak's rules notice each way in which a history can break them.
+/// The rules of the soak detect each kind of violation.
 #include "soak/rules.h"
 
 #include <gtest/gtest.h>
@@ -15,7 +15,8 @@
 constexpr Duration kStart = 1000s;
 constexpr Duration kShutdownNotice = kStart + 5s;
 
-// One incarnation that serves one request of a class that may run once, and ends in order; no rule is broken.
+// Observations without a violation: one incarnation that serves one request of a class that may run only once
+// and shuts down gracefully.
 class SoakRules : public ::testing::Test {
 protected:
     SoakRules() {
@@ -68,7 +69,7 @@
         target.connectionEndedAt = *target.writtenAt + after;
         target.connectionHadResponse = connectionHadResponse;
     }
-    // What is broken, each rule once.
+    // The violated rules, each once.
     std::vector<Rule> brokenRules() const {
         std::vector<Rule> rules;
         for (const Violation& violation : checkRules(observations)) rules.push_back(violation.rule);
@@ -96,7 +97,7 @@
     observations.attempts.back().responses[0].at += 1ms;
     EXPECT_EQ(brokenRules(), RuleList{Rule::Lost});
     observations.pauses = {{kStart + 1500ms, kStart + 1600ms}};
-    EXPECT_EQ(brokenRules(), RuleList{}) << "the machine stood still meanwhile";
+    EXPECT_EQ(brokenRules(), RuleList{}) << "the machine was paused meanwhile";
 }
 
 TEST_F(SoakRules, ARequestThatCrossesACloseIsExcusedAndAnOlderOneIsNot) {
@@ -106,7 +107,7 @@
     closedByServer("a2", 51ms);
     EXPECT_EQ(brokenRules(), RuleList{Rule::Lost});
     closedByServer("a2", 51ms, false);
-    EXPECT_EQ(brokenRules(), RuleList{}) << "a new connection on which nothing ran";
+    EXPECT_EQ(brokenRules(), RuleList{}) << "a new connection without a run";
 }
 
 TEST_F(SoakRules, ARequestThatRanAndHasNoAnswerIsLostHoweverLate) {
@@ -127,7 +128,7 @@
     closedByServer("a2", 201ms);
     EXPECT_EQ(brokenRules(), RuleList{});
     attempt("a2").deadline = kStart + 1100ms;
-    EXPECT_EQ(brokenRules(), RuleList{Rule::Lost}) << "its deadline had passed before";
+    EXPECT_EQ(brokenRules(), RuleList{Rule::Lost}) << "the deadline had passed before the kill";
 }
 
 TEST_F(SoakRules, AResultThatNoRunMadeIsLost) {
@@ -179,7 +180,7 @@
     answerServed("k1");
     add("k2", 2).key = "key";
     answer("k2", Response::Kind::Served, 30ms, "result of k1");
-    EXPECT_EQ(brokenRules(), RuleList{}) << "answered from the other's result";
+    EXPECT_EQ(brokenRules(), RuleList{}) << "answered with the stored result of the first attempt";
     run("k2");
     EXPECT_EQ(brokenRules(), RuleList{Rule::Duplicate});
     observations.incarnations.push_back(observations.incarnations[0]);
@@ -195,7 +196,7 @@
 
 TEST_F(SoakRules, ADependencyCallThatIsMadeAgainIsADuplicate) {
     observations.calls = {{"a1", 0, 0}, {"a1", 1, 0}};
-    EXPECT_EQ(brokenRules(), RuleList{}) << "two calls of one run";
+    EXPECT_EQ(brokenRules(), RuleList{}) << "two different calls of one run";
     observations.calls.push_back({"a1", 1, 0});
     EXPECT_EQ(brokenRules(), RuleList{Rule::Duplicate});
 }
--- a/tests/soak/soak_run.cpp
+++ b/tests/soak/soak_run.cpp
@@ -22,14 +22,13 @@
 using testing::Json;
 
 constexpr Duration kTick = 1ms;
-constexpr Duration kObserverStallThreshold =
-    10ms;                                   // between two ticks: meanwhile nothing was read or written
-constexpr Duration kSampleInterval = 50ms;  // at the process's memory and descriptors
-constexpr Duration kStartupTimeout = 31s;   // STANDING.md: over 30 s to be ready is a crash
+constexpr Duration kObserverStallThreshold = 10ms;  // between two ticks; nothing is read or written meanwhile
+constexpr Duration kSampleInterval = 50ms;          // of the memory and descriptors of the process
+constexpr Duration kStartupTimeout = 31s;           // STANDING.md: a start of over 30 s counts as a crash
 constexpr Duration kEarliestSignalLead =
-    410ms;                                // the earliest signal of a drain comes that long before SIGTERM
-constexpr Duration kRestartDelay = 20ms;  // until the next incarnation
-constexpr int kMemoryMb = 192;            // DEPLOY.md: the most on scored days
+    410ms;                                // the earliest signal of a drain precedes SIGTERM by up to 400 ms
+constexpr Duration kRestartDelay = 20ms;  // between two incarnations
+constexpr int kMemoryMb = 192;            // DEPLOY.md: the maximum on scored days
 constexpr double kPoolMemoryKb = 8000;
 
 WorkerPoolSettings poolSettings(const SoakPlan& plan) {
@@ -40,7 +39,7 @@
     return settings;
 }
 
-// Under an address of its own the port cannot be taken by a connection of somebody else between two
+// On an address of its own, the port cannot be taken by a connection of another process between two
 // incarnations.
 net::Address findFreeAddress(net::Loop& loop, std::uint64_t seed) {
     const std::string host = "127." + std::to_string(64 + getpid() % 128) + "." +
@@ -66,7 +65,7 @@
     return static_cast<std::size_t>(std::distance(begin(entries), end(entries)));
 }
 
-// Of the line of counters that the server prints at its end.
+// Evaluates the line of counters that the server prints at exit.
 std::int64_t countUnanswered(const std::string& counters) {
     const auto valueOf = [&](const std::string& name) -> std::int64_t {
         const std::size_t at = counters.find(" " + name + "=");
@@ -149,7 +148,7 @@
     pool_.serverStarted();
     registry_.behave(plan.registrySilent, plan.registryDelay);
     writeConfig(PlannedSignal::File::Same);
-    recorder_.log("process", "starts, incarnation " + std::to_string(number));
+    recorder_.log("process", "started, incarnation " + std::to_string(number));
     process_ = std::make_unique<loadtest::ChildProcess>(
         loop_, program_, std::vector<std::string>{},
         std::map<std::string, std::string>{{"GW_NAME", "n3"},
@@ -186,7 +185,7 @@
                                {"ramp_time_us", 2000000}};
     std::string text = config.dump();
     if (file == PlannedSignal::File::Malformed) text.resize(text.size() / 2);
-    // In one step, as the program may read it at any time.
+    // Replaced atomically, as the server may read the file at any time.
     std::ofstream(folder_ + "/next.json") << text;
     std::filesystem::rename(folder_ + "/next.json", folder_ + "/start.json");
 }
@@ -235,7 +234,7 @@
     scheduleKill(plan_.shutdownTimeout);
 }
 
-// The kill comes when the stop time has passed without the machine's pauses.
+// Kills the process when the shutdown timeout has passed, not counting pauses of the machine.
 void SoakRun::scheduleKill(Duration unpaused) {
     scheduleWhileRunning(net::unixNow() + unpaused, [this] {
         const Duration since = *recorder_.current().terminatedAt, now = net::unixNow();
@@ -274,7 +273,7 @@
 void SoakRun::killWithoutNotice() {
     recorder_.current().killedWithoutNotice = true;
     recorder_.current().killedAt = net::unixNow();
-    recorder_.log("process", "SIGKILL outright");
+    recorder_.log("process", "SIGKILL without notice");
     process_->sendSignal(SIGKILL);
     endPause();
 }
--- a/tests/soak/soak_run.h
+++ b/tests/soak/soak_run.h
@@ -1,5 +1,5 @@
 /// @file
-/// Plays one plan: the real server process between the peers of the soak, through its incarnations.
+/// Executes one plan: runs the real server process with the peers of the soak through all incarnations.
 #pragma once
 
 #include <memory>
@@ -17,21 +17,22 @@
 
 namespace cottonwing::soak {
 
+/// One run of the soak.
 class SoakRun {
 public:
-    /// @param program the server's path
-    /// @param folder  for its configuration and its logs; it has to exist
+    /// @param program path of the server program
+    /// @param folder  existing folder for its configuration and logs
     SoakRun(SoakPlan plan, std::string program, std::string folder);
     ~SoakRun();
 
-    /// Plays the plan to its end.
+    /// Executes the plan.
     void run();
     const Recorder& recorder() const { return recorder_; }
-    /// Why the run itself failed, such as a program that can't be started; empty where it was played.
+    /// @return why the run could not be executed, such as a program that cannot be started; empty on success.
     const std::string& failure() const { return failure_; }
-    /// Signals sent, for the report of counts.
+    /// @return the number of SIGTERM and SIGHUP signals sent.
     int signalsSent() const { return signalsSent_; }
-    /// The log of one incarnation of the server.
+    /// @return the server's log of one incarnation.
     std::string logOf(std::size_t incarnation) const;
 
 private:
@@ -71,9 +72,9 @@
     net::Timer timer_;
     net::Address listen_;
     Duration lastTick_{0}, nextSample_{0};
-    Duration nextStartNotBefore_{0};  ///< the next incarnation: the kill's time, also after an earlier end
+    Duration nextStartNotBefore_{0};  ///< time of the kill, also if the process exits earlier
     bool otherAddresses_ = false, starting_ = false, done_ = false;
-    std::optional<Duration> pausedAt_;  ///< by SIGSTOP, and not going on yet
+    std::optional<Duration> pausedAt_;  ///< time of SIGSTOP, until SIGCONT
     int signalsSent_ = 0;
     std::string failure_;
 };
--- a/tests/soak/worker_pool_process.cpp
+++ b/tests/soak/worker_pool_process.cpp
@@ -16,9 +16,9 @@
 
 constexpr std::size_t kMaxStoredNotices = 4000;  // PROTOCOL.md, "The worker pool"
 constexpr Duration kReservedAfter = 100ms;       // PROTOCOL.md: a request counts 0.1 s after it was written
-constexpr Duration kSampleInterval = 10ms;       // at what is booked and what runs
+constexpr Duration kSampleInterval = 10ms;       // of the reserved memory and the runs on the cores
 constexpr Duration kPieceDelay = 3ms;
-constexpr int kSplitOneIn = 6, kRepeatOneIn = 12;  // of the notices
+constexpr int kSplitOneIn = 6, kRepeatOneIn = 12;  // fractions of the notices
 
 loadtest::CoresConfig coreTerms(const WorkerPoolSettings& settings) {
     loadtest::CoresConfig terms;
@@ -151,9 +151,9 @@
     if (attempt == nullptr || attempt->incarnation != recorder_.currentIndex() ||
         std::sscanf(body.c_str(), "work_us=%lld calls=%d", &work, &calls) != 2)
         return send(Json{{"type", "unknown"}, {"state", "spawn"}, {"job", id}}.dump() + "\n");
-    if (findJob(id) != jobs_.end()) return;  // it runs already
+    if (findJob(id) != jobs_.end()) return;  // already running
     if (recorder_.isNoLongerAwaited(id)) {
-        recorder_.log("pool", "asked to start what is over: void", id);
+        recorder_.log("pool", "start of a request that is no longer awaited: void", id);
         return sendNotice({{"type", "finished"}, {"job", id}, {"state", "void"}, {"took", 0}, {"data", ""}});
     }
     const Duration now = net::unixNow();
@@ -170,7 +170,8 @@
     cores_.add(number, job.segmentWork, now);
 }
 
-// A run whose request is over is stopped; another goes on, as this program has no use for a paused run.
+// Cancels the run if its request is no longer awaited. Otherwise the run continues, as the server under test
+// does not use suspended runs.
 void WorkerPoolProcess::suspend(const std::string& id) {
     const auto found = findJob(id);
     if (found == jobs_.end() || !recorder_.isNoLongerAwaited(id)) return;
@@ -190,7 +191,7 @@
     if (found == jobs_.end()) return;
     Job& job = found->second;
     if (job.incarnation != recorder_.currentIndex())
-        return void(jobs_.erase(found));  // of a server that is gone
+        return void(jobs_.erase(found));  // run of an earlier incarnation
     if (job.callsLeft == 0) {
         const std::string result = "result of " + job.id + " run " + std::to_string(job.run);
         recorder_.observations.runs[job.run].result = result;
@@ -198,7 +199,7 @@
     }
     --job.callsLeft;
     job.blocked = true;
-    recorder_.log("pool", "the run waits for its call", job.id);
+    recorder_.log("pool", "run waits for its dependency call", job.id);
     sendNotice(
         {{"type", "blocked"}, {"job", job.id}, {"data", worker_pool::encodeBase64("call of " + job.id)}});
 }
@@ -206,7 +207,7 @@
 void WorkerPoolProcess::finish(std::uint64_t number, const std::string& state, const std::string& result) {
     const std::string id = jobs_.at(number).id;
     jobs_.erase(number);
-    recorder_.log("pool", "the run has ended: " + state, id);
+    recorder_.log("pool", "run ended: " + state, id);
     sendNotice({{"type", "finished"},
                 {"job", id},
                 {"state", state},
@@ -262,7 +263,7 @@
     if (now - upAt_ < settings_.overloadWindow) return;
     double sum = 0;
     for (const auto& [at, running] : runsOnCores_) sum += running;
-    // WIRE, rule 4: cores times 1 + (fall multiple - 1) times the present share of speed.
+    // WIRE, rule 4: cores * (1 + (fall multiple - 1) * current fraction of the speed).
     const double warmed = settings_.warmUpTime > 0ns ? (now - startedAt_) / (1.0 * settings_.warmUpTime) : 1;
     const double speed =
         cold_ ? std::min(1.0, settings_.coldFraction + (1 - settings_.coldFraction) * warmed) : 1.0;
@@ -279,7 +280,7 @@
         sum += job.memoryKb * settings_.runMemoryFactor;
         runs[job.id] = true;
     }
-    // Those written lately suffice: no request of the soak waits longer than a few seconds.
+    // The latest attempts suffice, as no request of the soak waits longer than a few seconds.
     const auto& attempts = recorder_.observations.attempts;
     const std::size_t from = attempts.size() > 4096 ? attempts.size() - 4096 : 0;
     for (std::size_t place = from; place < attempts.size(); ++place) {
--- a/tests/soak/worker_pool_process.h
+++ b/tests/soak/worker_pool_process.h
@@ -1,6 +1,6 @@
 /// @file
-/// The worker pool's process in a soak run: it outlives the server or restarts with it, shares its cores
-/// among its runs, and numbers its notices afresh for each start of the server.
+/// The worker pool of a soak run: it outlives the server or restarts with it, shares its cores among its
+/// runs, and restarts the numbering of its notices with each start of the server.
 #pragma once
 
 #include <deque>
@@ -18,32 +18,34 @@
 
 namespace cottonwing::soak {
 
-/// What a soak's worker pool is like.
+/// Configuration of the worker pool.
 struct WorkerPoolSettings {
     int cores = 2;
-    double overloadFactor = 8;  ///< mean runs a core that it bears
+    double overloadFactor = 8;  ///< maximum mean number of runs per core when warm
     Duration overloadWindow{0};
     double runMemoryFactor = 4;
-    double coldFraction = 0.3;  ///< of its speed, right after a cold start
+    double coldFraction = 0.3;  ///< fraction of its speed right after a cold start
     Duration warmUpTime{0};
-    bool splitsNotices = false;  ///< some notices in two pieces, some twice
+    bool splitsNotices = false;  ///< sends some notices in two pieces and some twice
 };
 
-/// The body of a request of the soak: the work of its run and how many calls it makes.
+/// @return a request body that contains the work of the run and its number of dependency calls.
 std::string requestBody(Duration work, int calls, std::uint64_t unique);
 
+/// The emulated worker pool process.
 class WorkerPoolProcess {
 public:
     WorkerPoolProcess(net::Loop& loop, const WorkerPoolSettings& settings, RandomGenerator& random,
                       Recorder& recorder);
 
-    /// The two addresses that it listens on.
+    /// @param other selects the second of the two addresses that it listens on
     net::Address address(bool other) const { return (other ? second_ : first_)->address(); }
-    /// A new incarnation of the server has begun: notices are numbered afresh.
+    /// Called when a new incarnation of the server starts: restarts the numbering of notices.
     void serverStarted();
-    /// The process has started anew; it is up after a while, and empty.
+    /// Restarts the process without any runs.
+    /// @param upAfter time until it is ready
     void restart(bool cold, Duration upAfter);
-    /// Looks at runs that have ended; called every millisecond.
+    /// Processes runs that have ended; called every millisecond.
     void tick(Duration now);
     void breakConnection();
     bool isBlocked(const std::string& id) const;
@@ -53,7 +55,7 @@
     struct Job {
         std::string id;
         std::size_t incarnation = 0;
-        std::size_t run = 0;  ///< its place among the observed runs
+        std::size_t run = 0;  ///< index in the observed runs
         double segmentWork = 0;
         int callsLeft = 0, segment = 0;
         bool blocked = false;
@@ -83,11 +85,11 @@
     Recorder& recorder_;
     loadtest::Cores cores_;
     std::unique_ptr<testing::FakeServer> first_, second_;
-    // The connection that sent `bind` last.
+    // The connection that sent the latest `bind`.
     testing::FakeServer* server_ = nullptr;
     int connectionNumber_ = 0;
     std::optional<std::uint64_t> pendingBindAfter_;
-    std::string pendingPiece_;  ///< of a notice that is sent in two
+    std::string pendingPiece_;  ///< second half of a notice that is sent in two pieces
     Duration pieceDue_{0};
     std::deque<std::pair<std::uint64_t, std::string>> notices_;
     std::uint64_t lastNotice_ = 0, nextJob_ = 1;
@@ -95,7 +97,7 @@
     Duration upAt_{0}, startedAt_{0};
     bool cold_ = false;
     Duration nextSample_{0};
-    std::deque<std::pair<Duration, double>> runsOnCores_;  ///< of the overload window
+    std::deque<std::pair<Duration, double>> runsOnCores_;  ///< samples of the overload window
 };
 
 }  // namespace cottonwing::soak
