--- a/src/loadtest/experiment.cpp
+++ b/src/loadtest/experiment.cpp
@@ -127,15 +127,15 @@
     }
     if (const kdl::Node* const found = in.child("records")) {
         kdl::NodeReader inner(*found);
-        DependencyConfig& records = config->dependency;
-        inner.property("slots", records.slots, kdl::integerBetween(1, 1000000));
-        inner.property("line", records.queueCapacity, kdl::integerBetween(0, 1000000));
-        inner.property("crowd-slows", records.queueSlowdown, kdl::number);
-        inner.property("falls-at", records.overloadThreshold, kdl::number);
-        inner.property("down-for", records.downTime, kdl::duration);
-        inner.property("share", records.callQuota, kdl::number);
-        inner.property("share-over", records.quotaWindow, kdl::duration);
-        inner.property("linger", records.lingerTime, kdl::duration);
+        DependencyConfig& dependency = config->dependency;
+        inner.property("slots", dependency.slots, kdl::integerBetween(1, 1000000));
+        inner.property("line", dependency.queueCapacity, kdl::integerBetween(0, 1000000));
+        inner.property("crowd-slows", dependency.queueSlowdown, kdl::number);
+        inner.property("falls-at", dependency.overloadThreshold, kdl::number);
+        inner.property("down-for", dependency.downTime, kdl::duration);
+        inner.property("share", dependency.callQuota, kdl::number);
+        inner.property("share-over", dependency.quotaWindow, kdl::duration);
+        inner.property("linger", dependency.lingerTime, kdl::duration);
         inner.rejectUnknown();
     }
     if (const kdl::Node* const found = in.child("registry")) {
--- a/src/loadtest/main.cpp
+++ b/src/loadtest/main.cpp
@@ -228,10 +228,10 @@
     return 0;
 }
 
-int compareCommand(const std::string& a, const std::string& b) {
+int compareCommand(const std::string& firstFolder, const std::string& secondFolder) {
     std::map<std::string, double> earnedFractions[2];
     int side = 0;
-    for (const std::string& folder : {a, b}) {
+    for (const std::string& folder : {firstFolder, secondFolder}) {
         for (const Json& run : readResults(folder)["plays"])
             if (run.at("side") == "A")
                 earnedFractions[side][run.at("name").get<std::string>() + " seed " +
@@ -241,9 +241,9 @@
     }
     std::vector<double> pairs[2];
     for (const auto& [run, fraction] : earnedFractions[0])
-        if (const auto other = earnedFractions[1].find(run); other != earnedFractions[1].end()) {
-            pairs[0].push_back(fraction), pairs[1].push_back(other->second);
-            std::printf("%s: %.1f%% and %.1f%%\n", run.c_str(), fraction * 100, other->second * 100);
+        if (const auto match = earnedFractions[1].find(run); match != earnedFractions[1].end()) {
+            pairs[0].push_back(fraction), pairs[1].push_back(match->second);
+            std::printf("%s: %.1f%% and %.1f%%\n", run.c_str(), fraction * 100, match->second * 100);
         }
     if (pairs[0].empty())
         throw std::runtime_error("the two folders share no run with the same name and seed");
@@ -251,13 +251,13 @@
     return 0;
 }
 
-int drawCommand(const std::string& path, const std::string& to) {
+int drawCommand(const std::string& path, const std::string& tracePath) {
     const auto config = readLoadConfig(kdl::parseFile(path), path, false);
     const auto plan = makeRequestSchedule(config->schedule);
-    TraceWriter writer(to, config->schedule.requestClasses);
+    TraceWriter writer(tracePath, config->schedule.requestClasses);
     std::uint64_t count = 0;
     for (; const auto planned = plan->next(); ++count) writer.add(*planned);
-    if (!writer.close()) throw std::runtime_error(to + " could not be written completely");
+    if (!writer.close()) throw std::runtime_error(tracePath + " could not be written completely");
     std::cout << count << " requests\n";
     if (plan->skippedLines() > 0) std::cout << plan->skippedLines() << " unreadable trace lines skipped\n";
     return 0;
@@ -304,7 +304,7 @@
         "Exit codes: 0 success, 1 failure (also an invalid run or a violated invariant), 2 invalid "
         "arguments or input file.");
 
-    std::string file, jsonPath, exportPath, to, listen = "127.0.0.1:8080";
+    std::string file, jsonPath, exportPath, tracePath, listen = "127.0.0.1:8080";
     std::int64_t seed = -1;
     CLI::App* const loadSubcommand =
         app.add_subcommand("load", "send the load described in a file and report the results");
@@ -320,7 +320,7 @@
     CLI::App* const drawSubcommand =
         app.add_subcommand("draw", "write the scheduled requests of a file as a trace without sending them");
     drawSubcommand->add_option("FILE", file, "load description, in KDL")->required();
-    drawSubcommand->add_option("--to", to, "trace file to write")->required();
+    drawSubcommand->add_option("--to", tracePath, "trace file to write")->required();
     drawSubcommand->footer("Example:\n  cottonwing_lab draw deploy/lab/hello.kdl --to hello.csv");
 
     EmulatedThriftServerConfig answering;
@@ -360,14 +360,14 @@
         "deploy/lab/morning-spike.kdl --vs ../before/build/cottonwing "
         "--rounds 5");
 
-    std::string folder, other;
+    std::string folder, secondFolder;
     CLI::App* const reportSubcommand =
         app.add_subcommand("report", "regenerate the report page of an experiment from its results");
     reportSubcommand->add_option("DIR", folder, "results folder of the experiment")->required();
     CLI::App* const compareSubcommand = app.add_subcommand(
         "compare", "compare the value earned in two results folders, paired by experiment name and seed");
     compareSubcommand->add_option("A", folder, "first results folder")->required();
-    compareSubcommand->add_option("B", other, "second results folder")->required();
+    compareSubcommand->add_option("B", secondFolder, "second results folder")->required();
     try {
         app.parse(argc, argv);
     } catch (const CLI::ParseError& error) {
@@ -377,8 +377,8 @@
         if (loadSubcommand->parsed()) return loadCommand(file, jsonPath, exportPath, seed);
         if (runSubcommand->parsed()) return runCommand(options);
         if (reportSubcommand->parsed()) return reportCommand(folder);
-        if (compareSubcommand->parsed()) return compareCommand(folder, other);
-        if (drawSubcommand->parsed()) return drawCommand(file, to);
+        if (compareSubcommand->parsed()) return compareCommand(folder, secondFolder);
+        if (drawSubcommand->parsed()) return drawCommand(file, tracePath);
         if (scgiSubcommand->parsed()) {
             EmulatedScgiServerConfig scgi;
             scgi.serviceTime = Duration(static_cast<std::int64_t>(serviceTimeMs * 1e6));
--- a/src/loadtest/report.cpp
+++ b/src/loadtest/report.cpp
@@ -282,13 +282,13 @@
                                         sum += count.get<double>();
                                     return sum / s.at("width_s").get<double>();
                                 })});
-        for (const auto& [end, kind] : kOutcomes) {
+        for (const auto& [end, cssClass] : kOutcomes) {
             auto points = timeSeries(*side.firstRun, [&](const Json& s) {
                 return s.at("ends").at(end).get<double>() / s.at("width_s").get<double>();
             });
             const bool any =
                 std::any_of(points.begin(), points.end(), [](const auto& point) { return point.second > 0; });
-            if (any) rates.curves.push_back({end, kind, std::move(points)});
+            if (any) rates.curves.push_back({end, cssClass, std::move(points)});
         }
         plots.push_back(plotNode(rates));
     }
@@ -302,11 +302,11 @@
     int colorIndex = 0;
     for (const Side& side : sides) {
         const Json& run = *side.firstRun;
-        for (const auto& [key, name, kind] :
+        for (const auto& [key, name, cssClass] :
              {std::tuple{"p50_ms", "p50", "k0"}, std::tuple{"p99_ms", "p99", "k1"},
               std::tuple{"p999_ms", "p99.9", "k2"}})
             latencyOverTime.curves.push_back(
-                {withSide(side, name), kind + side.dashClass,
+                {withSide(side, name), cssClass + side.dashClass,
                  timeSeries(run, [key = key](const Json& s) { return s.at(key).get<double>(); })});
         Curve curve{withSide(side, "all handled"), "k" + std::to_string(colorIndex++), {}};
         for (const Json& point : run.at("load").at("tail"))
@@ -323,9 +323,9 @@
         std::size_t backendIndex = 0;
         for (const Json& backend : run.at("backends")) {
             if (backendIndex >= 7) break;
-            const std::string kind = "k" + std::to_string(backendIndex++) + side.dashClass;
+            const std::string cssClass = "k" + std::to_string(backendIndex++) + side.dashClass;
             const auto curveOf = [&](const char* key) {
-                Curve series{withSide(side, backend.at("name")), kind, {}};
+                Curve series{withSide(side, backend.at("name")), cssClass, {}};
                 for (const Json& sample : backend.at("samples"))
                     series.points.emplace_back(sample.at("at_s").get<double>(), sample.at(key).get<double>());
                 return series;
@@ -344,7 +344,8 @@
         for (const Json& requestClass : side.firstRun->at("load").at("profiles")) {
             std::vector<std::string> row = {withSide(side, requestClass.at("name")),
                                             requestClass.at("planned").dump()};
-            for (const auto& [end, kind] : kOutcomes) row.push_back(requestClass.at("ends").at(end).dump());
+            for (const auto& [end, cssClass] : kOutcomes)
+                row.push_back(requestClass.at("ends").at(end).dump());
             const double value = requestClass.at("worth");
             row.push_back(
                 formatNumber(value > 0 ? 100 * requestClass.at("earned").get<double>() / value : 0) + "%");
