--- a/src/loadtest/invariants/invariant_checker.cpp
+++ b/src/loadtest/invariants/invariant_checker.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 constexpr std::size_t kMaxViolations = 50;
-// Between the write of a request and its reading lies the loopback; a request
-// may only be blamed when it came clearly after the grace.
+// A request takes time on the loopback between its write and its read, so only one that was sent clearly
+// after the grace is a violation.
 constexpr Duration kLoopbackTolerance = std::chrono::milliseconds(50);
 }  // namespace
 
@@ -29,7 +29,7 @@
     all += now - std::exchange(attempt.countedKb, now);
     if (all > heapKb_ && !was)
         violation(Invariant::Overload, "instance " + std::to_string(attempt.instance) + ": " +
-                                           std::to_string(all) + " KB of commands");
+                                           std::to_string(all) + " KB of memory for requests");
 }
 
 void InvariantChecker::violation(Invariant invariant, const std::string& description) {
@@ -72,9 +72,9 @@
     const auto at = attempts_.find(trace);
     if (at == attempts_.end()) return;
     if (kind == ClientResponse::Kind::Busy && at->second.hasRun)
-        violation(Invariant::Duplicate, trace + " was bounced after it ran");
+        violation(Invariant::Duplicate, trace + " was rejected after it had run");
     if (kind == ClientResponse::Kind::Answer && !at->second.hasRun)
-        violation(Invariant::Lost, trace + " was handled without a run");
+        violation(Invariant::Lost, trace + " got a result without a run");
 }
 
 void InvariantChecker::onAttemptReleased(const std::string& trace) {
@@ -124,17 +124,18 @@
     const auto at = attempts_.find(trace);
     const std::string where = ", instance " + std::to_string(instance);
     if (at == attempts_.end())
-        return violation(Invariant::Duplicate, trace + " was started, and nobody sent it lately" + where);
+        return violation(Invariant::Duplicate,
+                         trace + " was run, but no client has sent it recently" + where);
     Attempt& attempt = at->second;
     const auto drainEnd = drainEndsAt_.find(instance);
     if (drainEnd != drainEndsAt_.end() && attempt.sent > drainEnd->second + kLoopbackTolerance &&
         now > drainEnd->second)
-        violation(Invariant::Drain, trace + " came after the grace and was started" + where);
+        violation(Invariant::Drain, trace + " was sent after the drain grace and was run" + where);
     Request& request = requests_[first];
     const bool nonIdempotent = requestClasses_[static_cast<std::size_t>(attempt.requestClass)].idempotency !=
                                Idempotency::Idempotent;
     if (nonIdempotent && request.runs > 0)
-        violation(Invariant::Duplicate, trace + " ran again (first try " + first + ")" + where);
+        violation(Invariant::Duplicate, trace + " ran again (first attempt " + first + ")" + where);
     ++request.runs;
     attempt.hasRun = attempt.running = true;
     updateMemory(attempt);
@@ -148,8 +149,8 @@
     const bool nonIdempotent = requestClasses_[static_cast<std::size_t>(attempt.requestClass)].idempotency !=
                                Idempotency::Idempotent;
     if (nonIdempotent && attempt.lastCallMayHaveRun)
-        violation(Invariant::Duplicate,
-                  "the call of " + trace + " was made again, instance " + std::to_string(instance));
+        violation(Invariant::Duplicate, "the dependency call of " + trace + " was made again, instance " +
+                                            std::to_string(instance));
     attempt.lastCallMayHaveRun = true;
 }
 
--- a/tests/loadtest/experiment_test.cpp
+++ b/tests/loadtest/experiment_test.cpp
@@ -1,5 +1,5 @@
-// The emulated world: that its cores share as they say, that its books notice each broken rule, that its
-// services have the faults they are told to have; and a short morning with real backends in it.
+// The emulated environment: the cores follow processor sharing, the invariant checker reports each violation,
+// the services have the configured faults; and a short experiment with real backends.
 #include "loadtest/experiment.h"
 
 #include <gtest/gtest.h>
@@ -27,14 +27,15 @@
 
 // ---- cores ----------------------------------------------------------------------------------------------
 
-// Rounding of the emulated cores: their clock has whole nanoseconds, each end up to a few of them late.
+// Rounding of the emulated cores: their clock has whole nanoseconds, and each end is up to a few of them
+// late.
 constexpr double kCoresTolerance = 1e-6;  // seconds, of time and of work
-// Where work has whole milliseconds, nothing ends in a moment that lies so far behind a step of the test:
-// whether a run ends just before a pause or just after it would be a matter of rounding.
+// Work has whole milliseconds, so no run ends at this offset from a step of the test. Otherwise rounding
+// would decide whether a run ends just before a pause or just after it.
 constexpr Duration kStepOffset = 1234567ns;
 
-// The emulated cores twice, beside the reference: once asked at each end, as the worker pool's timer does,
-// and once asked late, as on a machine that is too busy for that.
+// Two instances of the emulated cores beside the reference: one is advanced at each end of a run, as the
+// worker pool's timer does, and one late, as on a machine that is too busy for that.
 struct ComparedCores {
     explicit ComparedCores(const CoresConfig& config) : punctual(config), late(config), reference(config) {
         punctual.start(0s);
@@ -65,12 +66,13 @@
         RC_ASSERT(std::abs(punctual.remove(id, now) - left) < kCoresTolerance);
         RC_ASSERT(std::abs(late.remove(id, now) - left) < kCoresTolerance);
         reference.remove(id);
-        // Removed in the moment of its end: it may have ended first.
+        // Removed at the time of its end: it may have ended before.
         if (left >= kCoresTolerance) return;
         punctualEnds.erase(id);
         lateEnds.erase(id);
     }
-    // What has more work left than the tolerance runs, and what ended longer ago than that does not.
+    // A run with more remaining work than the tolerance still runs; one that ended longer ago than the
+    // tolerance does not.
     void compareRuns(Duration now) const {
         for (const auto& [id, left] : reference.remainingWork())
             if (left > kCoresTolerance) RC_ASSERT(punctual.has(id));
@@ -96,8 +98,8 @@
     std::set<std::uint64_t> lateEnds;
 };
 
-// Guards against runs that end at another time than their share of the cores gives, and against a reference
-// that steps so coarsely that it can't tell.
+// Guards against runs that end at a time other than their share of the cores implies, and against a reference
+// with steps too coarse to detect that.
 RC_GTEST_PROP(EmulatedCores, MatchTheProcessorSharingReference, ()) {
     CoresConfig config;
     config.cores = 1 + randomUpTo(3);
@@ -141,7 +143,7 @@
     EXPECT_EQ(cold.ended(400ms).size(), 1U);
 }
 
-// ---- books ----------------------------------------------------------------------------------------------
+// ---- invariant checker ----------------------------------------------------------------------------------
 
 std::vector<RequestClassLoad> twoRequestClasses() {
     RequestClassLoad read, write;
@@ -166,19 +168,19 @@
     checker.runStarted(0, "r1", "r1", steadyNow());
     checker.onAttemptSent(planned(0), "r2", "r1", 1);
     checker.runStarted(1, "r2", "r1", steadyNow());
-    EXPECT_EQ(count(checker, Invariant::Duplicate), 0U) << "what is repeatable may run again";
+    EXPECT_EQ(count(checker, Invariant::Duplicate), 0U) << "an idempotent request may run again";
     checker.onAttemptSent(planned(1), "w1", "w1", 0);
     checker.runStarted(0, "w1", "w1", steadyNow());
     checker.onAttemptSent(planned(1), "w2", "w1", 1);
     checker.runStarted(1, "w2", "w1", steadyNow());
     EXPECT_EQ(count(checker, Invariant::Duplicate), 1U);
-    EXPECT_NE(checker.violations()[0].description.find("w2 ran again (first try w1), instance 1"),
+    EXPECT_NE(checker.violations()[0].description.find("w2 ran again (first attempt w1), instance 1"),
               std::string::npos);
     checker.onResponse("w2", ClientResponse::Kind::Busy);
     EXPECT_EQ(count(checker, Invariant::Duplicate), 2U);
     checker.onAttemptSent(planned(0), "r3", "r3", 0);
     checker.onResponse("r3", ClientResponse::Kind::Answer);
-    EXPECT_EQ(count(checker, Invariant::Lost), 1U) << "handled without a run";
+    EXPECT_EQ(count(checker, Invariant::Lost), 1U) << "a result without a run";
 }
 
 TEST(InvariantCheckerTest, ReportsRepeatedCallsUnlessTheLastIsKnownNotToHaveRun) {
@@ -214,7 +216,7 @@
 
 // ---- services -------------------------------------------------------------------------------------------
 
-// A connection that keeps what it hears.
+// A client connection that records the received bytes.
 struct RecordingConnection : net::ConnectionHandler {
     RecordingConnection(net::Loop& loop, const net::Address& to)
         : connection(
@@ -316,7 +318,7 @@
     records.setHangFraction(1);
     first.connection->send(callText("0000000000000004", 1000));
     runUntil(fixture.loop, [&] { return records.callsInFlight() == 1; });
-    first.connection.reset();  // given up: in its hands for a while yet, then gone
+    first.connection.reset();  // abandoned: in flight for the linger time, then removed
     runUntil(fixture.loop, [&] { return records.callsInFlight() == 0; });
     records.setDown(true);
     runUntil(fixture.loop, [&] { return second.closed; });
@@ -329,7 +331,7 @@
     runUntil(fixture.loop, [&] { return reconnected.hasReceived("200"); });
 }
 
-// ---- a morning ------------------------------------------------------------------------------------------
+// ---- experiment -----------------------------------------------------------------------------------------
 
 TEST(PairedRatio, SeparatesADifferenceFromChance) {
     const PairedRatio same = compareInPairs({0.50, 0.61, 0.55}, {0.52, 0.60, 0.54});
@@ -344,7 +346,7 @@
 
 constexpr const char* kShortExperiment = R"(
 experiment "short" {
-    about "A short morning <with> troubles & all"
+    about "A short experiment <with> faults & all"
     backends 2 stop=1500ms grace=300ms
     pool cores=2 heap=40MiB pieces-every=7 twice-every=11
     records slots=10 share=12
@@ -394,7 +396,7 @@
     results["plays"][1]["side"] = "B";
     results["ratio"] = {{"mean", 1.0}, {"low", 0.9}, {"high", 1.1}, {"pairs", 1}, {"told", false}};
     const std::string page = renderReport(results);
-    EXPECT_NE(page.find("A short morning &lt;with&gt; troubles &amp; all"), std::string::npos);
+    EXPECT_NE(page.find("A short experiment &lt;with&gt; faults &amp; all"), std::string::npos);
     for (const char* part : {"<svg", "tail of the latency", "records for=1s hang=5% slow=4 spoil=5%",
                              "A over B", "connection lost"})
         EXPECT_NE(page.find(part), std::string::npos) << part;
