--- a/src/loadtest/emulators/cores.cpp
+++ b/src/loadtest/emulators/cores.cpp
@@ -7,8 +7,9 @@
 
 namespace {
 
-constexpr Duration kWarmUpStep = std::chrono::milliseconds(20);  // while warming up the speed is constant
-constexpr double kWorkTolerance = 1e-9;                          // seconds of work that count as done
+// The speed is constant within a step of the warm-up.
+constexpr Duration kWarmUpStep = std::chrono::milliseconds(20);
+constexpr double kWorkTolerance = 1e-9;  // remaining seconds of work that count as done
 
 double seconds(Duration time) { return std::chrono::duration<double>(time).count(); }
 
@@ -22,7 +23,7 @@
     lastUpdate_ = startedAt_ = now;
 }
 
-// Seconds of work per second that one run gets.
+// Seconds of work per second that one run receives.
 double Cores::rate(Duration now) const {
     const double runs = static_cast<double>(endWork_.size());
     if (runs == 0 || slowdown_ <= 0) return 0;
@@ -40,7 +41,7 @@
     return config_.speed * warm * efficiency * std::min(1.0, config_.cores / runs) / slowdown_;
 }
 
-// One end after the other: each leaves more of the cores to the rest.
+// Processes one end at a time, as each gives the remaining runs a larger share of the cores.
 void Cores::advance(Duration now) {
     for (auto next = nextChange(); next && *next <= now; next = nextChange()) {
         passTime(*next);
@@ -102,7 +103,7 @@
     return nextChange();
 }
 
-// When the next run ends, or earlier where the speed changes.
+// When the next run ends, or earlier if the speed changes.
 std::optional<Duration> Cores::nextChange() const {
     if (endOrder_.empty()) return std::nullopt;
     const double speed = rate(lastUpdate_);
--- a/src/loadtest/emulators/http_server.h
+++ b/src/loadtest/emulators/http_server.h
@@ -1,5 +1,5 @@
-// Where emulated HTTP/1.1 services hear their requests: one listener,
-// connections with one request at a time.
+/// @file
+/// HTTP/1.1 server of the emulated services: one listener, one request at a time on each connection.
 #pragma once
 
 #include <http_parser.h>
@@ -16,21 +16,23 @@
 class HttpServer {
 public:
     struct Request {
-        std::string method, path, headers,
-            body;  // headers: name:value lines, names in lower case
+        std::string method, path;
+        std::string headers;  ///< name:value lines, names in lower case
+        std::string body;
         std::string header(const std::string& name) const;
     };
-    // One connection, while it lasts: what is asked on it, and whether its asker
-    // is still there.
+    /// An open connection of a client.
     class Connection {
     public:
         virtual ~Connection() = default;
         virtual void respond(const std::string& bytes) = 0;
         virtual void close() = 0;
-        std::uint64_t pendingRequest = 0;  // the owner's own number of the request that has no reply yet
+        /// Set by the user of the server: its number for the request that has no response yet.
+        std::uint64_t pendingRequest = 0;
     };
     using RequestHandler = std::function<void(const std::shared_ptr<Connection>&, Request&&)>;
-    using CloseHandler = std::function<void(Connection&)>;  // before a reply was given, or after
+    /// Called when a connection has closed, before or after its response.
+    using CloseHandler = std::function<void(Connection&)>;
 
     HttpServer(net::Loop& loop, const net::Address& at, RequestHandler onRequest, CloseHandler onClosed);
     ~HttpServer();
@@ -41,7 +43,7 @@
     net::Loop& loop_;
     RequestHandler onRequest_;
     CloseHandler onClosed_;
-    std::list<std::shared_ptr<ClientConnection>> connections_;  // emptied by the ends of connections
+    std::list<std::shared_ptr<ClientConnection>> connections_;  // removed when they close
     std::unique_ptr<net::Listener> listener_;
 };
 
--- a/src/loadtest/emulators/http_services.cpp
+++ b/src/loadtest/emulators/http_services.cpp
@@ -27,7 +27,7 @@
 }
 
 DependencyService::~DependencyService() {
-    // Connections that end now must find nothing to tell.
+    // Connections that close during the destruction must find no open call.
     openCalls_.clear(), callByRequest_.clear(), queue_.clear(), completions_.clear();
 }
 
@@ -65,7 +65,7 @@
         checker_.callEnded(requestId, true);
         return connection->respond(HttpServer::formatResponse(503, "", "Op-Not-Begun: 1\r\n"));
     }
-    // A second call for a request gives up the first.
+    // A new call for the same request replaces the first one.
     if (const auto before = callByRequest_.find(requestId); before != callByRequest_.end())
         removeCall(before->second);
     const std::uint64_t callNumber = nextCall_++;
@@ -86,7 +86,7 @@
 void DependencyService::onConnectionClosed(HttpServer::Connection& connection) {
     const auto at = openCalls_.find(std::exchange(connection.pendingRequest, 0));
     if (at == openCalls_.end() || at->second.abandoned) return;
-    // An abandoned call is in its hands for a while yet.
+    // An abandoned call still counts as in flight for the linger time.
     at->second.abandoned = true;
     completions_.emplace(steadyNow() + config_.lingerTime, at->first);
     if (!at->second.inService) std::erase(queue_, at->first);
@@ -162,14 +162,13 @@
             load.sum -= load.samples.front().second;
             load.samples.pop_front();
         }
-        // The mean of the whole window, also where less of it has been seen: what
-        // came before was nothing.
+        // The mean is over the whole window even at the start, as there were no calls before.
         const double mean = load.sum * static_cast<double>(kSampleInterval.count()) /
                             static_cast<double>(config_.quotaWindow.count());
         load.maxMean = std::max(load.maxMean, mean);
         if (mean > config_.callQuota && !std::exchange(load.quotaExceeded, true))
             checker_.overloaded(instance,
-                                "a mean of " + std::to_string(mean) + " calls in the records' hands");
+                                "a mean of " + std::to_string(mean) + " dependency calls in flight");
     }
     const double all = static_cast<double>(openCalls_.size());
     loadSamples_.emplace_back(now, all);
--- a/src/loadtest/emulators/http_services.h
+++ b/src/loadtest/emulators/http_services.h
@@ -1,5 +1,5 @@
-// The records service and the registry on loopback, with the faults they are
-// told to have.
+/// @file
+/// The emulated dependency ("records" in experiments) and registry on loopback, with configurable faults.
 #pragma once
 
 #include <map>
@@ -16,16 +16,18 @@
 namespace cottonwing::loadtest {
 
 struct DependencyConfig {
-    int slots = 20;                // calls served at once
-    int queueCapacity = 200;       // that wait for one; beyond it they are turned away
-    double queueSlowdown = 1;      // a call in a full line takes 1 + this times as long
-    double overloadThreshold = 0;  // calls in hand, on the mean of fallOver, at which it
-                                   // falls over; 0: never
+    int slots = 20;            // calls served concurrently
+    int queueCapacity = 200;   // calls that wait for a slot; more are rejected
+    double queueSlowdown = 1;  // with a full queue a call takes 1 + this times as long
+    /// Mean number of calls in flight over the overload window at which the service goes down; 0: never.
+    double overloadThreshold = 0;
     Duration overloadWindow{std::chrono::seconds(5)};
     Duration downTime{std::chrono::seconds(5)};
-    double callQuota = 10;  // what one backend may have in its hands, on the mean of callsOver
+    /// Mean number of calls in flight over the quota window that one backend may have.
+    double callQuota = 10;
     Duration quotaWindow{std::chrono::seconds(5)};
-    Duration lingerTime{std::chrono::milliseconds(200)};  // an abandoned call is in its hands for so long
+    /// An abandoned call stays in flight for this long.
+    Duration lingerTime{std::chrono::milliseconds(200)};
     std::uint64_t seed = 1;
 };
 
@@ -34,19 +36,20 @@
     DependencyService(net::Loop& loop, const std::vector<net::Address>& addresses,
                       const DependencyConfig& config, InvariantChecker& checker);
     ~DependencyService();
+    /// Calls take this many times as long.
     void setSlowdown(double factor) { slowdown_ = factor; }
-    void setHangFraction(double fraction) {
-        hangFraction_ = fraction;
-    }  // part of the calls that are never answered
-    void setMalformedFraction(double fraction) {
-        malformedFraction_ = fraction;
-    }                         // that get a reply which can't be read
-    void setDown(bool down);  // connections are refused while it is
+    /// Fraction of the calls that are never answered.
+    void setHangFraction(double fraction) { hangFraction_ = fraction; }
+    /// Fraction of the calls that get a malformed response.
+    void setMalformedFraction(double fraction) { malformedFraction_ = fraction; }
+    /// Going down drops all calls; while the service is down, connections are refused.
+    void setDown(bool down);
 
     std::uint64_t calls() const { return calls_; }
     std::uint64_t rejectedCalls() const { return rejectedCalls_; }
     std::uint64_t overloads() const { return overloads_; }
     std::size_t callsInFlight() const { return openCalls_.size(); }
+    /// @return the largest mean of the instance's calls in flight over the quota window.
     double maxMeanCalls(std::size_t instance) const { return instanceLoads_[instance].maxMean; }
 
 private:
@@ -78,13 +81,13 @@
     InvariantChecker& checker_;
     std::mt19937 random_;
     std::vector<std::unique_ptr<HttpServer>> servers_;
-    std::map<std::uint64_t, Call> openCalls_;                       // by number; emptied by ends
-    std::unordered_map<std::string, std::uint64_t> callByRequest_;  // of those
-    std::deque<std::uint64_t> queue_;                               // for a slot
-    std::multimap<Duration, std::uint64_t> completions_;            // served, by their ends
+    std::map<std::uint64_t, Call> openCalls_;                       // by number; removed when they end
+    std::unordered_map<std::string, std::uint64_t> callByRequest_;  // open calls by the id of their request
+    std::deque<std::uint64_t> queue_;                               // calls that wait for a slot
+    std::multimap<Duration, std::uint64_t> completions_;            // calls by the time they end
     std::vector<InstanceLoad> instanceLoads_;
-    std::deque<std::pair<Duration, double>> loadSamples_;
-    std::vector<double> callsByInstance_;  // calls in its hands, by instance
+    std::deque<std::pair<Duration, double>> loadSamples_;  // calls in flight in the overload window
+    std::vector<double> callsByInstance_;                  // calls in flight, by instance
     double loadSum_ = 0, slowdown_ = 1, hangFraction_ = 0, malformedFraction_ = 0;
     std::uint64_t nextCall_ = 1, calls_ = 0, rejectedCalls_ = 0, overloads_ = 0;
     int callsInService_ = 0;
@@ -98,14 +101,14 @@
     RegistryService(net::Loop& loop, const net::Address& at, Duration responseDelay = Duration(0));
     void setSilent(bool silent) { silent_ = silent; }
     std::uint64_t reports() const { return reports_; }
-    // What was last said of that name; empty where nothing was.
+    /// @return the last reported state of the instance; empty if none was reported.
     std::string state(const std::string& name) const;
 
 private:
     Duration responseDelay_;
     bool silent_ = false;
     std::uint64_t reports_ = 0;
-    std::map<std::string, std::string> states_;  // one a name
+    std::map<std::string, std::string> states_;  // by the name of the instance
     std::multimap<Duration, std::weak_ptr<HttpServer::Connection>> pendingResponses_;
     PreciseTimer timer_;
     HttpServer server_;
--- a/src/loadtest/emulators/scgi_server.cpp
+++ b/src/loadtest/emulators/scgi_server.cpp
@@ -65,8 +65,7 @@
     ++requests_;
     lastHeaders_ = client.reader.headers();
     lastBody_ = client.reader.body();
-    // A body of the laboratory's says what its work is; another takes what is
-    // usual here.
+    // Bodies of the load generator contain their work; others take the configured service time.
     char first[17] = "";
     long long work = 0;
     client.serviceTime = config_.serviceTime;
@@ -106,7 +105,7 @@
         else
             completions_.emplace(now + Duration(static_cast<std::int64_t>(seconds * 1e9)), client);
     }
-    // What has its answer is closed once the system has taken it.
+    // Closes connections whose response has been written completely.
     const auto all = std::vector<std::shared_ptr<ClientConnection>>(connections_.begin(), connections_.end());
     bool more = false;
     for (const auto& client : all) {
--- a/src/loadtest/emulators/scgi_server.h
+++ b/src/loadtest/emulators/scgi_server.h
@@ -1,5 +1,6 @@
-// An SCGI server on loopback: answers each request after a set time on so many
-// at once, with the faults it is told to have.
+/// @file
+/// An emulated SCGI server on loopback: limited concurrency, a configured service time and configurable
+/// faults.
 #pragma once
 
 #include <deque>
@@ -17,21 +18,21 @@
 
 enum class ScgiFault {
     None,
-    Silent,             // accepts and says nothing
-    TruncatedResponse,  // ends in the middle of its answer
-    EarlyResponse,      // answers before it has read the request
-    DuplicateResponse,  // two answers
-    MalformedStatus,    // a status line that is none
-    ExcessBody,         // more than it said
-    FailFast,           // 503 at once: a black hole that attracts clients
-    CloseAfterRequest   // closes the connection once it has read
+    Silent,             // reads the request and never responds
+    TruncatedResponse,  // closes in the middle of the response
+    EarlyResponse,      // responds before it has read the request
+    DuplicateResponse,  // sends the response twice
+    MalformedStatus,    // sends a malformed status line
+    ExcessBody,         // sends bytes after the end of the response
+    FailFast,           // 503 at once: its short latency attracts clients
+    CloseAfterRequest   // closes the connection after it has read the request
 };
 
 struct EmulatedScgiServerConfig {
     Duration serviceTime{0};
-    int slots = 1000;  // requests served at once; the others wait
+    int slots = 1000;  // requests served concurrently; others wait
     ScgiFault fault = ScgiFault::None;
-    double slowdown = 1;  // times as long
+    double slowdown = 1;  // factor on the service time
 };
 
 class EmulatedScgiServer {
@@ -41,20 +42,22 @@
     net::Address address() const { return {host_, listener_->port()}; }
     void setConfig(EmulatedScgiServerConfig config) { config_ = config; }
     const EmulatedScgiServerConfig& config() const { return config_; }
-    // Told of each request that is whole: its id, and the first try's where the
-    // body names it.
+    /// @param handler called for each complete request that has an id, with the id of the attempt and of the
+    /// first attempt; the latter is empty if the body does not name it.
     void onRequest(std::function<void(const std::string& trace, const std::string& first)> handler) {
         requestHandler_ = std::move(handler);
     }
+    /// @param handler called when the connection of such a request has closed.
     void onRequestEnd(std::function<void(const std::string& trace)> handler) {
         requestEndHandler_ = std::move(handler);
     }
+    /// @return seconds of service time of the requests that were started.
     double workDone() const { return workDone_; }
     std::uint64_t requests() const { return requests_; }
-    std::uint64_t abandonedRequests() const {
-        return abandonedRequests_;
-    }  // askers that closed before their answer
-    const std::map<std::string, int>& runs() const { return runs_; }  // by HTTP_X_TRACE; never emptied
+    /// @return connections that the client closed before the response.
+    std::uint64_t abandonedRequests() const { return abandonedRequests_; }
+    /// @return runs by HTTP_X_TRACE, counted while no onRequest() handler is set; never emptied.
+    const std::map<std::string, int>& runs() const { return runs_; }
     const scgi::Headers& lastHeaders() const { return lastHeaders_; }
     const std::string& lastBody() const { return lastBody_; }
 
@@ -68,9 +71,10 @@
     net::Loop& loop_;
     const std::string host_;
     EmulatedScgiServerConfig config_;
-    std::list<std::shared_ptr<ClientConnection>> connections_;  // emptied by the ends of connections
-    std::multimap<Duration, std::weak_ptr<ClientConnection>> completions_;  // emptied by time
-    std::deque<std::weak_ptr<ClientConnection>> queue_;                     // for a slot
+    std::list<std::shared_ptr<ClientConnection>> connections_;  // removed when they close
+    // Requests in service, by the time they end.
+    std::multimap<Duration, std::weak_ptr<ClientConnection>> completions_;
+    std::deque<std::weak_ptr<ClientConnection>> queue_;  // requests that wait for a slot
     std::map<std::string, int> runs_;
     scgi::Headers lastHeaders_;
     std::string lastBody_;
--- a/src/loadtest/emulators/thrift_server.cpp
+++ b/src/loadtest/emulators/thrift_server.cpp
@@ -11,8 +11,8 @@
       std::enable_shared_from_this<EmulatedThriftServer::ClientConnection> {
     explicit ClientConnection(EmulatedThriftServer& theServer) : server(theServer) {}
     void arrived(net::Connection&) override {
-        // One that is deaf or stalled lets its rings fill, then the system's
-        // buffers, as a stopped process does.
+        // If it does not read, the connection's buffer fills and then the system's, as with a stopped
+        // process.
         if (!server.config_.neverReads && !server.stalled(steadyNow())) read();
     }
     void read() {
@@ -86,7 +86,7 @@
     if (stalled(now)) return timer_.startAt(startedAt_ + config_.stallStart + config_.stallDuration);
     const auto current =
         std::vector<std::shared_ptr<ClientConnection>>(connections_.begin(), connections_.end());
-    // What came while it stood is read now; else it has been read as it came.
+    // Reads what arrived during the stall; without a stall it was read on arrival.
     if (config_.stallStart >= 0ns && !config_.neverReads)
         for (const auto& client : current) client->read();
     while (!pendingResponses_.empty() && pendingResponses_.begin()->first <= now) {
--- a/src/loadtest/emulators/thrift_server.h
+++ b/src/loadtest/emulators/thrift_server.h
@@ -1,6 +1,6 @@
-// A stand-in for a whole server: answers every request by itself, after a set
-// time, and with the faults it is told to have. It keeps its own book of what
-// it received and sent when, by trace.
+/// @file
+/// An emulated Thrift server: responds to every request itself, after a configured delay and with
+/// configurable faults. It can record when it received and answered each attempt.
 #pragma once
 
 #include <functional>
@@ -17,16 +17,16 @@
 namespace cottonwing::loadtest {
 
 struct EmulatedThriftServerConfig {
-    Duration responseDelay{0};                  // from a request's arrival to its answer
-    Duration stallStart{-1}, stallDuration{0};  // from its start: nothing is read or sent meanwhile
-    int duplicateEvery = 0;                     // every so many answers is given a second time
-    int unknownSequenceEvery = 0;               // a further answer under a number that was never used
-    int resetEvery = 0;                         // the connection ends in the middle of an answer
-    int busyEvery = 0, failedEvery = 0;         // turned away, failed
-    int goawayEvery = 0;                        // requests of a connection, after which it says goaway
-    int wrongResultEvery = 0;                   // a result that no run made
-    bool silent = false;                        // reads, and never answers
-    bool neverReads = false;                    // accepts, and never reads
+    Duration responseDelay{0};                  // from the arrival of a request to its response
+    Duration stallStart{-1}, stallDuration{0};  // since the start; nothing is read or sent during a stall
+    int duplicateEvery = 0;                     // every n-th response is sent twice
+    int unknownSequenceEvery = 0;               // another response follows, with an unused sequence number
+    int resetEvery = 0;                         // the connection closes in the middle of a response
+    int busyEvery = 0, failedEvery = 0;         // the request is rejected; it fails
+    int goawayEvery = 0;                        // requests of a connection after which goaway is sent
+    int wrongResultEvery = 0;                   // the result is of no run
+    bool silent = false;                        // reads, and never responds
+    bool neverReads = false;                    // accepts connections, and never reads
     bool recordsTimes = false;
 };
 
@@ -38,9 +38,8 @@
     EmulatedThriftServer(net::Loop& loop, const net::Address& at, EmulatedThriftServerConfig config);
     ~EmulatedThriftServer();
     net::Address address() const { return {host_, listener_->port()}; }
-    const std::unordered_map<std::string, RequestTimes>& requestTimes() const {
-        return requestTimes_;
-    }  // where it is kept; never emptied
+    /// @return by trace, if recordsTimes is set; never emptied.
+    const std::unordered_map<std::string, RequestTimes>& requestTimes() const { return requestTimes_; }
     std::uint64_t requests() const { return requests_; }
     std::uint64_t cancels() const { return cancels_; }
     std::size_t connections() const { return connections_.size(); }
@@ -63,8 +62,8 @@
     const EmulatedThriftServerConfig config_;
     const std::string host_;
     const Duration startedAt_;
-    std::list<std::shared_ptr<ClientConnection>> connections_;   // emptied by the ends of connections
-    std::multimap<Duration, PendingResponse> pendingResponses_;  // emptied by time
+    std::list<std::shared_ptr<ClientConnection>> connections_;   // removed when they close
+    std::multimap<Duration, PendingResponse> pendingResponses_;  // by the time they are due
     std::unordered_map<std::string, RequestTimes> requestTimes_;
     std::uint64_t requests_ = 0, responses_ = 0, cancels_ = 0;
     PreciseTimer timer_;
--- a/src/loadtest/emulators/worker_pool.cpp
+++ b/src/loadtest/emulators/worker_pool.cpp
@@ -62,7 +62,7 @@
         [this](net::PendingConnection socket) {
             auto accepted = std::make_unique<ServerConnection>(*this);
             accepted->connection.reset(new net::Connection(loop_, socket, *accepted, {4 << 20, 16 << 20}));
-            replacedConnection_ = std::move(connection_);  // a new link replaces the one before it
+            replacedConnection_ = std::move(connection_);  // a new connection replaces the previous one
             if (replacedConnection_)
                 replacedConnection_->connection.reset(), replacedConnection_->closing = true;
             connection_ = std::move(accepted);
@@ -85,8 +85,7 @@
         noticesWritten_ % static_cast<std::uint64_t>(config_.duplicateEvery) == 0)
         write(line);
     if (config_.splitEvery > 0 && noticesWritten_ % static_cast<std::uint64_t>(config_.splitEvery) == 0) {
-        // The rest follows with the next look, a few milliseconds on: the reader
-        // has half a line until then.
+        // The reader has half a line until the rest follows with the next sample, some milliseconds later.
         write(line.substr(0, line.size() / 2));
         return void(unsentPart_ += line.substr(line.size() / 2));
     }
@@ -108,7 +107,7 @@
     if (!message.is_object()) return connection_->connection.reset();
     const std::string type = message.value("type", ""), job = message.value("job", "");
     const Duration now = steadyNow();
-    reportEndedSegments(now);  // what had ended before this message came, a suspension does not undo
+    reportEndedSegments(now);  // a suspension does not undo what ended before it arrived
     const auto known = jobByName_.find(job);
     if (type == "bind") {
         const auto after = message.value("n", std::uint64_t{0});
@@ -219,8 +218,7 @@
     timer_.startAt(next);
 }
 
-// The crowd that makes it fall over is a mean, so a sample every now and then
-// tells.
+// The overload condition is a mean over a window, so periodic samples suffice.
 void WorkerPool::sampleLoad(Duration now) {
     if (now < nextSampleAt_) return;
     nextSampleAt_ = now + kSampleInterval;
@@ -233,10 +231,10 @@
     const double mean = runSum_ / static_cast<double>(runSamples_.size());
     if (windowFilled && mean > config_.cores.cores * config_.overloadFactor &&
         !std::exchange(overloadReported_, true))
-        checker_.overloaded(instance_, "a mean crowd of " + std::to_string(mean) + " on its cores");
+        checker_.overloaded(instance_, "a mean of " + std::to_string(mean) + " runs on its cores");
 }
 
-// Those at a call whose request is over, as the pool of the platform ends them.
+// Ends runs that wait for a call of a request that is over, as the platform's worker pool does.
 void WorkerPool::endRunsOfClosedRequests() {
     std::vector<std::uint64_t> over;
     for (const auto& [id, job] : jobs_)
--- a/src/loadtest/emulators/worker_pool.h
+++ b/src/loadtest/emulators/worker_pool.h
@@ -1,5 +1,6 @@
-// A worker pool on loopback, one for each backend: runs requests on emulated
-// cores, keeps its notices, and has the faults it is told to have.
+/// @file
+/// An emulated worker pool on loopback, one for each backend: runs requests on emulated cores, stores its
+/// notices to send them again after a connection loss, and has configurable faults.
 #pragma once
 
 #include <deque>
@@ -16,14 +17,14 @@
 struct WorkerPoolConfig {
     CoresConfig cores;
     double heapKb = 30000;
-    double overloadFactor = 8;  // crowd on the cores that it bears, on the mean
+    double overloadFactor = 8;  // mean runs per core above which it is overloaded
     Duration overloadWindow{std::chrono::milliseconds(1500)};
-    Duration startDelay{0};  // until it is up
+    Duration startDelay{0};  // from a start until it accepts work
     bool cold = false;
-    bool endsBlockedRuns = true;  // a run at a call ends by itself when its request is
-                                  // over; else it waits there to be told
-    int splitEvery = 0;           // every so many notices is written in two pieces
-    int duplicateEvery = 0;       // is said twice
+    /// A run that waits for a call ends by itself when its request is over; otherwise it waits for a message.
+    bool endsBlockedRuns = true;
+    int splitEvery = 0;      // every n-th notice is written in two pieces
+    int duplicateEvery = 0;  // every n-th notice is sent twice
 };
 
 class WorkerPool {
@@ -32,12 +33,15 @@
                InvariantChecker& checker);
     ~WorkerPool();
 
+    /// @return whether the backend has bound the pool since the last start.
     bool bound() const { return bound_; }
-    void setSlowdown(double factor);  // 0: it stands still
+    /// All work takes this many times as long; 0 pauses it.
+    void setSlowdown(double factor);
     void breakConnection();
-    // Its process and the backend's are gone; it is empty, and cold if told so,
-    // when it comes back.
+    /// Ends the pool as if its process and the backend's had ended: all runs and notices are lost.
     void crash();
+    /// Starts the pool again after crash().
+    /// @param cold the state that it reports to the backend.
     void restart(bool cold);
 
     std::size_t runsOnCores() const { return cores_.running(); }
@@ -50,7 +54,7 @@
     struct ServerConnection;
     struct Job {
         std::string name, firstTrace;
-        double segmentWork = 0;  // work between two calls
+        double segmentWork = 0;  // seconds of work between two calls
         int remainingCalls = 0;
         std::int64_t callMicros = 0;
         bool fails = false, blocked = false;
@@ -75,14 +79,14 @@
     const WorkerPoolConfig config_;
     InvariantChecker& checker_;
     Cores cores_;
-    std::unordered_map<std::uint64_t, Job> jobs_;                // emptied by ends
-    std::unordered_map<std::string, std::uint64_t> jobByName_;   // of the jobs
-    std::deque<std::pair<std::uint64_t, std::string>> notices_;  // the last 4,000
+    std::unordered_map<std::uint64_t, Job> jobs_;                // by number; removed when they end
+    std::unordered_map<std::string, std::uint64_t> jobByName_;   // numbers of the jobs
+    std::deque<std::pair<std::uint64_t, std::string>> notices_;  // the last 4,000, by number
     std::uint64_t lastNotice_ = 0, nextJob_ = 1, startedRuns_ = 0, noticesWritten_ = 0;
-    std::string unsentPart_;  // of a line that was written in two pieces
+    std::string unsentPart_;  // of a notice that is written in two pieces
     std::optional<std::uint64_t> pendingBindAfter_;
     Duration readyAt_{0}, startedAt_{0}, nextSampleAt_{0};
-    std::deque<std::pair<Duration, double>> runSamples_;  // of the last fallOver; emptied by time
+    std::deque<std::pair<Duration, double>> runSamples_;  // runs on the cores in the overload window
     double runSum_ = 0;
     bool cold_ = false, bound_ = false, crashed_ = false, overloadReported_ = false;
     PreciseTimer timer_;
--- a/tests/support/processor_sharing_reference.h
+++ b/tests/support/processor_sharing_reference.h
@@ -1,6 +1,6 @@
 /// @file
-/// The reference of the emulated cores: processor sharing, event by event, with the work that is left of each
-/// run counted by itself.
+/// Reference for the emulated cores: processor sharing, event by event, with the remaining work tracked for
+/// each run separately.
 #pragma once
 
 #include <algorithm>
@@ -12,18 +12,18 @@
 
 namespace cottonwing::testing {
 
-/// Exact but for rounding: the rate is constant between two events, and every end is an event. Time is in
-/// seconds, as `double` nanoseconds would not add up to the last digit.
+/// Exact except for rounding: the rate is constant between two events, and every end of a run is an event.
+/// Time is in seconds, as sums of `double` nanoseconds would not be exact to the last digit.
 class ProcessorSharingReference {
 public:
     explicit ProcessorSharingReference(const loadtest::CoresConfig& config) : config_(config) {}
 
     void add(std::uint64_t id, double work) { remainingWork_[id] = work; }
     void remove(std::uint64_t id) { remainingWork_.erase(id); }
-    /// @param factor above 1: all work takes this many times as long; 0: it stands still.
+    /// @param factor all work takes this many times as long; 0 pauses it.
     void setSlowdown(double factor) { slowdown_ = factor; }
 
-    /// Passes the time until then; each end on the way is noted with its moment.
+    /// Advances the time; records the time of each end on the way.
     void advanceTo(long double then) {
         while (const auto end = nextEnd()) {
             if (*end > then) break;
@@ -33,7 +33,7 @@
         passTime(then - now_);
         endRunsWithoutWork();
     }
-    /// @return when the next run ends, in seconds; nothing while none progresses.
+    /// @return when the next run ends, in seconds; no value while no run makes progress.
     std::optional<long double> nextEnd() const {
         if (remainingWork_.empty() || rate() <= 0) return std::nullopt;
         const auto smallest = std::min_element(remainingWork_.begin(), remainingWork_.end(),
@@ -45,7 +45,8 @@
     const std::map<std::uint64_t, long double>& ends() const { return ends_; }
 
 private:
-    static constexpr long double kNoWork = 1e-12L;  // seconds; what rounding may leave of a run at its end
+    // Seconds; rounding may leave up to this much work at the end of a run.
+    static constexpr long double kNoWork = 1e-12L;
 
     long double rate() const {
         if (slowdown_ <= 0) return 0;
