--- a/src/loadtest/emulators/cores.cpp
+++ b/src/loadtest/emulators/cores.cpp
@@ -108,9 +108,9 @@
     if (endOrder_.empty()) return std::nullopt;
     const double speed = rate(lastUpdate_);
     if (speed <= 0) return std::nullopt;
-    constexpr double kFarthestSeconds = 1e6;
+    constexpr double kMaxWaitSeconds = 1e6;
     const double remaining = std::max(0.0, endOrder_.begin()->first - workPerRun_);
-    const Duration wait(1 + static_cast<std::int64_t>(std::min(remaining / speed, kFarthestSeconds) * 1e9));
+    const Duration wait(1 + static_cast<std::int64_t>(std::min(remaining / speed, kMaxWaitSeconds) * 1e9));
     const bool warming = config_.coldSpeedFraction < 1 && lastUpdate_ - startedAt_ < config_.warmUpTime;
     return lastUpdate_ + (warming ? std::min(wait, kWarmUpStep) : wait);
 }
--- a/src/loadtest/emulators/http_server.cpp
+++ b/src/loadtest/emulators/http_server.cpp
@@ -33,14 +33,14 @@
         };
         handlers.on_header_field = [](http_parser* p, const char* at, std::size_t n) {
             ClientConnection& client = fromParser(p);
-            if (std::exchange(client.inValue, false)) client.request.headers += '\n';
+            if (std::exchange(client.readingHeaderValue, false)) client.request.headers += '\n';
             std::string lower(at, n);
             for (char& byte : lower) byte = static_cast<char>(std::tolower(static_cast<unsigned char>(byte)));
             return appendLimited(client.request.headers, lower.data(), n);
         };
         handlers.on_header_value = [](http_parser* p, const char* at, std::size_t n) {
             ClientConnection& client = fromParser(p);
-            if (!std::exchange(client.inValue, true)) client.request.headers += ':';
+            if (!std::exchange(client.readingHeaderValue, true)) client.request.headers += ':';
             return appendLimited(client.request.headers, at, n);
         };
         handlers.on_body = [](http_parser* p, const char* at, std::size_t n) {
@@ -48,7 +48,7 @@
         };
         handlers.on_message_complete = [](http_parser* p) {
             ClientConnection& client = fromParser(p);
-            client.inValue = false;
+            client.readingHeaderValue = false;
             client.request.method = http_method_str(static_cast<http_method>(p->method));
             client.server.onRequest_(client.shared_from_this(), std::move(client.request));
             return client.connection ? 0 : 1;
@@ -87,14 +87,14 @@
     http_parser parser;
     http_parser_settings handlers;
     Request request;
-    bool inValue = false;
+    bool readingHeaderValue = false;
 };
 
-HttpServer::HttpServer(net::Loop& loop, const net::Address& at, RequestHandler onRequest,
+HttpServer::HttpServer(net::Loop& loop, const net::Address& address, RequestHandler onRequest,
                        CloseHandler onClosed)
     : loop_(loop), onRequest_(std::move(onRequest)), onClosed_(std::move(onClosed)) {
     listener_ = std::make_unique<net::Listener>(
-        loop, at,
+        loop, address,
         [this](net::PendingConnection socket) {
             auto client = std::make_shared<ClientConnection>(*this);
             client->connection.reset(new net::Connection(loop_, socket, *client, {65536, 1 << 20}));
--- a/src/loadtest/emulators/http_server.h
+++ b/src/loadtest/emulators/http_server.h
@@ -34,7 +34,7 @@
     /// Called when a connection has closed, before or after its response.
     using CloseHandler = std::function<void(Connection&)>;
 
-    HttpServer(net::Loop& loop, const net::Address& at, RequestHandler onRequest, CloseHandler onClosed);
+    HttpServer(net::Loop& loop, const net::Address& address, RequestHandler onRequest, CloseHandler onClosed);
     ~HttpServer();
     static std::string formatResponse(int status, const std::string& body, const std::string& headers = "");
 
--- a/src/loadtest/emulators/http_services.cpp
+++ b/src/loadtest/emulators/http_services.cpp
@@ -186,7 +186,7 @@
     }
 }
 
-RegistryService::RegistryService(net::Loop& loop, const net::Address& at, Duration responseDelay)
+RegistryService::RegistryService(net::Loop& loop, const net::Address& address, Duration responseDelay)
     : responseDelay_(responseDelay),
       timer_(loop,
              [this] {
@@ -199,7 +199,7 @@
                  if (!pendingResponses_.empty()) timer_.startAt(pendingResponses_.begin()->first);
              }),
       server_(
-          loop, at,
+          loop, address,
           [this](const std::shared_ptr<HttpServer::Connection>& connection, HttpServer::Request&& request) {
               if (silent_) return;
               constexpr std::string_view kPath = "/v1/instances/";
--- a/src/loadtest/emulators/http_services.h
+++ b/src/loadtest/emulators/http_services.h
@@ -98,7 +98,7 @@
 
 class RegistryService {
 public:
-    RegistryService(net::Loop& loop, const net::Address& at, Duration responseDelay = Duration(0));
+    RegistryService(net::Loop& loop, const net::Address& address, Duration responseDelay = Duration(0));
     void setSilent(bool silent) { silent_ = silent; }
     std::uint64_t reports() const { return reports_; }
     /// @return the last reported state of the instance; empty if none was reported.
--- a/src/loadtest/emulators/scgi_server.cpp
+++ b/src/loadtest/emulators/scgi_server.cpp
@@ -36,11 +36,11 @@
     bool responded = false, inService = false, respondedEarly = false, closing = false;
 };
 
-EmulatedScgiServer::EmulatedScgiServer(net::Loop& loop, const net::Address& at,
+EmulatedScgiServer::EmulatedScgiServer(net::Loop& loop, const net::Address& address,
                                        EmulatedScgiServerConfig config)
-    : loop_(loop), host_(at.host), config_(config), timer_(loop, [this] { onTimer(); }) {
+    : loop_(loop), host_(address.host), config_(config), timer_(loop, [this] { onTimer(); }) {
     listener_ = std::make_unique<net::Listener>(
-        loop, at,
+        loop, address,
         [this](net::PendingConnection socket) {
             auto client = std::make_shared<ClientConnection>(*this);
             client->connection.reset(new net::Connection(loop_, socket, *client, {1 << 20, 1 << 20}));
--- a/src/loadtest/emulators/scgi_server.h
+++ b/src/loadtest/emulators/scgi_server.h
@@ -37,7 +37,7 @@
 
 class EmulatedScgiServer {
 public:
-    EmulatedScgiServer(net::Loop& loop, const net::Address& at, EmulatedScgiServerConfig config);
+    EmulatedScgiServer(net::Loop& loop, const net::Address& address, EmulatedScgiServerConfig config);
     ~EmulatedScgiServer();
     net::Address address() const { return {host_, listener_->port()}; }
     void setConfig(EmulatedScgiServerConfig config) { config_ = config; }
--- a/src/loadtest/emulators/thrift_server.cpp
+++ b/src/loadtest/emulators/thrift_server.cpp
@@ -19,7 +19,8 @@
         const auto self = shared_from_this();
         std::size_t length = 0;
         while (connection && thrift::peekFrame(connection->input(), length) == thrift::FrameState::Complete) {
-            const auto message = thrift::readMessage(connection->input().peek(4 + length, scratch).substr(4));
+            const auto message =
+                thrift::readMessage(connection->input().peek(4 + length, frameBuffer).substr(4));
             connection->input().drop(4 + length);
             if (!message) return server.close(*this);
             server.handleMessage(*this, *message);
@@ -29,17 +30,17 @@
 
     EmulatedThriftServer& server;
     std::unique_ptr<net::Connection> connection;
-    std::string scratch;
+    std::string frameBuffer;
     int requests = 0;
 };
 
-EmulatedThriftServer::EmulatedThriftServer(net::Loop& loop, const net::Address& at,
+EmulatedThriftServer::EmulatedThriftServer(net::Loop& loop, const net::Address& address,
                                            EmulatedThriftServerConfig config)
-    : loop_(loop), config_(config), host_(at.host), startedAt_(steadyNow()), timer_(loop, [this] {
+    : loop_(loop), config_(config), host_(address.host), startedAt_(steadyNow()), timer_(loop, [this] {
           onTimer();
       }) {
     listener_ = std::make_unique<net::Listener>(
-        loop, at, [this](net::PendingConnection socket) { accept(socket); }, [] { return false; });
+        loop, address, [this](net::PendingConnection socket) { accept(socket); }, [] { return false; });
     if (config_.stallStart >= 0ns) timer_.startAt(startedAt_ + config_.stallStart + config_.stallDuration);
 }
 
--- a/src/loadtest/emulators/thrift_server.h
+++ b/src/loadtest/emulators/thrift_server.h
@@ -35,7 +35,7 @@
     struct RequestTimes {
         Duration received{0}, sent{0};
     };
-    EmulatedThriftServer(net::Loop& loop, const net::Address& at, EmulatedThriftServerConfig config);
+    EmulatedThriftServer(net::Loop& loop, const net::Address& address, EmulatedThriftServerConfig config);
     ~EmulatedThriftServer();
     net::Address address() const { return {host_, listener_->port()}; }
     /// @return by trace, if recordsTimes is set; never emptied.
--- a/src/loadtest/emulators/worker_pool.cpp
+++ b/src/loadtest/emulators/worker_pool.cpp
@@ -22,7 +22,7 @@
         while (connection && !closing) {
             const std::size_t end = from.input().find('\n', 0);
             if (end == from.input().size()) return;
-            const std::string line(from.input().peek(end, scratch));
+            const std::string line(from.input().peek(end, lineBuffer));
             from.input().drop(end + 1);
             pool.handleMessage(line);
         }
@@ -33,15 +33,15 @@
     }
     WorkerPool& pool;
     std::unique_ptr<net::Connection> connection;
-    std::string scratch;
+    std::string lineBuffer;
     bool closing = false;
 };
 
-WorkerPool::WorkerPool(net::Loop& loop, std::size_t instance, const net::Address& at,
+WorkerPool::WorkerPool(net::Loop& loop, std::size_t instance, const net::Address& address,
                        const WorkerPoolConfig& config, InvariantChecker& checker)
     : loop_(loop),
       instance_(instance),
-      address_(at),
+      address_(address),
       config_(config),
       checker_(checker),
       cores_(config.cores),
@@ -71,7 +71,7 @@
         [] { return false; });
 }
 
-void WorkerPool::write(const std::string& line) {
+void WorkerPool::writeLine(const std::string& line) {
     if (!connection_ || connection_->closing || !connection_->connection) return;
     connection_->connection->send(std::exchange(unsentPart_, "") + line);
 }
@@ -83,23 +83,23 @@
     ++noticesWritten_;
     if (config_.duplicateEvery > 0 &&
         noticesWritten_ % static_cast<std::uint64_t>(config_.duplicateEvery) == 0)
-        write(line);
+        writeLine(line);
     if (config_.splitEvery > 0 && noticesWritten_ % static_cast<std::uint64_t>(config_.splitEvery) == 0) {
         // The reader has half a line until the rest follows with the next sample, some milliseconds later.
-        write(line.substr(0, line.size() / 2));
+        writeLine(line.substr(0, line.size() / 2));
         return void(unsentPart_ += line.substr(line.size() / 2));
     }
-    write(line);
+    writeLine(line);
 }
 
 void WorkerPool::sendBound(std::uint64_t after) {
     const Duration now = steadyNow();
-    write(Json{{"type", "bound"}, {"state", cold_ ? "cold" : "warm"}, {"took", (now - startedAt_) / 1ms}}
-              .dump() +
-          "\n");
+    writeLine(Json{{"type", "bound"}, {"state", cold_ ? "cold" : "warm"}, {"took", (now - startedAt_) / 1ms}}
+                  .dump() +
+              "\n");
     bound_ = true;
     for (const auto& [number, line] : notices_)
-        if (number > after) write(line);
+        if (number > after) writeLine(line);
 }
 
 void WorkerPool::handleMessage(const std::string& line) {
@@ -122,7 +122,7 @@
     } else if (type == "suspend") {
         if (known == jobByName_.end()) return;
         cores_.remove(known->second, now);
-        finish(known->second, "halted", "");
+        finishRun(known->second, "halted", "");
     } else if (type == "supply") {
         if (known == jobByName_.end()) return;
         Job& supplied = jobs_.at(known->second);
@@ -130,15 +130,16 @@
         checker_.callEnded(job, false);
         cores_.add(known->second, supplied.segmentWork, now);
     } else if (type == "poll") {
-        write(Json{{"type", "polled"},
-                   {"ref", message.value("ref", "")},
-                   {"gauges",
-                    {cores_.utilisation(), static_cast<double>(cores_.running()),
-                     checker_.memoryKb(instance_) / config_.heapKb, 1.0}}}
-                  .dump() +
-              "\n");
+        writeLine(Json{{"type", "polled"},
+                       {"ref", message.value("ref", "")},
+                       {"gauges",
+                        {cores_.utilisation(), static_cast<double>(cores_.running()),
+                         checker_.memoryKb(instance_) / config_.heapKb, 1.0}}}
+                      .dump() +
+                  "\n");
     } else if (type == "verify") {
-        write(Json{{"type", "verified"}, {"ref", message.value("ref", "")}, {"state", "ok"}}.dump() + "\n");
+        writeLine(Json{{"type", "verified"}, {"ref", message.value("ref", "")}, {"state", "ok"}}.dump() +
+                  "\n");
     } else if (type != "proceed") {
         return connection_->connection.reset();
     }
@@ -150,7 +151,7 @@
     long long work = 0, call = 0;
     int calls = 0, fails = 0;
     if (std::sscanf(body.c_str(), "cw1 %16s %lld %d %lld %d;", firstTrace, &work, &calls, &call, &fails) != 5)
-        return write(Json{{"type", "unknown"}, {"state", "spawn"}, {"job", name}}.dump() + "\n");
+        return writeLine(Json{{"type", "unknown"}, {"state", "spawn"}, {"job", name}}.dump() + "\n");
     const Duration now = steadyNow();
     ++startedRuns_;
     checker_.runStarted(instance_, name, firstTrace, now);
@@ -181,15 +182,15 @@
                               .dump() +
                           "\n");
     }
-    if (job.fails) return finish(id, "failed", "");
-    finish(id, "ok", "ok " + job.name);
+    if (job.fails) return finishRun(id, "failed", "");
+    finishRun(id, "ok", "ok " + job.name);
 }
 
 void WorkerPool::reportEndedSegments(Duration now) {
     for (const std::uint64_t id : cores_.ended(now)) segmentEnded(id);
 }
 
-void WorkerPool::finish(std::uint64_t id, const char* state, const std::string& result) {
+void WorkerPool::finishRun(std::uint64_t id, const char* state, const std::string& result) {
     const Job job = jobs_.at(id);
     jobs_.erase(id);
     jobByName_.erase(job.name);
@@ -211,7 +212,7 @@
     if (now < readyAt_) return timer_.startAt(readyAt_);
     if (pendingBindAfter_) sendBound(*std::exchange(pendingBindAfter_, std::nullopt));
     reportEndedSegments(now);
-    if (!unsentPart_.empty() && now >= nextSampleAt_) write("");
+    if (!unsentPart_.empty() && now >= nextSampleAt_) writeLine("");
     sampleLoad(now);
     Duration next = nextSampleAt_;
     if (const auto end = cores_.nextEnd()) next = std::min(next, *end);
@@ -239,7 +240,7 @@
     std::vector<std::uint64_t> over;
     for (const auto& [id, job] : jobs_)
         if (job.blocked && !checker_.clientWaits(job.name)) over.push_back(id);
-    for (const std::uint64_t id : over) finish(id, "halted", "");
+    for (const std::uint64_t id : over) finishRun(id, "halted", "");
 }
 
 std::size_t WorkerPool::blockedRuns() const {
--- a/src/loadtest/emulators/worker_pool.h
+++ b/src/loadtest/emulators/worker_pool.h
@@ -29,8 +29,8 @@
 
 class WorkerPool {
 public:
-    WorkerPool(net::Loop& loop, std::size_t instance, const net::Address& at, const WorkerPoolConfig& config,
-               InvariantChecker& checker);
+    WorkerPool(net::Loop& loop, std::size_t instance, const net::Address& address,
+               const WorkerPoolConfig& config, InvariantChecker& checker);
     ~WorkerPool();
 
     /// @return whether the backend has bound the pool since the last start.
@@ -64,9 +64,9 @@
     void spawn(const std::string& name, const std::string& body);
     void segmentEnded(std::uint64_t id);
     void reportEndedSegments(Duration now);
-    void finish(std::uint64_t id, const char* state, const std::string& result);
+    void finishRun(std::uint64_t id, const char* state, const std::string& result);
     void sendNotice(std::string line);
-    void write(const std::string& line);
+    void writeLine(const std::string& line);
     void sendBound(std::uint64_t after);
     void onTimer();
     void sampleLoad(Duration now);
--- a/src/loadtest/invariants/invariant_checker.cpp
+++ b/src/loadtest/invariants/invariant_checker.cpp
@@ -41,7 +41,7 @@
     while (!expiryOrder_.empty() && expiryOrder_.front().first + retention_ < now) {
         const auto at = attempts_.find(expiryOrder_.front().second);
         if (at != attempts_.end()) {
-            const auto request = requests_.find(at->second.first);
+            const auto request = requests_.find(at->second.firstTrace);
             if (request != requests_.end() && --request->second.attempts == 0) requests_.erase(request);
             at->second.clientWaits = at->second.running = false;
             updateMemory(at->second);
@@ -52,18 +52,18 @@
 }
 
 void InvariantChecker::onAttemptSent(const ScheduledRequest& planned, const std::string& trace,
-                                     const std::string& first, std::size_t target) {
+                                     const std::string& firstTrace, std::size_t target) {
     const std::lock_guard lock(mutex_);
     const Duration now = steadyNow();
     removeExpired(now);
     Attempt& attempt = attempts_[trace];
-    attempt.first = first;
+    attempt.firstTrace = firstTrace;
     attempt.sent = now;
     attempt.requestClass = planned.requestClass;
     attempt.instance = target;
     attempt.declaredKb = planned.memoryKb;
     updateMemory(attempt);
-    ++requests_[first].attempts;
+    ++requests_[firstTrace].attempts;
     expiryOrder_.emplace_back(now, trace);
 }
 
@@ -118,8 +118,8 @@
         completedWork_ += std::chrono::duration<double>(planned.work).count();
 }
 
-void InvariantChecker::runStarted(std::size_t instance, const std::string& trace, const std::string& first,
-                                  Duration now) {
+void InvariantChecker::runStarted(std::size_t instance, const std::string& trace,
+                                  const std::string& firstTrace, Duration now) {
     const std::lock_guard lock(mutex_);
     const auto at = attempts_.find(trace);
     const std::string where = ", instance " + std::to_string(instance);
@@ -131,11 +131,11 @@
     if (drainEnd != drainEndsAt_.end() && attempt.sent > drainEnd->second + kLoopbackTolerance &&
         now > drainEnd->second)
         violation(Invariant::Drain, trace + " was sent after the drain grace and was run" + where);
-    Request& request = requests_[first];
+    Request& request = requests_[firstTrace];
     const bool nonIdempotent = requestClasses_[static_cast<std::size_t>(attempt.requestClass)].idempotency !=
                                Idempotency::Idempotent;
     if (nonIdempotent && request.runs > 0)
-        violation(Invariant::Duplicate, trace + " ran again (first attempt " + first + ")" + where);
+        violation(Invariant::Duplicate, trace + " ran again (first attempt " + firstTrace + ")" + where);
     ++request.runs;
     attempt.hasRun = attempt.running = true;
     updateMemory(attempt);
--- a/src/loadtest/invariants/invariant_checker.h
+++ b/src/loadtest/invariants/invariant_checker.h
@@ -44,15 +44,16 @@
                      double runFactor);
 
     // Called by clients.
-    void onAttemptSent(const ScheduledRequest& planned, const std::string& trace, const std::string& first,
-                       std::size_t target) override;
+    void onAttemptSent(const ScheduledRequest& planned, const std::string& trace,
+                       const std::string& firstTrace, std::size_t target) override;
     void onResponse(const std::string& trace, ClientResponse::Kind kind) override;
     void onAttemptReleased(const std::string& trace) override;
     void onRequestEnded(const ScheduledRequest& planned, const std::string& lastTrace,
                         RequestOutcome outcome) override;
 
     // Called by emulators; all times are of the steady clock.
-    void runStarted(std::size_t instance, const std::string& trace, const std::string& first, Duration now);
+    void runStarted(std::size_t instance, const std::string& trace, const std::string& firstTrace,
+                    Duration now);
     void runEnded(const std::string& trace);
     void callStarted(std::size_t instance, const std::string& trace);
     /// @param knownNotRun the call is known not to have run, so that it may be made again.
@@ -78,7 +79,7 @@
 
 private:
     struct Attempt {
-        std::string first;
+        std::string firstTrace;
         Duration sent{0};
         int requestClass = 0;
         std::size_t instance = 0;
