--- a/src/loadtest/experiment.cpp
+++ b/src/loadtest/experiment.cpp
@@ -91,7 +91,8 @@
     config->description = in.setting("about", kdl::text, std::string());
     if (const kdl::Node* const found = in.child("backends")) {
         kdl::NodeReader inner(*found);
-        config->backends = static_cast<std::size_t>(kdl::integer(inner.argument(0, "how many"), 1, 200));
+        config->backends =
+            static_cast<std::size_t>(kdl::integer(inner.argument(0, "the number of backends"), 1, 200));
         inner.property("cores", config->cores, kdl::number);
         inner.property("memory", config->memoryMb, [](const kdl::Value& value) {
             return static_cast<double>(kdl::bytes(value)) / (1 << 20);
@@ -145,7 +146,8 @@
     }
     if (const kdl::Node* const found = in.child("servers")) {
         kdl::NodeReader inner(*found);
-        config->servers.count = static_cast<std::size_t>(kdl::integer(inner.argument(0, "how many"), 1, 150));
+        config->servers.count =
+            static_cast<std::size_t>(kdl::integer(inner.argument(0, "the number of servers"), 1, 150));
         inner.property("slots", config->servers.slots, kdl::integerBetween(1, 10000));
         inner.property("most", config->servers.maxInFlight, kdl::integerBetween(1, 10000));
         inner.property("choose", config->servers.loadBalancingPolicy, kdl::text);
--- a/src/loadtest/experiment.h
+++ b/src/loadtest/experiment.h
@@ -30,14 +30,17 @@
         Registry,
         ScgiServer
     } kind = Kind::Dependency;
-    Duration at{0};                // from the start of the load
-    Duration duration{0};          // `for`; 0: the fault has no end of its own
-    Duration restartInterval{0};   // `each`: between two instances of a rolling restart (`release`)
-    double slowdown = 1;           // `slow`: factor on the service time
-    double hangFraction = 0;       // `hang`: dependency calls that are never answered
-    double malformedFraction = 0;  // `spoil`: dependency calls whose response can't be parsed
-    double instanceFraction = 1;   // `share`: instances that are affected, at least one
-    bool down = false, coldStart = true, silent = false, failsFast = false;
+    Duration at{0};                      // from the start of the load
+    Duration duration{0};                // `for`; 0: the fault has no end of its own
+    Duration restartInterval{0};         // `each`: between two instances of a rolling restart (`release`)
+    double slowdown = 1;                 // `slow`: factor on the service time
+    double hangFraction = 0;             // `hang`: dependency calls that are never answered
+    double malformedFraction = 0;        // `spoil`: dependency calls whose response can't be parsed
+    double instanceFraction = 1;         // `share`: instances that are affected, at least one
+    bool down = false;                   // the dependency refuses connections
+    bool coldStart = true;               // `cold`: a crashed worker pool has to warm up again
+    bool silent = false;                 // the registry or SCGI server accepts requests and does not respond
+    bool failsFast = false;              // `fails`: the SCGI server responds with 503 at once
     std::vector<std::size_t> instances;  // `on`; empty: instanceFraction of all
     std::string text;                    // as written in the file, for reports
 };
--- a/src/loadtest/report.cpp
+++ b/src/loadtest/report.cpp
@@ -322,7 +322,7 @@
              timeSeries(run, [](const Json& s) { return s.at("open").get<double>(); })});
         std::size_t backendIndex = 0;
         for (const Json& backend : run.at("backends")) {
-            if (backendIndex >= 7) break;
+            if (backendIndex >= 7) break;  // the style sheet has seven colors
             const std::string cssClass = "k" + std::to_string(backendIndex++) + side.dashClass;
             const auto curveOf = [&](const char* key) {
                 Curve series{withSide(side, backend.at("name")), cssClass, {}};
