--- a/tests/server_test.cpp
+++ b/tests/server_test.cpp
@@ -1,6 +1,5 @@
 /// @file
-/// The complete server with fake peers on loopback. All run on one event loop, and tests wait for conditions
-/// instead of sleeping.
+/// The complete server with fake peers on loopback. All run on one event loop, and tests wait for conditions.
 #include <sys/resource.h>
 #include <uv.h>
 
@@ -124,7 +123,7 @@
 
 TEST(ThriftServer, MalformedFramesCloseOnlyTheirConnection) {
     ServerWithClient fixture;
-    const std::int32_t kept = fixture.client->sendRequest(1);
+    const std::int32_t openRequest = fixture.client->sendRequest(1);
     fixture.awaitRun(1);
     const std::string twice = frames::serve(5, ThriftTestClient::requestFields(5), "") +
                               frames::serve(5, ThriftTestClient::requestFields(6), "");
@@ -143,7 +142,7 @@
     EXPECT_NE(fixture.logOutput.str().find("warn thrift: malformed frame; closing the connection"),
               std::string::npos);
     fixture.finish(1);
-    EXPECT_EQ(fixture.awaitAnswer(kept).kind, "answer");
+    EXPECT_EQ(fixture.awaitAnswer(openRequest).kind, "answer");
 }
 
 TEST(ThriftServer, MalformedRequestsGetAnApplicationException) {
@@ -245,15 +244,16 @@
     sockaddr_in to{};
     uv_ip4_addr("127.0.0.1", fixture.port(), &to);
     ASSERT_EQ(connect(peer, reinterpret_cast<sockaddr*>(&to), sizeof to), 0);
-    std::string asks;
-    for (int i = 1; i <= 500; ++i) asks += frames::isWell(i, false);
+    std::string healthCheckFrames;
+    for (int i = 1; i <= 500; ++i) healthCheckFrames += frames::isWell(i, false);
     std::size_t written = 0;
     // The server stops reading from the connection once its output buffer is full, so the writes stall.
-    for (int turns = 0, stuck = 0; stuck < 200 && turns < 100000; ++turns) {
-        const ssize_t now = send(peer, asks.data() + written % asks.size(),
-                                 asks.size() - written % asks.size(), MSG_DONTWAIT | MSG_NOSIGNAL);
+    for (int iterations = 0, failedWrites = 0; failedWrites < 200 && iterations < 100000; ++iterations) {
+        const ssize_t now =
+            send(peer, healthCheckFrames.data() + written % healthCheckFrames.size(),
+                 healthCheckFrames.size() - written % healthCheckFrames.size(), MSG_DONTWAIT | MSG_NOSIGNAL);
         if (now > 0) written += static_cast<std::size_t>(now);
-        stuck = now > 0 ? 0 : stuck + 1;
+        failedWrites = now > 0 ? 0 : failedWrites + 1;
         fixture.loop.runWithoutWaiting();
     }
     const std::int32_t sequence = fixture.client->sendRequest(1);
@@ -272,10 +272,10 @@
     ServerWithClient fixture;
     std::vector<std::unique_ptr<ThriftTestClient>> silent, once;
     const auto open = [&](std::vector<std::unique_ptr<ThriftTestClient>>& list, std::size_t count,
-                          const std::string& says) {
+                          const std::string& bytes) {
         for (std::size_t i = 0; i < count; ++i) {
             list.push_back(std::make_unique<ThriftTestClient>(fixture.loop, fixture.port()));
-            list.back()->send(says);
+            list.back()->send(bytes);
         }
     };
     // The first connection has an open request and is not evicted while more connections than the limit open.
@@ -308,17 +308,17 @@
 
 TEST(ConnectionLimit, RepeatedUselessRequestsEndTheirConnection) {
     ServerWithClient fixture;
-    const auto asks = [&](ThriftTestClient& from, const std::function<void()>& ask) {
+    const auto expectClosedAfterEight = [&](ThriftTestClient& from, const std::function<void()>& sendOne) {
         for (int i = 0; i < 8; ++i) {
-            ask();
+            sendOne();
             fixture.waitUntil([&] { return from.answers.contains(from.sequence); });
         }
         fixture.waitUntil([&] { return from.closed; });
     };
-    asks(*fixture.client, [&] { fixture.client->sendRequest(1, "", "nothing"); });
+    expectClosedAfterEight(*fixture.client, [&] { fixture.client->sendRequest(1, "", "nothing"); });
     ThriftTestClient other(fixture.loop, fixture.port());
     int number = 100;
-    asks(other, [&] {  // well-formed, but unknown to the worker pool
+    expectClosedAfterEight(other, [&] {  // well-formed, but unknown to the worker pool
         fixture.pool.unknownRequests.push_back(ThriftTestClient::requestId(++number));
         other.sendRequest(number);
     });
@@ -330,14 +330,14 @@
     std::string flood;
     for (int i = 1; i <= 600; ++i) flood += frames::forget(i, 7);
     fixture.client->send(flood);
-    std::uint64_t maxPerTurn = 0;
+    std::uint64_t maxPerIteration = 0;
     fixture.waitUntil([&] {
         const std::uint64_t before = fixture.count(Count::CancelMessages);
         fixture.loop.runWithoutWaiting();
-        maxPerTurn = std::max(maxPerTurn, fixture.count(Count::CancelMessages) - before);
+        maxPerIteration = std::max(maxPerIteration, fixture.count(Count::CancelMessages) - before);
         return fixture.count(Count::CancelMessages) == 600;
     });
-    EXPECT_LE(maxPerTurn, 130U);  // at most two loop iterations between two samples
+    EXPECT_LE(maxPerIteration, 130U);  // at most two loop iterations between two samples
 }
 
 TEST(MemoryLimit, BodiesOfOpenRequestsStayWithinTheirShare) {
@@ -346,17 +346,17 @@
     ServerWithClient fixture(configFile);
     const std::string body(2048, 'x');
     std::vector<std::unique_ptr<ThriftTestClient>> clients;
-    int asked = 0;
+    int sentCount = 0;
     for (int i = 0; i < 12; ++i) {
         clients.push_back(std::make_unique<ThriftTestClient>(fixture.loop, fixture.port()));
         for (int n = 0; n < 32; ++n) {
-            testing::FieldMap fields = ThriftTestClient::requestFields(++asked);
+            testing::FieldMap fields = ThriftTestClient::requestFields(++sentCount);
             fields["size"] = "0.001";  // reserves almost none of the worker pool's memory
             clients.back()->send(frames::serve(++clients.back()->sequence, fields, body));
         }
     }
     fixture.waitUntil(
-        [&] { return fixture.count(Count::RequestsRead) == static_cast<std::uint64_t>(asked); });
+        [&] { return fixture.count(Count::RequestsRead) == static_cast<std::uint64_t>(sentCount); });
     EXPECT_GT(fixture.count(Count::RejectedForMemory), 20U);
     EXPECT_LT(fixture.server->requestManager().trackedCount() * 3 * body.size(),
               fixture.processConfig.limits.requestBytes);
@@ -930,7 +930,7 @@
             EXPECT_EQ(reply, "re:call of " + job);
     };
     std::array<ThriftTestClient*, 8> open{};
-    for (int turn = 0; number < 1500 && turn < 50000; ++turn) {
+    for (int iteration = 0; number < 1500 && iteration < 50000; ++iteration) {
         auto& slot = open[static_cast<std::size_t>(draw(8))];
         if (slot == nullptr || !slot->connection) {
             clients.push_back(std::make_unique<ThriftTestClient>(fixture.loop, fixture.port()));
@@ -948,7 +948,7 @@
                 sentRequests[id].cancelled = true;
             }
         }
-        if (turn % 500 == 499) fixture.pool.server.closeConnections();
+        if (iteration % 500 == 499) fixture.pool.server.closeConnections();
         if (draw(300) == 0) fixture.dependency.server.closeConnections();
         if (draw(200) == 0) from.close();
         if (draw(400) == 0 && from.connection) from.send("no frame at all");
--- a/tests/soak/clients.cpp
+++ b/tests/soak/clients.cpp
@@ -294,20 +294,20 @@
     if (random_.withPercent(kCloseAfterWritePercent)) {
         // Scheduled, as the connection must not be closed from within its own write.
         scheduler_.schedule(*attempt.writtenAt, [this, &client, sequence, id, reset = random_.oneIn(2)] {
-            ClientConnection* const there = findAwaiting(client, sequence, id);
-            if (there == nullptr) return;
-            recordOutcome(*there, ConnectionOutcome::ClosedByClient);
-            there->close(reset);
+            ClientConnection* const awaiting = findAwaiting(client, sequence, id);
+            if (awaiting == nullptr) return;
+            recordOutcome(*awaiting, ConnectionOutcome::ClosedByClient);
+            awaiting->close(reset);
         });
         return;
     }
     if (!random_.withPercent(kCancelPercent)) return;
     scheduler_.schedule(*attempt.writtenAt + random_.between(1ms, 60ms), [this, &client, sequence, id] {
-        ClientConnection* const there = findAwaiting(client, sequence, id);
-        if (there == nullptr) return;
+        ClientConnection* const awaiting = findAwaiting(client, sequence, id);
+        if (awaiting == nullptr) return;
         recorder_.find(id)->cancelledAt = net::unixNow();
         recorder_.log("client " + std::to_string(client.number), "cancels", id);
-        there->write(frames::forget(++there->sequence, sequence), 0ns);
+        awaiting->write(frames::forget(++awaiting->sequence, sequence), 0ns);
     });
 }
 
--- a/tests/soak/plan.cpp
+++ b/tests/soak/plan.cpp
@@ -21,10 +21,10 @@
     return draw == 1 ? File::Malformed : draw == 2 ? File::Same : File::OtherAddresses;
 }
 
-void addReloads(std::vector<PlannedSignal>& signals, std::int64_t count, Duration least, Duration most,
+void addReloads(std::vector<PlannedSignal>& signals, std::int64_t count, Duration min, Duration max,
                 RandomGenerator& random) {
     for (std::int64_t number = 0; number < count; ++number)
-        signals.push_back({random.between(least, most), SIGHUP, generateFile(random)});
+        signals.push_back({random.between(min, max), SIGHUP, generateFile(random)});
 }
 
 // Times are relative to SIGTERM; signals before it have a negative time.
@@ -75,14 +75,14 @@
 
 }  // namespace
 
-std::int64_t RandomGenerator::between(std::int64_t least, std::int64_t most) {
+std::int64_t RandomGenerator::between(std::int64_t min, std::int64_t max) {
     // The distributions of the standard library may give different values in different implementations.
-    const auto range = static_cast<std::uint64_t>(most - least) + 1;
-    return least + static_cast<std::int64_t>(engine_() % range);
+    const auto range = static_cast<std::uint64_t>(max - min) + 1;
+    return min + static_cast<std::int64_t>(engine_() % range);
 }
 
-Duration RandomGenerator::between(Duration least, Duration most) {
-    return Duration(between(least.count(), most.count()));
+Duration RandomGenerator::between(Duration min, Duration max) {
+    return Duration(between(min.count(), max.count()));
 }
 
 Duration RandomGenerator::nextInterarrivalTime(double rate) {
--- a/tests/soak/plan.h
+++ b/tests/soak/plan.h
@@ -16,9 +16,9 @@
 class RandomGenerator {
 public:
     explicit RandomGenerator(std::uint64_t seed) : engine_(seed) {}
-    /// @return a uniformly distributed value from `least` to `most`, both included.
-    std::int64_t between(std::int64_t least, std::int64_t most);
-    Duration between(Duration least, Duration most);
+    /// @return a uniformly distributed value from `min` to `max`, both included.
+    std::int64_t between(std::int64_t min, std::int64_t max);
+    Duration between(Duration min, Duration max);
     /// @return true with probability 1/number.
     bool oneIn(int number) { return between(1, number) == 1; }
     /// @return true with a probability of `number` percent.
--- a/tests/soak/worker_pool_process.cpp
+++ b/tests/soak/worker_pool_process.cpp
@@ -249,10 +249,10 @@
 }
 
 void WorkerPoolProcess::endBlockedRunsNoLongerAwaited() {
-    std::vector<std::uint64_t> over;
+    std::vector<std::uint64_t> notAwaited;
     for (const auto& [number, job] : jobs_)
-        if (job.blocked && recorder_.isNoLongerAwaited(job.id)) over.push_back(number);
-    for (const std::uint64_t number : over) finish(number, "halted", "");
+        if (job.blocked && recorder_.isNoLongerAwaited(job.id)) notAwaited.push_back(number);
+    for (const std::uint64_t number : notAwaited) finish(number, "halted", "");
 }
 
 void WorkerPoolProcess::observe(Duration now) {
@@ -283,8 +283,8 @@
     // The latest attempts suffice, as no request of the soak waits longer than a few seconds.
     const auto& attempts = recorder_.observations.attempts;
     const std::size_t from = attempts.size() > 4096 ? attempts.size() - 4096 : 0;
-    for (std::size_t place = from; place < attempts.size(); ++place) {
-        const Attempt& attempt = attempts[place];
+    for (std::size_t index = from; index < attempts.size(); ++index) {
+        const Attempt& attempt = attempts[index];
         const bool waits = attempt.writtenAt && now - *attempt.writtenAt > kReservedAfter &&
                            attempt.responses.empty() && !attempt.cancelledAt &&
                            attempt.connection == ConnectionOutcome::Open;
--- a/tests/support/reference_model.h
+++ b/tests/support/reference_model.h
@@ -224,11 +224,11 @@
     /// collapses.
     void checkRunsOnCores() {
         runsOnCores_.push_back(countInState(RequestState::OnCores));
-        const std::size_t over = static_cast<std::size_t>(config.overloadWindow / 20ms);
-        if (runsOnCores_.size() < over) return;
+        const std::size_t batchesInWindow = static_cast<std::size_t>(config.overloadWindow / 20ms);
+        if (runsOnCores_.size() < batchesInWindow) return;
         double mean = 0;
-        for (std::size_t i = runsOnCores_.size() - over; i < runsOnCores_.size(); ++i)
-            mean += runsOnCores_[i] / over;
+        for (std::size_t i = runsOnCores_.size() - batchesInWindow; i < runsOnCores_.size(); ++i)
+            mean += runsOnCores_[i] / batchesInWindow;
         const double warm =
             std::min(1.0, config.coldCapacityFraction + (now - startedAt) / (1.0 * config.warmUpTime));
         check(mean <= config.cores * (1 + (config.overloadFactor - 1) * (config.startsCold ? warm : 1)),
